--- a/internal/control/controlstate/catch_up_network_test.go
+++ b/internal/control/controlstate/catch_up_network_test.go
@@ -37,61 +37,61 @@
 
 // send queues a message for delivery. Large messages from one machine to another share a link, which transmits them
 // one at a time; a message whose transmission takes longer than its time-out is lost.
-func (w *catchUpSim) send(message *wire.Message) {
+func (s *catchUpSim) send(message *wire.Message) {
 	from, to := controlclient.MemberAddr(message.From), controlclient.MemberAddr(message.To)
-	receiver := w.node(to)
-	if receiver == nil || w.isolated[from] || w.isolated[to] {
+	receiver := s.node(to)
+	if receiver == nil || s.isolated[from] || s.isolated[to] {
 		return
 	}
-	queued := catchUpMessage{deliverAt: w.now + linkDelay, receiverStarts: receiver.starts, message: message}
+	queued := catchUpMessage{deliverAt: s.now + linkDelay, receiverStarts: receiver.starts, message: message}
 	if isLargeMessage(message) {
-		link := w.link(from, to)
+		link := s.link(from, to)
 		if link.queuedMessages > maxQueuedLarge {
 			return // one message is being transmitted and the queue behind it is full
 		}
 		size := payloadBytes(message)
-		sendTime, timeout := time.Duration(float64(size)/float64(w.bytesPerSecond)*float64(time.Second)), largeMessageTimeout(size)
+		sendTime, timeout := time.Duration(float64(size)/float64(s.bytesPerSecond)*float64(time.Second)), largeMessageTimeout(size)
 		receiver.receivedBytes += size
 		link.queuedMessages++
-		link.freeAt = max(link.freeAt, w.now) + min(sendTime, timeout)
+		link.freeAt = max(link.freeAt, s.now) + min(sendTime, timeout)
 		queued.deliverAt, queued.isLost, queued.link = link.freeAt+linkDelay, sendTime > timeout, link
 	}
-	w.sentMessages++
-	queued.sequence = w.sentMessages
-	w.queued = append(w.queued, queued)
+	s.sentMessages++
+	queued.sequence = s.sentMessages
+	s.queued = append(s.queued, queued)
 }
 
 // link returns the link from one machine to another, and creates it at its first use.
-func (w *catchUpSim) link(from, to string) *simLink {
+func (s *catchUpSim) link(from, to string) *simLink {
 	name := from + ">" + to
-	if w.links[name] == nil {
-		w.links[name] = &simLink{}
+	if s.links[name] == nil {
+		s.links[name] = &simLink{}
 	}
-	return w.links[name]
+	return s.links[name]
 }
 
 // deliver passes the messages that are due to their receivers. If a large message is lost, the failure is reported to
 // its sender.
-func (w *catchUpSim) deliver() {
-	sort.SliceStable(w.queued, func(i, j int) bool { return w.queued[i].deliverAt < w.queued[j].deliverAt })
-	due := w.queued
-	w.queued = nil
+func (s *catchUpSim) deliver() {
+	sort.SliceStable(s.queued, func(i, j int) bool { return s.queued[i].deliverAt < s.queued[j].deliverAt })
+	due := s.queued
+	s.queued = nil
 	for index, queued := range due {
-		if queued.deliverAt > w.now {
-			w.queued = append(w.queued, due[index:]...)
+		if queued.deliverAt > s.now {
+			s.queued = append(s.queued, due[index:]...)
 			break
 		}
-		from, to := w.node(controlclient.MemberAddr(queued.message.From)), w.node(controlclient.MemberAddr(queued.message.To))
+		from, to := s.node(controlclient.MemberAddr(queued.message.From)), s.node(controlclient.MemberAddr(queued.message.To))
 		if queued.link != nil {
 			queued.link.queuedMessages--
 		}
-		if queued.isLost || to.shard == nil || to.starts != queued.receiverStarts || w.isolated[to.addr] || w.isolated[from.addr] {
-			if queued.link != nil && w.isHealthy(from) {
+		if queued.isLost || to.shard == nil || to.starts != queued.receiverStarts || s.isolated[to.addr] || s.isolated[from.addr] {
+			if queued.link != nil && s.isHealthy(from) {
 				from.shard.core.ReportSendFailure(queued.message)
 			}
-		} else if w.isHealthy(to) {
+		} else if s.isHealthy(to) {
 			to.shard.core.Step(queued.message)
-			w.runStep(to)
+			s.runStep(to)
 		}
 	}
 }
--- a/internal/control/controlstate/catch_up_test.go
+++ b/internal/control/controlstate/catch_up_test.go
@@ -10,8 +10,8 @@
 	"pebbleloom/internal/control/controlclient"
 )
 
-// planSizes are the sizes of the tested routing configurations, in routes: a typical one and the largest one that the
-// contract covers.
+// planSizes are the sizes of the tested routing configurations, in routes: a typical one and a large one as defined
+// in the contract.
 var planSizes = []int{350, 2000}
 
 // fastLinkRate is the bandwidth of a control machine's network link, in bytes per second.
@@ -63,10 +63,10 @@
 	changes := changesFromEnv()
 	for _, routes := range planSizes {
 		t.Run(fmt.Sprint(routes, " routes"), func(t *testing.T) {
-			w := newCatchUpSim(t, uint64(routes)+catchUpSeedFromEnv(), 4, fastLinkRate)
-			r := &catchUpRun{catchUpSim: w, routes: routes, longest: map[string]time.Duration{}, counts: map[string]int{}}
+			s := newCatchUpSim(t, uint64(routes)+catchUpSeedFromEnv(), 4, fastLinkRate)
+			r := &catchUpRun{catchUpSim: s, routes: routes, longest: map[string]time.Duration{}, counts: map[string]int{}}
 			r.change(routes, 10*time.Second)
-			for number := 0; w.ackedVersion < uint64(changes); number++ {
+			for number := 0; s.ackedVersion < uint64(changes); number++ {
 				r.injectFault(number)
 			}
 			for _, fault := range []string{"restarted", "leader restarted", "torn in a write", "wiped", "replaced", "isolated", "leader isolated", "all restarted"} {
@@ -245,19 +245,19 @@
 	for _, rate := range rates {
 		for _, routes := range []int{350, 1000, 2000} {
 			for _, missed := range missedChanges {
-				w := newCatchUpSim(t, 1, 3, fastLinkRate)
-				w.change(routes, 10*time.Second)
-				w.advance(time.Second)
-				node := (&catchUpRun{catchUpSim: w}).member(false)
-				w.kill(node, false)
+				s := newCatchUpSim(t, 1, 3, fastLinkRate)
+				s.change(routes, 10*time.Second)
+				s.advance(time.Second)
+				node := (&catchUpRun{catchUpSim: s}).member(false)
+				s.kill(node, false)
 				for range missed {
-					w.change(routes, 10*time.Second)
+					s.change(routes, 10*time.Second)
 				}
-				w.bytesPerSecond = rate
-				w.start(node, false)
+				s.bytesPerSecond = rate
+				s.start(node, false)
 				node.receivedBytes = 0
-				size := len(planText(w.ackedVersion, routes))
-				duration := w.waitUntil("the restarted member to have applied the last acknowledged version", 2*catchUpBound(size, rate), func() bool { return w.hasCaughtUp(node) })
+				size := len(planText(s.ackedVersion, routes))
+				duration := s.waitUntil("the restarted member to have applied the last acknowledged version", 2*catchUpBound(size, rate), func() bool { return s.hasCaughtUp(node) })
 				t.Logf("%8d %10d %8d %12.3f %10d %12d", routes, size>>10, missed, float64(rate)/(1<<20), duration.Milliseconds(), node.receivedBytes>>10)
 			}
 		}
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -61,57 +61,57 @@
 // newCatchUpSim starts a group and waits for its first leader. The first three machines are the seeds; rate is the
 // bandwidth of each link in bytes per second.
 func newCatchUpSim(t testing.TB, seed uint64, machines, rate int) *catchUpSim {
-	w := &catchUpSim{t: t, random: rand.New(rand.NewPCG(seed, 8)), links: map[string]*simLink{}, bytesPerSecond: rate, isolated: map[string]bool{},
+	s := &catchUpSim{t: t, random: rand.New(rand.NewPCG(seed, 8)), links: map[string]*simLink{}, bytesPerSecond: rate, isolated: map[string]bool{},
 		bodies: map[uint64][]byte{}, termLeaders: map[uint64]string{}, trailingBytes: trailingLogBytes}
 	for range machines {
-		node := w.addNode()
-		if len(w.seeds) < 3 {
-			w.seeds = append(w.seeds, node.addr)
+		node := s.addNode()
+		if len(s.seeds) < 3 {
+			s.seeds = append(s.seeds, node.addr)
 		}
 	}
-	for _, node := range w.nodes {
-		w.start(node, true)
+	for _, node := range s.nodes {
+		s.start(node, true)
 	}
-	w.waitUntil("the election of a leader", 10*time.Second, func() bool { return w.leader() != nil })
-	return w
+	s.waitUntil("the election of a leader", 10*time.Second, func() bool { return s.leader() != nil })
+	return s
 }
 
 // addNode adds a machine with an empty disk, whose process is not running yet.
-func (w *catchUpSim) addNode() *catchUpNode {
-	node := &catchUpNode{addr: fmt.Sprintf("10.0.0.%d:7360", len(w.nodes)+1), disk: newSimDisk(), clock: &clock.Manual{}}
-	w.nodes = append(w.nodes, node)
+func (s *catchUpSim) addNode() *catchUpNode {
+	node := &catchUpNode{addr: fmt.Sprintf("10.0.0.%d:7360", len(s.nodes)+1), disk: newSimDisk(), clock: &clock.Manual{}}
+	s.nodes = append(s.nodes, node)
 	return node
 }
 
 // start starts the process of a machine, which recovers from the disk. firstStart tells it that this is the first start
 // of the site.
-func (w *catchUpSim) start(node *catchUpNode, firstStart bool) {
+func (s *catchUpSim) start(node *catchUpNode, firstStart bool) {
 	node.starts++
 	starts := node.starts
 	node.disk.powerBudget = -1
 	replica := newShard(context.Background(), 0, node.clock, hclog.NewNullLogger(), func(message *wire.Message) {
 		if node.starts == starts {
-			w.send(message)
+			s.send(message)
 		}
 	})
-	config := newTestGroup(node.disk, rand.New(rand.NewPCG(w.random.Uint64(), 9)), func(lost bool) *wire.Snapshot {
-		return initialGroupSnapshot(firstStart && !lost, node.addr, w.seeds, w.random.Uint64)
+	config := newTestGroup(node.disk, rand.New(rand.NewPCG(s.random.Uint64(), 9)), func(lost bool) *wire.Snapshot {
+		return initialGroupSnapshot(firstStart && !lost, node.addr, s.seeds, s.random.Uint64)
 	})
 	config.codec = textPlanCodec{}
 	config.reopenTicks = int(reopenIntervalRatio / groupTick)
 	config.consensusConfig.MaxBatchBytes = 256 << 10
-	config.consensusConfig.TrailingLogBytes = w.trailingBytes
+	config.consensusConfig.TrailingLogBytes = s.trailingBytes
 	openGroupShard(replica, config)
-	node.shard, node.nextTick, node.version = replica, w.now, 0
+	node.shard, node.nextTick, node.version = replica, s.now, 0
 }
 
 // kill ends the process of a machine without a shutdown. If torn is set, it first waits for up to 200 steps until the
 // process crashes in the middle of a write.
-func (w *catchUpSim) kill(node *catchUpNode, torn bool) {
+func (s *catchUpSim) kill(node *catchUpNode, torn bool) {
 	if torn && node.shard != nil {
-		node.disk.powerBudget = w.random.IntN(1 << 20)
+		node.disk.powerBudget = s.random.IntN(1 << 20)
 		for range 200 {
-			if w.step(); node.shard == nil || node.shard.failure != nil {
+			if s.step(); node.shard == nil || node.shard.failure != nil {
 				break
 			}
 		}
@@ -120,14 +120,14 @@
 }
 
 // wipe kills the process of a machine and replaces the disk by an empty one.
-func (w *catchUpSim) wipe(node *catchUpNode) {
-	w.kill(node, false)
+func (s *catchUpSim) wipe(node *catchUpNode) {
+	s.kill(node, false)
 	node.disk = newSimDisk()
 }
 
 // node returns the machine at an address; nil if there is none.
-func (w *catchUpSim) node(addr string) *catchUpNode {
-	for _, node := range w.nodes {
+func (s *catchUpSim) node(addr string) *catchUpNode {
+	for _, node := range s.nodes {
 		if node.addr == addr {
 			return node
 		}
@@ -136,44 +136,44 @@
 }
 
 // isHealthy reports whether the process of a machine is running and its member has not failed.
-func (w *catchUpSim) isHealthy(node *catchUpNode) bool {
+func (s *catchUpSim) isHealthy(node *catchUpNode) bool {
 	return node != nil && node.shard != nil && node.shard.failure == nil
 }
 
 // step advances virtual time by catchUpStep, delivers the messages that are due and ticks the members.
-func (w *catchUpSim) step() {
-	w.now += catchUpStep
-	for _, node := range w.nodes {
+func (s *catchUpSim) step() {
+	s.now += catchUpStep
+	for _, node := range s.nodes {
 		node.clock.Time += catchUpStep
 	}
-	w.deliver()
-	for _, node := range w.nodes {
-		w.tick(node)
+	s.deliver()
+	for _, node := range s.nodes {
+		s.tick(node)
 	}
 }
 
 // tick ticks a member if catchUpTick has passed since its last tick. If no leader replicates to the member, it then sends
 // a join request.
-func (w *catchUpSim) tick(node *catchUpNode) {
-	if node.shard == nil || w.now < node.nextTick {
+func (s *catchUpSim) tick(node *catchUpNode) {
+	if node.shard == nil || s.now < node.nextTick {
 		return
 	}
-	node.nextTick = w.now + catchUpTick
+	node.nextTick = s.now + catchUpTick
 	if node.shard.failure == nil {
 		node.shard.core.Tick()
 	}
 	node.shard.maintainGroup()
-	w.runStep(node)
-	if w.isHealthy(node) && w.now >= node.nextJoin && node.shard.needsJoin() {
-		node.nextJoin = w.now + 800*time.Millisecond
-		w.join(node)
+	s.runStep(node)
+	if s.isHealthy(node) && s.now >= node.nextJoin && node.shard.needsJoin() {
+		node.nextJoin = s.now + 800*time.Millisecond
+		s.join(node)
 	}
 }
 
 // runStep has a member process its input, and checks the invariants: the applied state never becomes older, all members
 // hold the same body for a version, a term has at most one leader, and a leader that has applied an entry of the newest
 // term holds every acknowledged change.
-func (w *catchUpSim) runStep(node *catchUpNode) {
+func (s *catchUpSim) runStep(node *catchUpNode) {
 	before := node.shard.core.Status()
 	node.shard.handleReady()
 	if node.shard.failure != nil {
@@ -181,62 +181,62 @@
 	}
 	status := node.shard.core.Status()
 	if status.Applied < before.Applied {
-		w.t.Fatalf("member %s replaced its state by an older one: applied index went from %d to %d", node.addr, before.Applied, status.Applied)
+		s.t.Fatalf("member %s replaced its state by an older one: applied index went from %d to %d", node.addr, before.Applied, status.Applied)
 	}
 	document := node.shard.state.documents[routingconfig.DocumentKey]
 	if document.GetVersion() < node.version {
-		w.t.Fatalf("member %s replaced its state by an older one: routing configuration went from version %d to version %d", node.addr, node.version, document.GetVersion())
+		s.t.Fatalf("member %s replaced its state by an older one: routing configuration went from version %d to version %d", node.addr, node.version, document.GetVersion())
 	}
 	if document.GetVersion() > node.version {
-		if want := w.bodies[document.Version]; want != nil && !bytes.Equal(want, document.Body) {
-			w.t.Fatalf("member %s holds a different body than the one sent for routing configuration version %d", node.addr, document.Version)
+		if want := s.bodies[document.Version]; want != nil && !bytes.Equal(want, document.Body) {
+			s.t.Fatalf("member %s holds a different body than the one sent for routing configuration version %d", node.addr, document.Version)
 		}
 	}
 	node.version = document.GetVersion()
 	if !status.IsLeader {
 		return
 	}
-	if leader := w.termLeaders[status.Term]; leader != "" && leader != node.shard.core.Self() {
-		w.t.Fatalf("term %d has two leaders: %s and %s", status.Term, leader, node.shard.core.Self())
+	if leader := s.termLeaders[status.Term]; leader != "" && leader != node.shard.core.Self() {
+		s.t.Fatalf("term %d has two leaders: %s and %s", status.Term, leader, node.shard.core.Self())
 	}
-	w.termLeaders[status.Term] = node.shard.core.Self()
-	if node.shard.core.HasAppliedCurrentTerm() && status.Term >= w.highestTerm() && node.version < w.ackedVersion {
-		w.t.Fatalf("member %s leads term %d with routing configuration version %d, but version %d was acknowledged", node.addr, status.Term, node.version, w.ackedVersion)
+	s.termLeaders[status.Term] = node.shard.core.Self()
+	if node.shard.core.HasAppliedCurrentTerm() && status.Term >= s.highestTerm() && node.version < s.ackedVersion {
+		s.t.Fatalf("member %s leads term %d with routing configuration version %d, but version %d was acknowledged", node.addr, status.Term, node.version, s.ackedVersion)
 	}
 }
 
 // highestTerm returns the highest term in which there was a leader.
-func (w *catchUpSim) highestTerm() (highest uint64) {
-	for term := range w.termLeaders {
+func (s *catchUpSim) highestTerm() (highest uint64) {
+	for term := range s.termLeaders {
 		highest = max(highest, term)
 	}
 	return highest
 }
 
 // join sends a join request for a member to a random machine and, if that is not the leader, to the leader that it names.
-func (w *catchUpSim) join(node *catchUpNode) {
-	peer := w.nodes[w.random.IntN(len(w.nodes))]
+func (s *catchUpSim) join(node *catchUpNode) {
+	peer := s.nodes[s.random.IntN(len(s.nodes))]
 	for peer.isRemoved {
-		peer = w.nodes[w.random.IntN(len(w.nodes))]
+		peer = s.nodes[s.random.IntN(len(s.nodes))]
 	}
 	for range 2 {
-		if peer == nil || peer == node || !w.isHealthy(peer) || w.isolated[peer.addr] || w.isolated[node.addr] {
+		if peer == nil || peer == node || !s.isHealthy(peer) || s.isolated[peer.addr] || s.isolated[node.addr] {
 			return
 		}
 		response := peer.shard.handleJoin(&wire.JoinRequest{Name: node.shard.core.Self()})
-		if w.runStep(peer); response.Outcome == wire.OutcomeDone {
+		if s.runStep(peer); response.Outcome == wire.OutcomeDone {
 			return
 		}
-		peer = w.node(controlclient.MemberAddr(response.Leader))
+		peer = s.node(controlclient.MemberAddr(response.Leader))
 	}
 }
 
 // leader returns the healthy, non-isolated leader of the highest term that has applied an entry of its term; nil if there
 // is none.
-func (w *catchUpSim) leader() *catchUpNode {
+func (s *catchUpSim) leader() *catchUpNode {
 	var leader *catchUpNode
-	for _, node := range w.nodes {
-		if !w.isHealthy(node) || w.isolated[node.addr] || !node.shard.core.HasAppliedCurrentTerm() {
+	for _, node := range s.nodes {
+		if !s.isHealthy(node) || s.isolated[node.addr] || !node.shard.core.HasAppliedCurrentTerm() {
 			continue
 		}
 		if leader == nil || node.shard.core.Status().Term > leader.shard.core.Status().Term {
@@ -247,83 +247,83 @@
 }
 
 // advance runs the simulation for a period of virtual time.
-func (w *catchUpSim) advance(duration time.Duration) {
-	for end := w.now + duration; w.now < end; {
-		w.step()
+func (s *catchUpSim) advance(duration time.Duration) {
+	for end := s.now + duration; s.now < end; {
+		s.step()
 	}
 }
 
 // waitUntil runs the simulation until a condition holds and returns the virtual time that this took. It fails the test on
 // a time-out; condition describes what it waited for.
-func (w *catchUpSim) waitUntil(condition string, within time.Duration, holds func() bool) time.Duration {
-	w.t.Helper()
-	startedAt := w.now
+func (s *catchUpSim) waitUntil(condition string, within time.Duration, holds func() bool) time.Duration {
+	s.t.Helper()
+	startedAt := s.now
 	for !holds() {
-		if w.step(); w.now-startedAt > within {
-			w.logStatus()
-			w.t.Fatalf("timed out after %v waiting for: %s", within, condition)
+		if s.step(); s.now-startedAt > within {
+			s.logStatus()
+			s.t.Fatalf("timed out after %v waiting for: %s", within, condition)
 		}
 	}
-	return w.now - startedAt
+	return s.now - startedAt
 }
 
 // logStatus logs the status of all running members.
-func (w *catchUpSim) logStatus() {
-	for _, node := range w.nodes {
+func (s *catchUpSim) logStatus() {
+	for _, node := range s.nodes {
 		if node.shard != nil {
 			members, _, _ := node.shard.core.Members()
-			w.t.Logf("member %s: status %+v, members %v, routing configuration version %d, failure %v", node.addr, node.shard.core.Status(), members, node.version, node.shard.failure)
+			s.t.Logf("member %s: status %+v, members %v, routing configuration version %d, failure %v", node.addr, node.shard.core.Status(), members, node.version, node.shard.failure)
 		}
 	}
 }
 
 // change sends the next version of the routing configuration to the leader, repeatedly until the version is acknowledged
 // or found applied. It fails the test on a time-out.
-func (w *catchUpSim) change(routes int, within time.Duration) {
-	w.t.Helper()
-	next := w.ackedVersion + 1
+func (s *catchUpSim) change(routes int, within time.Duration) {
+	s.t.Helper()
+	next := s.ackedVersion + 1
 	plan := planText(next, routes)
-	w.bodies[next] = plan
-	delete(w.bodies, next-8)
-	for startedAt := w.now; ; {
-		if w.now-startedAt > within {
-			w.logStatus()
-			w.t.Fatalf("routing configuration version %d was not acknowledged within %v", next, within)
+	s.bodies[next] = plan
+	delete(s.bodies, next-8)
+	for startedAt := s.now; ; {
+		if s.now-startedAt > within {
+			s.logStatus()
+			s.t.Fatalf("routing configuration version %d was not acknowledged within %v", next, within)
 		}
-		node := w.leader()
+		node := s.leader()
 		if node == nil {
-			w.step()
+			s.step()
 			continue
 		}
 		if node.version >= next { // an earlier attempt without a response was applied
 			break
 		}
-		if w.put(node, plan).GetOutcome() == wire.OutcomeDone {
+		if s.put(node, plan).GetOutcome() == wire.OutcomeDone {
 			break
 		}
-		w.step()
+		s.step()
 	}
-	w.ackedVersion = next
+	s.ackedVersion = next
 }
 
 // put proposes a routing configuration to a node and waits for the response. It returns nil if the process ended first
 // or answerTimeout passed.
-func (w *catchUpSim) put(node *catchUpNode, plan []byte) *wire.ChangeResponse {
+func (s *catchUpSim) put(node *catchUpNode, plan []byte) *wire.ChangeResponse {
 	starts := node.starts
-	put := &wire.Put{Key: routingconfig.DocumentKey, Body: plan, IfVersion: w.ackedVersion}
+	put := &wire.Put{Key: routingconfig.DocumentKey, Body: plan, IfVersion: s.ackedVersion}
 	pending, response := node.shard.propose(putRequest(put), nil)
-	w.runStep(node)
-	for startedAt := w.now; response == nil && node.starts == starts && w.now-startedAt < answerTimeout; {
+	s.runStep(node)
+	for startedAt := s.now; response == nil && node.starts == starts && s.now-startedAt < answerTimeout; {
 		select {
 		case response = <-pending.response:
 		default:
-			w.step()
+			s.step()
 		}
 	}
 	return response
 }
 
 // hasCaughtUp reports whether a member is healthy and has applied the last acknowledged version.
-func (w *catchUpSim) hasCaughtUp(node *catchUpNode) bool {
-	return w.isHealthy(node) && node.version >= w.ackedVersion
+func (s *catchUpSim) hasCaughtUp(node *catchUpNode) bool {
+	return s.isHealthy(node) && node.version >= s.ackedVersion
 }
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -29,7 +29,7 @@
 		defer cluster.stopAll()
 		cluster.startFounders(3)
 		if _, err := cluster.node(1).PutRoutingConfig(ctx, 0, body(1, "x"), false); err != nil {
-			t.Fatal(err)
+			t.Fatalf("change of the routing configuration before the disk stalls: %v", err)
 		}
 		leader := cluster.leader()
 		node, disk, release := cluster.node(leader), cluster.disks[cluster.addr(leader)], make(chan struct{})
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -74,15 +74,15 @@
 		body string
 		kind *errs.Kind
 	}{
-		{"old base version", 4, `{"version":9}`, errs.Conflict},
-		{"base version above the current one", 9, `{"version":11}`, errs.Conflict},
+		{"an old base version", 4, `{"version":9}`, errs.Conflict},
+		{"a base version above the current one", 9, `{"version":11}`, errs.Conflict},
 		{"no base version", 0, `{"version":11}`, errs.Conflict},
-		{"new version equals the current one", 6, `{"version":6}`, errs.BadInput},
-		{"invalid configuration", 6, `{"version":9,"bad":true}`, errs.BadInput},
+		{"a new version equal to the current one", 6, `{"version":6}`, errs.BadInput},
+		{"invalid contents", 6, `{"version":9,"bad":true}`, errs.BadInput},
 		{"malformed JSON", 6, `{`, errs.BadInput},
 	} {
 		if _, err := node.PutRoutingConfig(context.Background(), test.base, []byte(test.body), false); err == nil || errs.KindOf(err) != test.kind {
-			t.Errorf("%s: change %s of version %d: got error %v, want one of kind %v", test.name, test.body, test.base, err, test.kind.Name)
+			t.Errorf("change of the routing configuration with %s: body %s on base version %d: got error %v, want one of kind %v", test.name, test.body, test.base, err, test.kind.Name)
 		}
 	}
 }
@@ -115,18 +115,18 @@
 	ctx, key := context.Background(), fleet.PlacementKey+"s"
 	put := &wire.Put{Key: key, Body: []byte("{}"), AnyVersion: true, Token: "p1"}
 	if _, err := cluster.node(4).controlClient.Change(ctx, putRequest(put)); err != nil {
-		t.Error(err)
+		t.Errorf("storing placement document %s: %v", key, err)
 	}
 	first := cluster.node(1)
 	config, placements := &wire.KnownVersion{Key: routingconfig.DocumentKey, Version: 6}, &wire.KnownVersion{Key: fleet.PlacementKey}
 	response, _ := first.Follow(ctx, followRequest(time.Second, config, placements))
 	if len(response.Documents) != 1 || response.Documents[0].Key != key || !response.NothingNewer || response.Member != cluster.addr(1)+"/0" {
-		t.Errorf("long poll for a new placement document %s: got %v", key, response)
+		t.Errorf("long poll: got %v, want only the new placement document %s and NothingNewer from member %s/0", response, key, cluster.addr(1))
 	}
 	startedAt := time.Now()
 	response, _ = first.Follow(ctx, followRequest(500*time.Millisecond, config, placements, &wire.KnownVersion{Key: key, Version: 1}))
 	if waited := time.Since(startedAt); waited != 500*time.Millisecond || len(response.Documents) > 0 || !response.NothingNewer {
-		t.Errorf("long poll for a known placement document: got %v after %v, want no documents after 500ms", response, waited)
+		t.Errorf("long poll for known documents: got %v after %v, want no documents and NothingNewer after 500ms", response, waited)
 	}
 }
 
--- a/internal/control/controlstate/idempotency_test.go
+++ b/internal/control/controlstate/idempotency_test.go
@@ -45,11 +45,11 @@
 	t.Helper()
 	saved, err := s.save()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encoding the state for a snapshot: %v", err)
 	}
 	restored := newState()
 	if err := restored.load(saved, 0); err != nil {
-		t.Fatal(err)
+		t.Fatalf("loading the state from a snapshot: %v", err)
 	}
 	return restored
 }
@@ -81,16 +81,16 @@
 	s := stateAfter(t, maxConfigRecords+evicted)
 	for name, s := range map[string]*state{"state from the log": s, "state from a snapshot": reloaded(t, s)} {
 		for n := 1; n <= maxConfigRecords+evicted; n++ {
-			want, wantOfRival := wire.OutcomeDone, wire.OutcomeConflict
+			want, wantForRival := wire.OutcomeDone, wire.OutcomeConflict
 			if n <= evicted {
-				want, wantOfRival = wire.OutcomeUnknown, wire.OutcomeUnknown
+				want, wantForRival = wire.OutcomeUnknown, wire.OutcomeUnknown
 			}
 			if response := s.apply(planChange(n), 0); response.Outcome != want {
 				t.Fatalf("%s: retry of change %d: got %v, want outcome %s", name, n, response, want)
 			}
 			rival := changeCommand(routingconfig.DocumentKey, "another", fmt.Sprint("rival ", n), uint64(2*n-2), uint64(2*n))
-			if response := s.apply(rival, 0); response.Outcome != wantOfRival {
-				t.Fatalf("%s: different change with the base version of change %d: got %v, want outcome %s", name, n, response, wantOfRival)
+			if response := s.apply(rival, 0); response.Outcome != wantForRival {
+				t.Fatalf("%s: new change with the base version of change %d: got %v, want outcome %s", name, n, response, wantForRival)
 			}
 		}
 	}
@@ -122,7 +122,7 @@
 		s.recentTokens = nil // the recent tokens, which earlier releases use, have a limit of their own
 		saved, err := s.save()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encoding the state after %d changes: %v", changes, err)
 		}
 		return len(saved)
 	}
@@ -131,7 +131,7 @@
 	s := stateAfter(t, configChangesPerDay)
 	saved, err := s.save()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encoding the state after %d changes: %v", configChangesPerDay, err)
 	}
 	t.Logf("size of one idempotency record: %.1f bytes; of the records of %d changes: %d bytes; at the limit of %d records: %d bytes; complete state after %d changes: %d bytes",
 		perChange, configChangesPerDay, day, maxConfigRecords, full, configChangesPerDay, len(saved))
@@ -255,7 +255,7 @@
 		{"different token", changeCommand("k", "step", "token 2", 0, 0), wire.OutcomeConflict},
 	} {
 		if response := state.apply(test.command, 0); response.Outcome != test.want {
-			t.Errorf("%s: got %v, want outcome %s", test.name, response, test.want)
+			t.Errorf("change after the token was used (%s): got %v, want outcome %s", test.name, response, test.want)
 		}
 	}
 	if version := state.documents["k"].Version; version != 2 {
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -26,7 +26,7 @@
 	config.reopenTicks = 1
 	openGroupShard(replica, config)
 	if replica.failure != nil {
-		t.Fatal(replica.failure)
+		t.Fatalf("opening the group member: %v", replica.failure)
 	}
 	return replica, d
 }
@@ -69,7 +69,7 @@
 	body, _ := newState().save()
 	replica.core.Step(snapshotMessage(&wire.Snapshot{Format: 1, Index: 9, Term: 5, State: body, Members: []string{"a", "b", "c"}}))
 	if replica.handleReady(); replica.failure != nil {
-		t.Fatal(replica.failure)
+		t.Fatalf("member failed when installing a snapshot: %v", replica.failure)
 	}
 	select {
 	case response := <-superseded.response:
--- a/internal/control/controlstate/restore_return_test.go
+++ b/internal/control/controlstate/restore_return_test.go
@@ -23,7 +23,7 @@
 }
 
 func (s returnScenario) String() string {
-	return fmt.Sprintf("before new machines %v, survivor down %v, one by one %v", s.beforeNewMachines, s.survivorIsDown, s.oneByOne)
+	return fmt.Sprintf("return before new machines %v, with survivor down %v, one by one %v", s.beforeNewMachines, s.survivorIsDown, s.oneByOne)
 }
 
 // After a group was restored from one member, the other members return with their disks, in various orders. Until they
--- a/internal/control/controlstate/restore_test.go
+++ b/internal/control/controlstate/restore_test.go
@@ -44,17 +44,17 @@
 		{"two of five members and a new machine respond", self, []memberReport{reportOf("b/0", logPosition{2, 8}), {member: "c/77"}}, ""},
 		{"another member responds that its disk failed", self, []memberReport{failing, reportOf("c/0", logPosition{1, 8})}, ""},
 		{"three of five members respond", self, []memberReport{reportOf("b/0", logPosition{2, 8}), reportOf("c/0", logPosition{1, 4})}, "a majority of the members answers: a/0, b/0, c/0"},
-		{"log of another member is longer", self, []memberReport{reportOf("b/0", logPosition{2, 9})}, "the log of b/0 is newer"},
-		{"log of another member ends in a later term", self, []memberReport{reportOf("b/0", logPosition{3, 5})}, "the log of b/0 is newer"},
+		{"the log of another member is longer", self, []memberReport{reportOf("b/0", logPosition{2, 9})}, "the log of b/0 is newer"},
+		{"the log of another member ends in a later term", self, []memberReport{reportOf("b/0", logPosition{3, 5})}, "the log of b/0 is newer"},
 		{"a majority of a newer membership responds", self, []memberReport{newerMembers}, "a majority of the members answers: a/0, f/1"},
 		{"another member belongs to a group that was restored later", self, []memberReport{withGeneration(reportOf("b/0", logPosition{1, 1}), 1<<32)}, "restored after"},
 		{"other members belong to the group before the last restore", restored, []memberReport{reportOf("b/0", logPosition{9, 9}), reportOf("c/0", logPosition{9, 9}), reportOf("d/0", logPosition{9, 9})}, ""},
-		{"disk of this member failed", failing, nil, "can't be used: no space"},
-		{"disk of this member is empty", memberReport{member: "a/5"}, nil, "disk is empty"},
+		{"the disk of this member failed", failing, nil, "can't be used: no space"},
+		{"the disk of this member is empty", memberReport{member: "a/5"}, nil, "disk is empty"},
 	} {
 		objections := objectionsToRestore(test.self, append([]memberReport{test.self}, test.answered...))
 		if text := strings.Join(objections, "; "); text != "" && test.want == "" || !strings.Contains(text, test.want) {
-			t.Errorf("%s: got objections %q, want a text with %q (empty: no objections)", test.name, text, test.want)
+			t.Errorf("restore when %s: got objections %q, want one that contains %q (empty: no objections)", test.name, text, test.want)
 		}
 	}
 }
@@ -257,7 +257,7 @@
 		for i := range 5 {
 			cluster.start(i+1, true)
 		}
-		cluster.waitUntil("five voters", 20*time.Second, func() bool { return len(cluster.members()) == 5 })
+		cluster.waitUntil("a group of five voters", 20*time.Second, func() bool { return len(cluster.members()) == 5 })
 		cluster.putEverywhere(1)
 		for _, i := range []int{3, 4, 5} {
 			cluster.stop(i)
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -17,20 +17,20 @@
 	"pebbleloom/internal/wire"
 )
 
-// scriptedCluster is a group of three real shards whose loops, messages and ticks a test runs step by step,
-// inside a synctest bubble. Requests run the shard's own change, and wait wherever the test leaves them.
-// After each step it checks what operators may rely on.
+// scriptedCluster is a group of three real shards inside a synctest bubble. The test runs the shards' loops, message
+// delivery and ticks step by step. Requests call shard.change on their own goroutines, and block until the test runs the
+// steps that complete them. Each step checks the invariants that operators rely on.
 type scriptedCluster struct {
-	mu          sync.Mutex // guards the outcomes of changes, and newestAcked
+	mu          sync.Mutex // guards the outcomes in changes, and newestAcked
 	t           *testing.T
-	ctx         context.Context // of requests
+	ctx         context.Context // context of all requests
 	cancel      context.CancelFunc
-	key         string // of the document that changes are made of
+	key         string // key of the document that all changes are made to
 	members     []*scriptedMember
 	inFlight    []*wire.Message
-	isolated    *scriptedMember // it neither receives nor reaches anything; nil: none
-	bodies      map[uint64]string
-	newestAcked uint64 // the highest acknowledged version
+	isolated    *scriptedMember   // member that can neither send nor receive; nil if there is none
+	bodies      map[uint64]string // by version: the applied body of the document
+	newestAcked uint64            // the highest acknowledged version
 	changes     []*testChange
 	violations  []string
 }
@@ -41,18 +41,18 @@
 	disk           *simDisk
 	shard          *shard
 	stop           context.CancelFunc
-	highestApplied uint64 // version
+	highestApplied uint64 // highest version of the document that the member has applied
 }
 
-// testChange is an operator's change, which may be sent any number of times.
+// testChange is an operator's change, which may be sent several times, and its outcome.
 type testChange struct {
 	name                    string
 	baseVersion, newVersion uint64
-	acked, rejected         bool
-	inForce                 bool
+	acked, rejected         bool // some response acknowledged or rejected the change
+	inForce                 bool // some member has applied the change
 }
 
-// newScriptedCluster starts three members, none of which leads yet.
+// newScriptedCluster starts three members, none of which is the leader yet.
 func newScriptedCluster(t *testing.T, key string) *scriptedCluster {
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &scriptedCluster{t: t, ctx: ctx, cancel: cancel, key: key, bodies: map[uint64]string{}}
@@ -65,7 +65,7 @@
 	return c
 }
 
-// start starts a member from its disk.
+// start starts a member, which recovers from its disk. firstStart tells it that this is the first start of the site.
 func (c *scriptedCluster) start(member *scriptedMember, firstStart bool) {
 	ctx, stop := context.WithCancel(context.Background())
 	member.stop = stop
@@ -79,12 +79,13 @@
 	member.shard = replica
 }
 
-// runMember runs what is queued for a member, and checks what it has applied.
+// runMember runs the queued commands of a member and has it process its input, and checks the document that it has
+// applied.
 func (c *scriptedCluster) runMember(member *scriptedMember) {
 	for {
 		select {
-		case f := <-member.shard.commands.Out():
-			f()
+		case command := <-member.shard.commands.Out():
+			command()
 			continue
 		default:
 		}
@@ -93,21 +94,21 @@
 	member.shard.handleReady()
 	doc := member.shard.state.documents[c.key]
 	if doc.GetVersion() < member.highestApplied {
-		c.violationf("versions never fall: %s goes from %d back to %d", member.addr, member.highestApplied, doc.GetVersion())
+		c.violationf("applied document of member %s decreased from version %d to %d", member.addr, member.highestApplied, doc.GetVersion())
 	}
 	member.highestApplied = doc.GetVersion()
 	if doc == nil {
 		return
 	}
 	if other, ok := c.bodies[doc.Version]; ok && other != string(doc.Body) {
-		c.violationf("one content a version: %d is %s and %s", doc.Version, other, doc.Body)
+		c.violationf("document version %d has two different bodies: %s and %s", doc.Version, other, doc.Body)
 	}
 	c.bodies[doc.Version] = string(doc.Body)
 	c.recordApplied(doc)
 	c.checkInvariants()
 }
 
-// recordApplied records which changes have come into force.
+// recordApplied records the changes that a member has applied.
 func (c *scriptedCluster) recordApplied(doc *wire.Document) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,35 +117,38 @@
 	}
 }
 
+// body returns the routing configuration that the change sends.
 func (c *testChange) body() []byte { return body(c.newVersion, c.name) }
 
-// checkInvariants checks all answers together; they must agree at any time.
+// checkInvariants checks that the responses to all changes so far are consistent: no rejected change was applied or
+// acknowledged, and at most one change with the same base version was acknowledged.
 func (c *scriptedCluster) checkInvariants() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	byBase := map[uint64]string{}
 	for _, change := range c.changes {
 		if change.rejected && (change.acked || change.inForce) {
-			c.violationf("a rejected change never comes into force, and an acknowledged one is never rejected: %+v", *change)
+			c.violationf("change was rejected although it was acknowledged or applied: %+v", *change)
 		}
 		if !change.acked {
 			continue
 		}
 		if other := byBase[change.baseVersion]; other != "" {
-			c.violationf("one acknowledged change a base: %s and %s on %d", other, change.name, change.baseVersion)
+			c.violationf("changes %s and %s with the same base version %d were both acknowledged", other, change.name, change.baseVersion)
 		}
 		byBase[change.baseVersion] = change.name
 	}
 }
 
+// violationf records a violation of an invariant, once for each text.
 func (c *scriptedCluster) violationf(format string, args ...any) {
 	if text := fmt.Sprintf(format, args...); !slices.Contains(c.violations, text) {
 		c.violations = append(c.violations, text)
 	}
 }
 
-// deliverOnce lets all members run, and delivers what was sent before. It reports whether anything is left
-// to do.
+// deliverOnce runs all members once and delivers the messages sent until then. It reports whether there may be more
+// messages or commands to process.
 func (c *scriptedCluster) deliverOnce() bool {
 	synctest.Wait()
 	for _, member := range c.members {
@@ -163,16 +167,17 @@
 	return len(due) > 0 || len(c.inFlight) > 0 || slices.ContainsFunc(c.members, func(member *scriptedMember) bool { return member.shard.commands.Len() > 0 })
 }
 
-// deliverAll delivers messages until the group is idle.
+// deliverAll calls deliverOnce until no messages and commands are left.
 func (c *scriptedCluster) deliverAll() {
 	for range 200 {
 		if !c.deliverOnce() {
 			return
 		}
 	}
-	c.t.Fatal("the group doesn't become idle")
+	c.t.Fatal("members still exchange messages or run commands after 200 rounds without a tick")
 }
 
+// member returns the member with an incarnation or address; nil if there is none.
 func (c *scriptedCluster) member(name string) *scriptedMember {
 	for _, member := range c.members {
 		if member.addr == controlclient.MemberAddr(name) {
@@ -182,7 +187,7 @@
 	return nil
 }
 
-// leader is the leader of the highest term that isn't isolated; nil: there is none.
+// leader returns the non-isolated leader of the highest term; nil if there is none.
 func (c *scriptedCluster) leader() (best *scriptedMember) {
 	for _, member := range c.members {
 		if status := member.shard.core.Status(); status.IsLeader && member != c.isolated && (best == nil || status.Term > best.shard.core.Status().Term) {
@@ -192,7 +197,7 @@
 	return best
 }
 
-// tick ticks all members but the isolated one.
+// tick ticks all members except the isolated one.
 func (c *scriptedCluster) tick() {
 	for _, member := range c.members {
 		if member != c.isolated {
@@ -201,7 +206,7 @@
 	}
 }
 
-// awaitLeader lets time pass until a member leads that isn't isolated.
+// awaitLeader ticks the members until a non-isolated leader has applied an entry of its term.
 func (c *scriptedCluster) awaitLeader() {
 	for range 10 * electionTicks {
 		if leader := c.leader(); leader != nil && leader.shard.core.HasAppliedCurrentTerm() {
@@ -210,10 +215,11 @@
 		c.tick()
 		c.deliverAll()
 	}
-	c.t.Fatal("no leader")
+	c.t.Fatalf("no leader was elected within %d ticks", 10*electionTicks)
 }
 
-// heal ends an isolation, and lets time pass until no deposed leader is left.
+// heal ends the isolation, ticks the members for two heartbeat intervals, so that a deposed leader steps down, and waits
+// for a leader.
 func (c *scriptedCluster) heal() {
 	c.isolated = nil
 	for range 2 * heartbeatTicks {
@@ -223,8 +229,8 @@
 	c.awaitLeader()
 }
 
-// changeLeader isolates the leader, if there is one, and lets the others elect another with as few messages
-// as possible, so that the new leader hasn't applied what the old one replicated.
+// changeLeader isolates the leader, if there is one, and has the others elect a new one with as few messages as possible,
+// so that the new leader has not yet applied the entries that the old one replicated.
 func (c *scriptedCluster) changeLeader() {
 	old := c.leader()
 	if old == nil {
@@ -240,10 +246,10 @@
 		c.tick()
 		c.deliverOnce()
 	}
-	c.t.Fatal("no other leader")
+	c.t.Fatalf("no new leader was elected within %d ticks after the isolation of %s", 10*electionTicks, old.addr)
 }
 
-// restart compacts all logs and starts all members again from their disks.
+// restart compacts the logs of all members and restarts the members from their disks.
 func (c *scriptedCluster) restart() {
 	for _, member := range c.members {
 		saved, err := member.shard.state.save()
@@ -251,7 +257,7 @@
 			err = member.shard.store.SaveSnapshot(member.shard.core.Compact(saved))
 		}
 		if err != nil {
-			c.t.Fatal(err)
+			c.t.Fatalf("compacting the log of member %s: %v", member.addr, err)
 		}
 		member.stop()
 		c.start(member, false)
@@ -261,11 +267,11 @@
 	c.awaitLeader()
 }
 
-// send sends a change to a member; the answer is recorded whenever it comes.
+// send sends a change to a member. The response is recorded when it arrives, on another goroutine.
 func (c *scriptedCluster) send(change *testChange, receiver *scriptedMember) {
 	put := &wire.Put{Key: c.key, Body: change.body(), IfVersion: change.baseVersion, Token: change.name}
 	request := putRequest(put)
-	replica := receiver.shard // the member may be started again meanwhile
+	replica := receiver.shard // the member may be restarted before the goroutine runs
 	go func() {
 		response := replica.change(c.ctx, request)
 		c.mu.Lock()
@@ -280,13 +286,13 @@
 	}()
 }
 
-// sendAndDeliver sends a change, and delivers messages until the group is idle.
+// sendAndDeliver sends a change to a member and calls deliverAll.
 func (c *scriptedCluster) sendAndDeliver(change *testChange, receiver *scriptedMember) {
 	c.send(change, receiver)
 	c.deliverAll()
 }
 
-// stopAll ends all requests and stops the members.
+// stopAll cancels all requests and stops the members.
 func (c *scriptedCluster) stopAll() {
 	c.cancel()
 	for _, member := range c.members {
--- a/internal/control/controlstate/snapshot_cost_test.go
+++ b/internal/control/controlstate/snapshot_cost_test.go
@@ -9,13 +9,13 @@
 	"pebbleloom/internal/wire"
 )
 
-// stateOf is a state with documents of so many bytes in all.
+// stateOf returns a state whose documents have at most the given total size in bytes.
 func stateOf(bytes int) *state {
 	s := newState()
 	random := rand.New(rand.NewPCG(1, 6))
-	const document = 512 << 10
-	for i := 0; s.documentBytes+document <= bytes; i++ {
-		body := make([]byte, document)
+	const documentSize = 512 << 10
+	for i := 0; s.documentBytes+documentSize <= bytes; i++ {
+		body := make([]byte, documentSize)
 		for j := range body {
 			body[j] = byte('a' + random.IntN(26))
 		}
@@ -31,7 +31,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := s.save(); err != nil {
-					b.Fatal(err)
+					b.Fatalf("encoding the state: %v", err)
 				}
 			}
 		})
@@ -45,14 +45,14 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if err := newState().load(body, 0); err != nil {
-					b.Fatal(err)
+					b.Fatalf("decoding the state: %v", err)
 				}
 			}
 		})
 	}
 }
 
-// The disk is in memory: what is measured is the processor's time.
+// The simulated disk is in memory, so the benchmark measures CPU time.
 func BenchmarkStoreSaveAndOpen(b *testing.B) {
 	for _, size := range []int{1 << 20, 4 << 20, 8 << 20} {
 		body, _ := stateOf(size).save()
@@ -60,13 +60,13 @@
 		disk := newSimDisk()
 		store, _, err := storage.Open(disk)
 		if err != nil {
-			b.Fatal(err)
+			b.Fatalf("opening the store on an empty disk: %v", err)
 		}
 		b.Run(fmt.Sprint("save ", size>>20, "MB"), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				if err := store.SaveSnapshot(snapshot, nil); err != nil {
-					b.Fatal(err)
+					b.Fatalf("saving the snapshot: %v", err)
 				}
 			}
 		})
@@ -74,7 +74,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, _, err := storage.Open(disk); err != nil {
-					b.Fatal(err)
+					b.Fatalf("opening the store: %v", err)
 				}
 			}
 		})
--- a/internal/control/controlstate/test_cluster_state_test.go
+++ b/internal/control/controlstate/test_cluster_state_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"context"
+	"fmt"
 	"slices"
 	"strings"
 	"time"
 )
 
-// members are those of the newest leader; nil: nobody leads.
+// members returns the voters that the newest leader knows; nil if there is no leader. The newest leader is the one whose
+// membership entry has the highest term.
 func (c *testCluster) members() []string {
 	var newest *publishedView
 	for _, node := range c.nodes {
@@ -21,7 +23,7 @@
 	return newest.members
 }
 
-// leader is the number of a machine that leads; 0: none does.
+// leader returns the number of a machine whose member is the leader; 0 if there is none.
 func (c *testCluster) leader() int {
 	for i := 1; i < 9; i++ {
 		if node := c.node(i); node != nil && node.shards[0].published.current().isLeader {
@@ -31,31 +33,32 @@
 	return 0
 }
 
-// node is the node of a machine; nil: it doesn't run.
+// node returns the node of a machine; nil if the machine is not running.
 func (c *testCluster) node(i int) *Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes[c.addr(i)]
 }
 
-// setUnreachable has a machine neither send nor receive, as one without power, or ends that.
+// setUnreachable makes a machine unable to send and receive, like one without power, or reachable again.
 func (c *testCluster) setUnreachable(i int, unreachable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unreachable[c.addr(i)] = unreachable
 }
 
-// startFounders starts a site, and waits until three of its machines are a group with a leader. It returns
-// how long that took.
+// startFounders performs the first start of a site with the given number of machines, and waits until three of them form
+// a group with a leader. It returns the time that this took.
 func (c *testCluster) startFounders(machines int) time.Duration {
 	c.t.Helper()
 	for i := range machines {
 		c.start(i+1, true)
 	}
-	return c.waitUntil("a leader", 5*time.Second, func() bool { return len(c.members()) == 3 })
+	return c.waitUntil("a leader of three voters", 5*time.Second, func() bool { return len(c.members()) == 3 })
 }
 
-// startWithSpare starts a site of a group and a spare that has caught up; version 1 is in force.
+// startWithSpare starts a site of four machines, sends version 1 of the routing configuration, and waits until the fourth
+// machine is a caught-up spare.
 func (c *testCluster) startWithSpare() {
 	c.t.Helper()
 	c.startFounders(4)
@@ -63,19 +66,20 @@
 	c.awaitSpare()
 }
 
-// awaitMembers waits until there are three members for which a condition holds.
-func (c *testCluster) awaitMembers(what string, within time.Duration, holds func(members []string) bool) time.Duration {
+// awaitMembers waits until the group has three voters for which holds returns true.
+func (c *testCluster) awaitMembers(condition string, within time.Duration, holds func(members []string) bool) time.Duration {
 	c.t.Helper()
-	return c.waitUntil(what, within, func() bool {
+	return c.waitUntil(condition, within, func() bool {
 		members := c.members()
 		return len(members) == 3 && holds(members)
 	})
 }
 
-// putVersion puts a version on the one before, at any node that accepts it.
+// putVersion sends a version of the routing configuration, based on the version before it, to all nodes in turn until one
+// of them acknowledges it.
 func (c *testCluster) putVersion(version uint64) {
 	c.t.Helper()
-	c.waitUntil("a plan", 6*time.Second, func() bool {
+	c.waitUntil(fmt.Sprintf("routing configuration version %d to be acknowledged", version), 6*time.Second, func() bool {
 		for _, node := range c.nodes {
 			if _, err := node.PutRoutingConfig(context.Background(), version-1, body(version, "x"), false); err == nil {
 				return true
@@ -85,10 +89,10 @@
 	})
 }
 
-// awaitSpare waits until the leader replicates to a learner that it could add.
+// awaitSpare waits until the leader replicates to a caught-up learner.
 func (c *testCluster) awaitSpare() {
 	c.t.Helper()
-	c.waitUntil("a spare", 6*time.Second, func() bool {
+	c.waitUntil("a caught-up spare", 6*time.Second, func() bool {
 		leader := c.leader()
 		if leader == 0 {
 			return false
@@ -105,12 +109,12 @@
 	})
 }
 
-// isMember reports whether the leader counts a machine among the members.
+// isMember reports whether a machine is a voter according to the newest leader.
 func (c *testCluster) isMember(i int) bool {
 	return slices.ContainsFunc(c.members(), func(name string) bool { return strings.HasPrefix(name, c.addr(i)+"/") })
 }
 
-// membershipIndex is the log index of the newest membership that a node knows.
+// membershipIndex returns the log index of the newest membership that any node knows.
 func (c *testCluster) membershipIndex() (index uint64) {
 	for _, node := range c.nodes {
 		index = max(index, node.shards[0].published.current().index)
--- a/internal/control/controlstate/test_cluster_test.go
+++ b/internal/control/controlstate/test_cluster_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -25,8 +24,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// testCluster is a few machines in one synctest bubble: real nodes, pipes for connections, disks in
-// memory. Machines are numbered from 1.
+// testCluster runs real nodes on several simulated machines in one synctest bubble, with pipes as connections and disks
+// in memory. Machines are numbered from 1; the maps are keyed by machine address.
 type testCluster struct {
 	t               *testing.T
 	mu              sync.Mutex
@@ -34,14 +33,14 @@
 	disks           map[string]*stallingDisk
 	processes       map[string]*daemon.Process
 	nodes           map[string]*Node
-	unreachable     map[string]bool // addresses that neither send nor receive
+	unreachable     map[string]bool // machines that can neither send nor receive
 	seeds           []string
-	seed            uint64
-	network         *simNetwork // nil: pipes that lose what is sent while either end is unreachable
-	toleratedLosses int         // 0: one
+	seed            uint64      // seed of the last started process's random numbers
+	network         *simNetwork // nil: plain pipes, which lose the data that is sent while either machine is unreachable
+	toleratedLosses int         // number of lost machines that the group tolerates; 0 means one
 }
 
-// pipeListener accepts the pipes that testCluster.dial makes to its address.
+// pipeListener accepts the pipes that testCluster.dial creates to its address.
 type pipeListener struct {
 	cluster     *testCluster
 	addr        string
@@ -72,11 +71,11 @@
 }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// stallingDisk is a disk in memory whose writes can be stalled.
+// stallingDisk is a disk in memory whose writes can be made to stall.
 type stallingDisk struct {
 	mu      sync.Mutex
 	disk    *simDisk
-	stalled chan struct{} // writes wait until it is closed; nil: they don't
+	stalled chan struct{} // writes block until this channel is closed; nil: writes do not stall
 }
 
 func (d *stallingDisk) Read(name string) ([]byte, bool, error) {
@@ -85,7 +84,7 @@
 	return d.disk.Read(name)
 }
 
-// write waits while the disk stalls, then writes.
+// write runs a write operation, after waiting for the end of a stall.
 func (d *stallingDisk) write(run func() error) error {
 	d.mu.Lock()
 	stalled := d.stalled
@@ -98,7 +97,7 @@
 	return run()
 }
 
-// update changes how the disk behaves.
+// update changes the settings or contents of the disk.
 func (d *stallingDisk) update(change func(*stallingDisk)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,7 +113,7 @@
 	return d.write(func() error { return d.disk.Truncate(name, size) })
 }
 
-// newTestCluster is a cluster without machines; the first three will be the seeds.
+// newTestCluster returns a cluster without running machines. Machines 1 to 3 are the seeds.
 func newTestCluster(t *testing.T) *testCluster {
 	cluster := &testCluster{t: t, listeners: map[string]*pipeListener{}, disks: map[string]*stallingDisk{}, processes: map[string]*daemon.Process{},
 		nodes: map[string]*Node{}, unreachable: map[string]bool{}}
@@ -126,7 +125,7 @@
 
 func (c *testCluster) addr(i int) string { return fmt.Sprintf("10.0.0.%d:7360", i) }
 
-// dial connects two machines.
+// dial opens a connection between two machines.
 func (c *testCluster) dial(ctx context.Context, from, addr string) (net.Conn, error) {
 	if c.network != nil {
 		return c.network.dial(ctx, c, from, addr)
@@ -135,7 +134,7 @@
 	listener, isUnreachable := c.listeners[addr], c.unreachable[addr] || c.unreachable[from]
 	c.mu.Unlock()
 	if isUnreachable {
-		return nil, errors.New("no answer")
+		return nil, fmt.Errorf("dial %s from %s: one of the machines is unreachable", addr, from)
 	}
 	if listener == nil {
 		return nil, os.NewSyscallError("connect", syscall.ECONNREFUSED)
@@ -149,7 +148,8 @@
 	}
 }
 
-// lossyConn is one end of a connection; while either machine is unreachable, what is sent is lost.
+// lossyConn is one end of a connection between two machines. Data that is sent while either of them is unreachable is
+// lost.
 type lossyConn struct {
 	net.Conn
 	cluster  *testCluster
@@ -175,7 +175,8 @@
 	return listener
 }
 
-// environment is the daemon.Environment of a machine: the bubble's clock, the cluster's disks and connections.
+// environment returns the daemon.Environment of a machine, which provides the clock of the synctest bubble and the disks
+// and connections of the cluster.
 func (c *testCluster) environment(addr string, seed func() uint64) daemon.Environment {
 	return daemon.Environment{
 		Clock:     clock.Synctest(),
@@ -188,7 +189,7 @@
 	}
 }
 
-// processConfig is the configuration of a machine's process.
+// processConfig returns the settings of a machine's process.
 func (c *testCluster) processConfig(machine int, firstStart bool) settings.Process {
 	return settings.Process{
 		Name:    fmt.Sprint("core-", machine),
@@ -211,7 +212,7 @@
 	}
 }
 
-// start starts a machine's node; firstStart: it is the first start of the whole site.
+// start starts a machine's node. firstStart tells it that this is the first start of the site.
 func (c *testCluster) start(machine int, firstStart bool) *Node {
 	c.t.Helper()
 	addr := c.addr(machine)
@@ -231,7 +232,7 @@
 		return http.NotFoundHandler()
 	}
 	if err := StartGroup(process, versionCodec{}, operatorHandler); err != nil {
-		c.t.Fatal(err)
+		c.t.Fatalf("starting the node of machine %d: %v", machine, err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -239,10 +240,10 @@
 	return node
 }
 
-// stop shuts a machine down.
+// stop shuts a machine down with a grace period of one second.
 func (c *testCluster) stop(i int) { c.stopWithin(i, time.Second) }
 
-// stopWithin shuts a machine down with a grace time.
+// stopWithin shuts a machine down with a grace period.
 func (c *testCluster) stopWithin(i int, grace time.Duration) {
 	c.processes[c.addr(i)].Stop(grace)
 	c.mu.Lock()
@@ -250,33 +251,33 @@
 	delete(c.nodes, c.addr(i))
 }
 
-// stopAll shuts all machines down.
+// stopAll shuts all running machines down.
 func (c *testCluster) stopAll() {
 	for addr := range c.nodes {
 		c.processes[addr].Stop(time.Second)
 	}
 }
 
-// waitUntil waits, on the bubble's clock, until a condition holds, and fails the test when it doesn't hold
-// in time. It returns how long that took.
-func (c *testCluster) waitUntil(what string, within time.Duration, holds func() bool) time.Duration {
+// waitUntil waits in virtual time until a condition holds, and returns the time that this took. It fails the test on a
+// time-out; condition describes what it waited for.
+func (c *testCluster) waitUntil(condition string, within time.Duration, holds func() bool) time.Duration {
 	c.t.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	for !holds() {
-		if time.Since(begun) > within {
+		if time.Since(startedAt) > within {
 			for addr, node := range c.nodes {
 				view := node.shards[0].published.current()
-				c.t.Logf("%s: %s leader %s members %v votes %v", addr, view.self, view.leader, view.members, view.isVoter)
+				c.t.Logf("node %s: incarnation %s, leader %s, members %v, is voter %v", addr, view.self, view.leader, view.members, view.isVoter)
 			}
-			c.t.Fatalf("%s: not within %v", what, within)
+			c.t.Fatalf("timed out after %v waiting for: %s", within, condition)
 		}
 		clock.Sleep(context.Background(), 50*time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(startedAt)
 }
 
-// newTestGroup is a group of three members with small batches in one zone, whose configurations are
-// those of versionCodec.
+// newTestGroup returns the group settings of a member of three, without zones, with small batches and with routing
+// configurations in the format of versionCodec.
 func newTestGroup(disk storage.Disk, random *rand.Rand, initialSnapshot func(lost bool) *wire.Snapshot) *group {
 	return &group{
 		codec:              versionCodec{},
@@ -296,10 +297,11 @@
 	}
 }
 
-// versionCodec is a format of routing configurations for tests: {"version": 7, "text": "…", "bad": false}.
+// versionCodec is a codec for a minimal routing configuration: {"version": 7, "text": "…", "bad": false}. A configuration
+// with bad set is invalid.
 type versionCodec struct{}
 
-// versionBody is the content of a configuration of versionCodec.
+// versionBody is a routing configuration in the format of versionCodec.
 type versionBody struct {
 	Version uint64 `json:"version"`
 	Text    string `json:"text"`
@@ -312,15 +314,16 @@
 	return &routingconfig.Plan{Version: content.Version}, err
 }
 
-func (versionCodec) Merge(old, sent []byte, part bool) ([]byte, uint64, error) {
+// Merge returns the sent configuration or, if patch is set, one whose text is the old and the sent text joined by "+".
+func (versionCodec) Merge(old, sent []byte, patch bool) ([]byte, uint64, error) {
 	var previous, content versionBody
 	if err := json.Unmarshal(sent, &content); err != nil {
 		return nil, 0, err
 	}
 	if content.Bad {
-		return nil, 0, errs.New(errs.BadInput, "route-7: names a service that isn't there")
+		return nil, 0, errs.New(errs.BadInput, "route-7: service does not exist")
 	}
-	if part && len(old) > 0 {
+	if patch && len(old) > 0 {
 		if err := json.Unmarshal(old, &previous); err != nil {
 			return nil, 0, err
 		}
@@ -330,7 +333,7 @@
 	return b, content.Version, err
 }
 
-// body is a configuration of versionCodec.
+// body returns a routing configuration in the format of versionCodec.
 func body(version uint64, text string) []byte {
 	b, _ := json.Marshal(versionBody{Version: version, Text: text})
 	return b
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -14,13 +14,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// stalledMember accepts small messages, and stalls large ones until a channel is closed.
+// stalledMember is a peer that accepts small messages, and stalls large ones until a channel is closed. It counts the
+// messages.
 type stalledMember struct {
 	wire.ControlNode
 	mu                           sync.Mutex
-	stalled                      chan struct{} // nil: it doesn't stall
+	stalled                      chan struct{} // large messages wait until this channel is closed; nil: they do not stall
 	smallMessages, largeMessages int
-	largeBegun                   int // large messages that have begun to arrive
+	largeStarted                 int // large messages whose delivery has started
 }
 
 func (s *stalledMember) Deliver(ctx context.Context, b *wire.MessageBatch) (*wire.BatchReceipt, error) {
@@ -28,7 +29,7 @@
 	s.mu.Lock()
 	stalled := s.stalled
 	if isLarge {
-		s.largeBegun++
+		s.largeStarted++
 	}
 	s.mu.Unlock()
 	if isLarge && stalled != nil {
@@ -48,16 +49,19 @@
 	return &wire.BatchReceipt{Format: 1}, nil
 }
 
-func (s *stalledMember) counts() (small, large, begun int) {
+// counts returns the numbers of small and large messages that were delivered completely, and of large messages whose
+// delivery has started.
+func (s *stalledMember) counts() (small, large, largeStarted int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.smallMessages, s.largeMessages, s.largeBegun
+	return s.smallMessages, s.largeMessages, s.largeStarted
 }
 
-// stalledAddress is the address of machine 2.
+// stalledAddress is the address of the stalledMember, which is machine 2 of the test cluster.
 const stalledAddress = "10.0.0.2:7360"
 
-// runTransportTest runs a test of a transport and of the member that it sends to, in a synctest bubble.
+// runTransportTest runs a function in a synctest bubble with a transport, the shard that uses it and the peer that it sends
+// to.
 func runTransportTest(t *testing.T, run func(*transport, *shard, *stalledMember, *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
@@ -74,16 +78,17 @@
 	})
 }
 
+// smallMessage returns a message without a payload, like a heartbeat.
 func smallMessage() *wire.Message {
 	return &wire.Message{To: stalledAddress + "/0", Kind: wire.MessageKind_APPEND_REQUEST}
 }
 
-// largeMessage is above largeMessageBytes.
+// largeMessage returns a message with a payload above largeMessageBytes.
 func largeMessage() *wire.Message {
 	return &wire.Message{To: stalledAddress + "/0", Kind: wire.MessageKind_APPEND_REQUEST, Entries: []*wire.Entry{{Index: 1, Body: make([]byte, 600<<10)}}}
 }
 
-// Heartbeats are sent while a large message stalls.
+// Small messages, such as heartbeats, are delivered while a large message stalls.
 func TestHeartbeatsBypassLargeMessages(t *testing.T) {
 	runTransportTest(t, func(sender *transport, _ *shard, member *stalledMember, _ *testCluster) {
 		member.stalled = make(chan struct{})
@@ -92,36 +97,36 @@
 			sender.send(smallMessage())
 			clock.Sleep(context.Background(), 100*time.Millisecond)
 		}
-		if small, large, begun := member.counts(); small != 10 || large != 0 || begun != 1 {
-			t.Errorf("%d small and %d large messages arrived, %d had begun", small, large, begun)
+		if small, large, largeStarted := member.counts(); small != 10 || large != 0 || largeStarted != 1 {
+			t.Errorf("while a large message stalls: %d small and %d large messages delivered, delivery of %d large ones started; want 10, 0 and 1", small, large, largeStarted)
 		}
 		close(member.stalled)
 		synctest.Wait()
 		if _, large, _ := member.counts(); large != 1 {
-			t.Errorf("%d large messages arrived", large)
+			t.Errorf("%d large messages delivered after the stall, want 1", large)
 		}
 	})
 }
 
-// The time-out of a large message grows with its size; one that timed out is reported to the core.
+// The time-out of a large message grows with its size. A large message that times out is reported to the consensus core.
 func TestLostLargeMessageIsReported(t *testing.T) {
 	runTransportTest(t, func(sender *transport, replica *shard, member *stalledMember, _ *testCluster) {
 		member.stalled = make(chan struct{})
 		sender.send(largeMessage())
-		clock.Sleep(context.Background(), 5*time.Second) // 600 KB may take some 7.5 s of a heal bound of 12 s
+		clock.Sleep(context.Background(), 5*time.Second) // with the heal bound of 12 s, the time-out for 600 KiB is about 7.5 s
 		if replica.commands.Len() != 0 {
-			t.Error("it timed out too early")
+			t.Errorf("%d failures of a large message reported to the core after 5s, want 0 before its time-out of about 7.5s", replica.commands.Len())
 		}
 		clock.Sleep(context.Background(), 5*time.Second)
 		if replica.commands.Len() != 1 {
-			t.Errorf("%d reports to the core, one is due", replica.commands.Len())
+			t.Errorf("%d failures of a large message reported to the core after 10s, want 1", replica.commands.Len())
 		}
 		close(member.stalled)
 	})
 }
 
-// A large message that stalls while its peer doesn't answer is aborted as soon as the peer answers again, so
-// that its content is sent again at once.
+// If a large message stalls while its peer is unreachable, its request is canceled as soon as the peer responds to a small
+// message again, so that the contents can be sent again without waiting for the time-out.
 func TestLargeMessageAbortsWhenThePeerAnswersAgain(t *testing.T) {
 	runTransportTest(t, func(sender *transport, replica *shard, member *stalledMember, cluster *testCluster) {
 		member.stalled = make(chan struct{})
@@ -134,7 +139,7 @@
 		sender.send(smallMessage())
 		clock.Sleep(context.Background(), time.Second)
 		if replica.commands.Len() != 1 {
-			t.Errorf("%d reports to the core 2 s after the message was begun, one is due", replica.commands.Len())
+			t.Errorf("%d failures of a large message reported to the core 1s after the peer became reachable again, want 1", replica.commands.Len())
 		}
 		close(member.stalled)
 	})
