--- a/internal/control/controlstate/catch_up_plans_test.go
+++ b/internal/control/controlstate/catch_up_plans_test.go
@@ -23,11 +23,13 @@
 	return strconv.ParseUint(string(rest[:end]), 10, 64)
 }
 
+// Read parses the version of a routing configuration, and ignores the rest.
 func (textPlanCodec) Read(plan []byte) (*routingconfig.Plan, error) {
 	version, err := planVersion(plan)
 	return &routingconfig.Plan{Version: version}, err
 }
 
+// Merge returns the sent routing configuration unchanged, regardless of the old one.
 func (textPlanCodec) Merge(_, sent []byte, _ bool) ([]byte, uint64, error) {
 	version, err := planVersion(sent)
 	return sent, version, err
--- a/internal/control/controlstate/catch_up_test.go
+++ b/internal/control/controlstate/catch_up_test.go
@@ -69,8 +69,8 @@
 			for number := 0; s.ackedVersion < uint64(changes); number++ {
 				r.injectFault(number)
 			}
-			for _, fault := range []string{"restarted", "leader restarted", "torn in a write", "wiped", "replaced", "isolated", "leader isolated", "all restarted"} {
-				t.Logf("fault %-16s injected %2d times, members caught up within %v", fault, r.counts[fault], r.longest[fault])
+			for _, fault := range []string{"restarted", "leader restarted", "crashed during a write", "disk replaced", "machine replaced", "isolated", "leader isolated", "all restarted"} {
+				t.Logf("fault %-22s injected %2d times, members caught up within %v", fault, r.counts[fault], r.longest[fault])
 				if r.counts[fault] == 0 && changes >= changesForAllFaults {
 					t.Errorf("fault %q was not injected in %d changes", fault, changes)
 				}
@@ -161,7 +161,7 @@
 	case 0, 1:
 		r.restart(prefix+"restarted", node, false)
 	case 2:
-		r.restart("torn in a write", node, true)
+		r.restart("crashed during a write", node, true)
 	case 3:
 		r.replaceDisk(node)
 	case 4:
@@ -191,7 +191,7 @@
 	r.makeChanges(changesPerFault() / 2)
 	r.start(node, false)
 	r.makeChanges(3)
-	r.awaitCaughtUp("wiped", node)
+	r.awaitCaughtUp("disk replaced", node)
 }
 
 // replaceMachine removes a machine permanently, and starts a new one at another address.
@@ -202,7 +202,7 @@
 	replacement := r.addNode()
 	r.start(replacement, false)
 	r.makeChanges(changesPerFault())
-	r.awaitCaughtUp("replaced", replacement)
+	r.awaitCaughtUp("machine replaced", replacement)
 }
 
 // isolate isolates a member for at least isolationTime while changes are made.
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -53,7 +53,7 @@
 // Timing of the simulation. Virtual time advances by catchUpStep; the other values follow from the default heal bound.
 const (
 	catchUpStep = 5 * time.Millisecond
-	catchUpTick = 100 * time.Millisecond // groupTick of the heal bound
+	catchUpTick = 100 * time.Millisecond // groupTick of catchUpHeal
 	catchUpHeal = 12 * time.Second       // default heal bound
 	linkDelay   = 2 * time.Millisecond   // latency of a message, in addition to its transmission time
 )
@@ -83,7 +83,7 @@
 	return node
 }
 
-// start starts the process of a machine, which recovers from the disk. firstStart tells it that this is the first start
+// start starts the process of a machine, which recovers from the disk. firstStart says whether this is the first start
 // of the site.
 func (s *catchUpSim) start(node *catchUpNode, firstStart bool) {
 	node.starts++
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -23,6 +23,7 @@
 	ackedPuts int
 }
 
+// newSingleMember starts a group with a single member on an empty disk.
 func newSingleMember(seed uint64) *singleMember {
 	random := rand.New(rand.NewPCG(seed, 3))
 	m := &singleMember{random: random, disk: newCacheDisk(random)}
--- a/internal/control/controlstate/install_test.go
+++ b/internal/control/controlstate/install_test.go
@@ -104,4 +104,5 @@
 	}
 }
 
+// testRand returns a random number generator with a fixed seed.
 func testRand() *rand.Rand { return rand.New(rand.NewPCG(1, 10)) }
--- a/internal/control/controlstate/join_test.go
+++ b/internal/control/controlstate/join_test.go
@@ -10,7 +10,7 @@
 func TestJoinCandidates(t *testing.T) {
 	all := []string{"a", "b", "c", "d"}
 	for _, test := range []struct {
-		unresponsive string // addresses, one letter each
+		unresponsive string // addresses, one character each
 		want         string // candidates after 0 to 8 failed requests
 	}{
 		{"", "[[a b] [b c] [c d] [d a] [a b] [b c] [c d] [d a] [a b]]"},
@@ -20,8 +20,8 @@
 		{"abcd", "[[a b] [a b] [a b] [a b] [b c] [b c] [b c] [b c] [c d]]"},
 	} {
 		isUnresponsive := func(addr string) bool {
-			for _, letter := range test.unresponsive {
-				if string(letter) == addr {
+			for _, char := range test.unresponsive {
+				if string(char) == addr {
 					return true
 				}
 			}
--- a/internal/control/controlstate/node_history_test.go
+++ b/internal/control/controlstate/node_history_test.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// renewLeaseAtRandomNodes requests or renews the lease for a holder through random nodes until the context ends. Occasionally it pauses
-// for longer than the lease lasts. It checks that no two holders receive the same fencing token.
+// renewLeaseAtRandomNodes requests or renews the lease for a holder until the context ends. Occasionally it pauses for
+// longer than the lease lasts. It checks that no two holders receive the same fencing token.
 func (c *nodeHistoryCluster) renewLeaseAtRandomNodes(ctx context.Context, holder int) {
 	lease := c.leases[holder]
 	for ; ctx.Err() == nil; clock.Sleep(ctx, leaseTTL*2/5) {
@@ -230,6 +230,7 @@
 	inject func(*nodeHistoryCluster, int) // receives the number of a random machine
 }
 
+// nodeFaults are the faults from which a run chooses at random.
 var nodeFaults = []nodeFault{
 	{"machine killed", func(c *nodeHistoryCluster, machine int) { c.restart([]int{machine}, c.kill) }},
 	{"leader killed", func(c *nodeHistoryCluster, machine int) { c.restart([]int{max(1, c.leader())}, c.kill) }},
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -35,7 +35,7 @@
 	violations  []string
 }
 
-// scriptedMember is one machine of a scriptedCluster.
+// scriptedMember is a member of a scriptedCluster, with the machine that it runs on.
 type scriptedMember struct {
 	addr           string
 	disk           *simDisk
@@ -65,7 +65,7 @@
 	return c
 }
 
-// start starts a member, which recovers from its disk. firstStart tells it that this is the first start of the site.
+// start starts a member, which recovers from its disk. firstStart says whether this is the first start of the site.
 func (c *scriptedCluster) start(member *scriptedMember, firstStart bool) {
 	ctx, stop := context.WithCancel(context.Background())
 	member.stop = stop
--- a/internal/control/controlstate/test_cluster_test.go
+++ b/internal/control/controlstate/test_cluster_test.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// start starts a machine's node. firstStart tells it that this is the first start of the site.
+// start starts a machine's node. firstStart says whether this is the first start of the site.
 func (c *testCluster) start(machine int, firstStart bool) *Node {
 	c.t.Helper()
 	addr := c.addr(machine)
