--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -16,9 +16,10 @@
 	"pebbleloom/internal/wire"
 )
 
-// catchUpWorld runs the real members (consensus core, state, storage, membership planner) of one group on
-// virtual time, over links of a bandwidth. It is for large configurations: messages aren't cloned.
-type catchUpWorld struct {
+// catchUpSim simulates one group in virtual time. The members are real shards (consensus core, state, storage and
+// membership planner); the disks and the network, whose links have a limited bandwidth, are simulated. Messages are not
+// cloned, so that large routing configurations can be simulated quickly.
+type catchUpSim struct {
 	t              testing.TB
 	random         *rand.Rand
 	now            time.Duration
@@ -26,87 +27,91 @@
 	seeds          []string
 	queued         []catchUpMessage
 	sentMessages   int
-	links          map[string]*simLink // from>to
-	bytesPerSecond int                 // of a link
-	isolated       map[string]bool     // addresses
-	ackedVersion   uint64              // acknowledged last
-	bodies         map[uint64][]byte   // by version, for as long as it may be read
-	termLeaders    map[uint64]string   // by term
-	tailBytes      int
+	links          map[string]*simLink // keys have the form "from>to", with the addresses of two machines
+	bytesPerSecond int                 // bandwidth of each link
+	isolated       map[string]bool     // addresses of isolated machines
+	ackedVersion   uint64              // last acknowledged version of the routing configuration
+	bodies         map[uint64][]byte   // by version: the bodies of the last eight versions that were sent
+	termLeaders    map[uint64]string   // by term: the incarnation of the leader
+	trailingBytes  int                 // consensus.Config.TrailingLogBytes of the members
 }
 
-// catchUpNode is one machine.
+// catchUpNode is one simulated machine.
 type catchUpNode struct {
 	addr          string
 	disk          *simDisk
-	shard         *shard // nil: down
+	shard         *shard // nil while the process is down
 	clock         *clock.Manual
-	starts        int
+	starts        int // incremented at each start and stop, so that messages of an earlier process are recognized
 	nextTick      time.Duration
-	nextJoin      time.Duration
-	version       uint64 // that it has applied since its start
-	isRemoved     bool   // for good
-	receivedBytes int    // bytes of large messages
+	nextJoin      time.Duration // earliest time of the next join request
+	version       uint64        // version of the routing configuration that the current process has applied
+	isRemoved     bool          // the machine was removed permanently
+	receivedBytes int           // total payload of the large messages sent to this machine
 }
 
-// Virtual time passes in steps; ticks are those of the default heal bound.
+// Timing of the simulation. Virtual time advances by catchUpStep; the other values follow from the default heal bound.
 const (
 	catchUpStep = 5 * time.Millisecond
-	catchUpTick = 100 * time.Millisecond // groupTick of the heal bound
-	catchUpHeal = 12 * time.Second
-	linkDelay   = 2 * time.Millisecond
+	catchUpTick = 100 * time.Millisecond // groupTick of catchUpHeal
+	catchUpHeal = 12 * time.Second       // default heal bound
+	linkDelay   = 2 * time.Millisecond   // latency of a message, in addition to its transmission time
 )
 
-// newCatchUpWorld founds a group; rate is the bandwidth of its links in bytes a second.
-func newCatchUpWorld(t testing.TB, seed uint64, machines, rate int) *catchUpWorld {
-	w := &catchUpWorld{t: t, random: rand.New(rand.NewPCG(seed, 8)), links: map[string]*simLink{}, bytesPerSecond: rate, isolated: map[string]bool{},
-		bodies: map[uint64][]byte{}, termLeaders: map[uint64]string{}, tailBytes: trailingLogBytes}
+// newCatchUpSim starts a group and waits for its first leader. The first three machines are the seeds; rate is the
+// bandwidth of each link in bytes per second.
+func newCatchUpSim(t testing.TB, seed uint64, machines, rate int) *catchUpSim {
+	s := &catchUpSim{t: t, random: rand.New(rand.NewPCG(seed, 8)), links: map[string]*simLink{}, bytesPerSecond: rate, isolated: map[string]bool{},
+		bodies: map[uint64][]byte{}, termLeaders: map[uint64]string{}, trailingBytes: trailingLogBytes}
 	for range machines {
-		node := w.addNode()
-		if len(w.seeds) < 3 {
-			w.seeds = append(w.seeds, node.addr)
+		node := s.addNode()
+		if len(s.seeds) < 3 {
+			s.seeds = append(s.seeds, node.addr)
 		}
 	}
-	for _, node := range w.nodes {
-		w.start(node, true)
+	for _, node := range s.nodes {
+		s.start(node, true)
 	}
-	w.waitUntil("a leader", 10*time.Second, func() bool { return w.leader() != nil })
-	return w
+	s.waitUntil("the election of a leader", 10*time.Second, func() bool { return s.leader() != nil })
+	return s
 }
 
-func (w *catchUpWorld) addNode() *catchUpNode {
-	node := &catchUpNode{addr: fmt.Sprintf("10.0.0.%d:7360", len(w.nodes)+1), disk: newSimDisk(), clock: &clock.Manual{}}
-	w.nodes = append(w.nodes, node)
+// addNode adds a machine with an empty disk, whose process is not running yet.
+func (s *catchUpSim) addNode() *catchUpNode {
+	node := &catchUpNode{addr: fmt.Sprintf("10.0.0.%d:7360", len(s.nodes)+1), disk: newSimDisk(), clock: &clock.Manual{}}
+	s.nodes = append(s.nodes, node)
 	return node
 }
 
-// start starts a machine from its disk.
-func (w *catchUpWorld) start(node *catchUpNode, firstStart bool) {
+// start starts the process of a machine, which recovers from the disk. firstStart says whether this is the first start
+// of the site.
+func (s *catchUpSim) start(node *catchUpNode, firstStart bool) {
 	node.starts++
 	starts := node.starts
 	node.disk.powerBudget = -1
 	replica := newShard(context.Background(), 0, node.clock, hclog.NewNullLogger(), func(message *wire.Message) {
 		if node.starts == starts {
-			w.send(message)
+			s.send(message)
 		}
 	})
-	config := newTestGroup(node.disk, rand.New(rand.NewPCG(w.random.Uint64(), 9)), func(lost bool) *wire.Snapshot {
-		return initialGroupSnapshot(firstStart && !lost, node.addr, w.seeds, w.random.Uint64)
+	config := newTestGroup(node.disk, rand.New(rand.NewPCG(s.random.Uint64(), 9)), func(lost bool) *wire.Snapshot {
+		return initialGroupSnapshot(firstStart && !lost, node.addr, s.seeds, s.random.Uint64)
 	})
 	config.codec = textPlanCodec{}
 	config.reopenTicks = int(reopenIntervalRatio / groupTick)
 	config.consensusConfig.MaxBatchBytes = 256 << 10
-	config.consensusConfig.TrailingLogBytes = w.tailBytes
+	config.consensusConfig.TrailingLogBytes = s.trailingBytes
 	openGroupShard(replica, config)
-	node.shard, node.nextTick, node.version = replica, w.now, 0
+	node.shard, node.nextTick, node.version = replica, s.now, 0
 }
 
-// kill ends a process, in the middle of a write where torn.
-func (w *catchUpWorld) kill(node *catchUpNode, torn bool) {
+// kill ends the process of a machine without a shutdown. If torn is set, it first waits for up to 200 steps until the
+// process crashes in the middle of a write.
+func (s *catchUpSim) kill(node *catchUpNode, torn bool) {
 	if torn && node.shard != nil {
-		node.disk.powerBudget = w.random.IntN(1 << 20)
+		node.disk.powerBudget = s.random.IntN(1 << 20)
 		for range 200 {
-			if w.step(); node.shard == nil || node.shard.failure != nil {
+			if s.step(); node.shard == nil || node.shard.failure != nil {
 				break
 			}
 		}
@@ -114,14 +119,15 @@
 	node.shard, node.starts = nil, node.starts+1
 }
 
-// wipe ends a process and empties its disk.
-func (w *catchUpWorld) wipe(node *catchUpNode) {
-	w.kill(node, false)
+// wipe kills the process of a machine and replaces the disk by an empty one.
+func (s *catchUpSim) wipe(node *catchUpNode) {
+	s.kill(node, false)
 	node.disk = newSimDisk()
 }
 
-func (w *catchUpWorld) node(addr string) *catchUpNode {
-	for _, node := range w.nodes {
+// node returns the machine at an address; nil if there is none.
+func (s *catchUpSim) node(addr string) *catchUpNode {
+	for _, node := range s.nodes {
 		if node.addr == addr {
 			return node
 		}
@@ -129,43 +135,45 @@
 	return nil
 }
 
-// isHealthy reports whether a machine runs and its shard has not failed.
-func (w *catchUpWorld) isHealthy(node *catchUpNode) bool {
+// isHealthy reports whether the process of a machine is running and its member has not failed.
+func (s *catchUpSim) isHealthy(node *catchUpNode) bool {
 	return node != nil && node.shard != nil && node.shard.failure == nil
 }
 
-// step moves virtual time on, delivers what is due and ticks the members.
-func (w *catchUpWorld) step() {
-	w.now += catchUpStep
-	for _, node := range w.nodes {
+// step advances virtual time by catchUpStep, delivers the messages that are due and ticks the members.
+func (s *catchUpSim) step() {
+	s.now += catchUpStep
+	for _, node := range s.nodes {
 		node.clock.Time += catchUpStep
 	}
-	w.deliver()
-	for _, node := range w.nodes {
-		w.tick(node)
+	s.deliver()
+	for _, node := range s.nodes {
+		s.tick(node)
 	}
 }
 
-// tick ticks a member once a catchUpTick; one that isn't a member of the group requests to join.
-func (w *catchUpWorld) tick(node *catchUpNode) {
-	if node.shard == nil || w.now < node.nextTick {
+// tick ticks a member if catchUpTick has passed since its last tick. If no leader replicates to the member, it then sends
+// a join request.
+func (s *catchUpSim) tick(node *catchUpNode) {
+	if node.shard == nil || s.now < node.nextTick {
 		return
 	}
-	node.nextTick = w.now + catchUpTick
+	node.nextTick = s.now + catchUpTick
 	if node.shard.failure == nil {
 		node.shard.core.Tick()
 	}
 	node.shard.maintainGroup()
-	w.runStep(node)
-	if w.isHealthy(node) && w.now >= node.nextJoin && node.shard.needsJoin() {
-		node.nextJoin = w.now + 800*time.Millisecond
-		w.join(node)
+	s.runStep(node)
+	if s.isHealthy(node) && s.now >= node.nextJoin && node.shard.needsJoin() {
+		node.nextJoin = s.now + 800*time.Millisecond
+		s.join(node)
 	}
 }
 
-// runStep lets a member act on its input, and checks the invariants: state never goes back to an older one, a
-// version has one content, a term has one leader, and no leader has older state than was acknowledged.
-func (w *catchUpWorld) runStep(node *catchUpNode) {
+// runStep has a member process its input, and checks the invariants: the applied state never becomes older, all members
+// hold the same body for a version, a term has at most one leader, and a leader that has applied an entry of the newest
+// term holds every acknowledged change.
+func (s *catchUpSim) runStep(node *catchUpNode) {
 	before := node.shard.core.Status()
 	node.shard.handleReady()
 	if node.shard.failure != nil {
@@ -173,61 +181,62 @@
 	}
 	status := node.shard.core.Status()
 	if status.Applied < before.Applied {
-		w.t.Fatalf("old snapshot never installed over newer state: %s went from %d to %d", node.addr, before.Applied, status.Applied)
+		s.t.Fatalf("member %s replaced its state by an older one: applied index went from %d to %d", node.addr, before.Applied, status.Applied)
 	}
 	document := node.shard.state.documents[routingconfig.DocumentKey]
 	if document.GetVersion() < node.version {
-		w.t.Fatalf("old snapshot never installed over newer state: %s went from version %d to %d", node.addr, node.version, document.GetVersion())
+		s.t.Fatalf("member %s replaced its state by an older one: routing configuration went from version %d to version %d", node.addr, node.version, document.GetVersion())
 	}
 	if document.GetVersion() > node.version {
-		if want := w.bodies[document.Version]; want != nil && !bytes.Equal(want, document.Body) {
-			w.t.Fatalf("%s holds another body under version %d", node.addr, document.Version)
+		if want := s.bodies[document.Version]; want != nil && !bytes.Equal(want, document.Body) {
+			s.t.Fatalf("member %s holds a different body than the one sent for routing configuration version %d", node.addr, document.Version)
 		}
 	}
 	node.version = document.GetVersion()
 	if !status.IsLeader {
 		return
 	}
-	if leader := w.termLeaders[status.Term]; leader != "" && leader != node.shard.core.Self() {
-		w.t.Fatalf("one leader a term: %d has %s and %s", status.Term, leader, node.shard.core.Self())
+	if leader := s.termLeaders[status.Term]; leader != "" && leader != node.shard.core.Self() {
+		s.t.Fatalf("term %d has two leaders: %s and %s", status.Term, leader, node.shard.core.Self())
 	}
-	w.termLeaders[status.Term] = node.shard.core.Self()
-	if node.shard.core.HasAppliedCurrentTerm() && status.Term >= w.highestTerm() && node.version < w.ackedVersion {
-		w.t.Fatalf("never leads with old state: %s leads term %d with version %d, %d was acknowledged", node.addr, status.Term, node.version, w.ackedVersion)
+	s.termLeaders[status.Term] = node.shard.core.Self()
+	if node.shard.core.HasAppliedCurrentTerm() && status.Term >= s.highestTerm() && node.version < s.ackedVersion {
+		s.t.Fatalf("member %s leads term %d with routing configuration version %d, but version %d was acknowledged", node.addr, status.Term, node.version, s.ackedVersion)
 	}
 }
 
-// highestTerm is the highest one that had a leader.
-func (w *catchUpWorld) highestTerm() (highest uint64) {
-	for term := range w.termLeaders {
+// highestTerm returns the highest term in which there was a leader.
+func (s *catchUpSim) highestTerm() (highest uint64) {
+	for term := range s.termLeaders {
 		highest = max(highest, term)
 	}
 	return highest
 }
 
-// join requests to join from a random machine, then from the leader that it names.
-func (w *catchUpWorld) join(node *catchUpNode) {
-	peer := w.nodes[w.random.IntN(len(w.nodes))]
+// join sends a join request for a member to a random machine and, if that is not the leader, to the leader that it names.
+func (s *catchUpSim) join(node *catchUpNode) {
+	peer := s.nodes[s.random.IntN(len(s.nodes))]
 	for peer.isRemoved {
-		peer = w.nodes[w.random.IntN(len(w.nodes))]
+		peer = s.nodes[s.random.IntN(len(s.nodes))]
 	}
 	for range 2 {
-		if peer == nil || peer == node || !w.isHealthy(peer) || w.isolated[peer.addr] || w.isolated[node.addr] {
+		if peer == nil || peer == node || !s.isHealthy(peer) || s.isolated[peer.addr] || s.isolated[node.addr] {
 			return
 		}
 		response := peer.shard.handleJoin(&wire.JoinRequest{Name: node.shard.core.Self()})
-		if w.runStep(peer); response.Outcome == wire.OutcomeDone {
+		if s.runStep(peer); response.Outcome == wire.OutcomeDone {
 			return
 		}
-		peer = w.node(controlclient.MemberAddr(response.Leader))
+		peer = s.node(controlclient.MemberAddr(response.Leader))
 	}
 }
 
-// leader is the leader of the highest term that has applied an entry of its term; nil: there is none.
-func (w *catchUpWorld) leader() *catchUpNode {
+// leader returns the healthy, non-isolated leader of the highest term that has applied an entry of its term; nil if there
+// is none.
+func (s *catchUpSim) leader() *catchUpNode {
 	var leader *catchUpNode
-	for _, node := range w.nodes {
-		if !w.isHealthy(node) || w.isolated[node.addr] || !node.shard.core.HasAppliedCurrentTerm() {
+	for _, node := range s.nodes {
+		if !s.isHealthy(node) || s.isolated[node.addr] || !node.shard.core.HasAppliedCurrentTerm() {
 			continue
 		}
 		if leader == nil || node.shard.core.Status().Term > leader.shard.core.Status().Term {
@@ -237,82 +246,84 @@
 	return leader
 }
 
-// advance lets time pass.
-func (w *catchUpWorld) advance(duration time.Duration) {
-	for end := w.now + duration; w.now < end; {
-		w.step()
+// advance runs the simulation for a period of virtual time.
+func (s *catchUpSim) advance(duration time.Duration) {
+	for end := s.now + duration; s.now < end; {
+		s.step()
 	}
 }
 
-// waitUntil lets time pass until a condition holds, and fails the test when it doesn't hold in time. It
-// returns how long that took.
-func (w *catchUpWorld) waitUntil(what string, within time.Duration, holds func() bool) time.Duration {
-	w.t.Helper()
-	begun := w.now
+// waitUntil runs the simulation until a condition holds and returns the virtual time that this took. It fails the test on
+// a time-out; condition describes what it waited for.
+func (s *catchUpSim) waitUntil(condition string, within time.Duration, holds func() bool) time.Duration {
+	s.t.Helper()
+	startedAt := s.now
 	for !holds() {
-		if w.step(); w.now-begun > within {
-			w.logStatus()
-			w.t.Fatalf("%s: not within %v", what, within)
+		if s.step(); s.now-startedAt > within {
+			s.logStatus()
+			s.t.Fatalf("timed out after %v waiting for: %s", within, condition)
 		}
 	}
-	return w.now - begun
+	return s.now - startedAt
 }
 
-// logStatus logs the status of all members.
-func (w *catchUpWorld) logStatus() {
-	for _, node := range w.nodes {
+// logStatus logs the status of all running members.
+func (s *catchUpSim) logStatus() {
+	for _, node := range s.nodes {
 		if node.shard != nil {
 			members, _, _ := node.shard.core.Members()
-			w.t.Logf("%s: %+v members %v version %d failure %v", node.addr, node.shard.core.Status(), members, node.version, node.shard.failure)
+			s.t.Logf("member %s: status %+v, members %v, routing configuration version %d, failure %v", node.addr, node.shard.core.Status(), members, node.version, node.shard.failure)
 		}
 	}
 }
 
-// change has an operator put the next version until it is acknowledged, within a bound.
-func (w *catchUpWorld) change(routes int, within time.Duration) {
-	w.t.Helper()
-	next := w.ackedVersion + 1
+// change sends the next version of the routing configuration to the leader, repeatedly until the version is acknowledged
+// or found applied. It fails the test on a time-out.
+func (s *catchUpSim) change(routes int, within time.Duration) {
+	s.t.Helper()
+	next := s.ackedVersion + 1
 	plan := planText(next, routes)
-	w.bodies[next] = plan
-	delete(w.bodies, next-8)
-	for begun := w.now; ; {
-		if w.now-begun > within {
-			w.logStatus()
-			w.t.Fatalf("version %d: not acknowledged within %v", next, within)
+	s.bodies[next] = plan
+	delete(s.bodies, next-8)
+	for startedAt := s.now; ; {
+		if s.now-startedAt > within {
+			s.logStatus()
+			s.t.Fatalf("routing configuration version %d was not acknowledged within %v", next, within)
 		}
-		node := w.leader()
+		node := s.leader()
 		if node == nil {
-			w.step()
+			s.step()
 			continue
 		}
-		if node.version >= next { // an earlier attempt was applied
+		if node.version >= next { // an earlier attempt without a response was applied
 			break
 		}
-		if w.put(node, plan).GetOutcome() == wire.OutcomeDone {
+		if s.put(node, plan).GetOutcome() == wire.OutcomeDone {
 			break
 		}
-		w.step()
+		s.step()
 	}
-	w.ackedVersion = next
+	s.ackedVersion = next
 }
 
-// put proposes a change to a node, and waits for its answer; nil: none came in time.
-func (w *catchUpWorld) put(node *catchUpNode, plan []byte) *wire.ChangeResponse {
+// put proposes a routing configuration to a node and waits for the response. It returns nil if the process ended first
+// or answerTimeout passed.
+func (s *catchUpSim) put(node *catchUpNode, plan []byte) *wire.ChangeResponse {
 	starts := node.starts
-	put := &wire.Put{Key: routingconfig.DocumentKey, Body: plan, IfVersion: w.ackedVersion}
+	put := &wire.Put{Key: routingconfig.DocumentKey, Body: plan, IfVersion: s.ackedVersion}
 	pending, response := node.shard.propose(putRequest(put), nil)
-	w.runStep(node)
-	for begun := w.now; response == nil && node.starts == starts && w.now-begun < answerTimeout; {
+	s.runStep(node)
+	for startedAt := s.now; response == nil && node.starts == starts && s.now-startedAt < answerTimeout; {
 		select {
 		case response = <-pending.response:
 		default:
-			w.step()
+			s.step()
 		}
 	}
 	return response
 }
 
-// hasCaughtUp reports whether a member has applied what was acknowledged.
-func (w *catchUpWorld) hasCaughtUp(node *catchUpNode) bool {
-	return w.isHealthy(node) && node.version >= w.ackedVersion
+// hasCaughtUp reports whether a member is healthy and has applied the last acknowledged version.
+func (s *catchUpSim) hasCaughtUp(node *catchUpNode) bool {
+	return s.isHealthy(node) && node.version >= s.ackedVersion
 }
