--- a/internal/data/proxy/admission.go
+++ b/internal/data/proxy/admission.go
@@ -8,8 +8,8 @@
 	"pebbleloom/internal/fleet"
 )
 
-// admit determines the request's route, tenant, service and deadline from a snapshot. If the request isn't
-// admitted, it answers the request with an error and returns false.
+// admit determines the request's route, tenant, service and deadline from a snapshot of the routing plan and the
+// workers. If the request isn't admitted, it answers the request with an error and returns false.
 func (req *request) admit(snapshot *fleet.Snapshot) bool {
 	planIsFresh := proofIsFresh(snapshot, req.receivedAt, req.server.maxKeyProofAge())
 	if !req.matchRoute(snapshot.Plan, planIsFresh) || !req.authenticate(snapshot.Plan, planIsFresh) {
@@ -35,8 +35,8 @@
 	return true
 }
 
-// authenticate finds the tenant by the client's API key. Public routes, and all routes of a plan without tenants,
-// need no key. If the key isn't accepted, it rejects the request and returns false.
+// authenticate finds the tenant by the client's API key. Public routes, and all routes of a routing plan without
+// tenants, need no key. If the key isn't accepted, it rejects the request and returns false.
 func (req *request) authenticate(plan *routingconfig.Plan, planIsFresh bool) bool {
 	if req.selection.Route.Public || len(plan.Tenants) == 0 {
 		return true
@@ -63,8 +63,8 @@
 	req.deadline = req.receivedAt + timeout
 }
 
-// selectService selects a service by the weights of the route's split, and sets maxConns to this node's share of
-// the connections that each worker of the service accepts.
+// selectService selects one of the route's services in proportion to their weights. It sets maxConns to this edge
+// node's share of the connections that each worker of the service accepts: an equal part per edge node.
 func (req *request) selectService(snapshot *fleet.Snapshot) {
 	req.selection.Service = req.selection.Route.SelectService(req.selection.ID)
 	req.maxConns = 0
@@ -73,8 +73,9 @@
 	}
 }
 
-// rejectUnknown rejects a request whose route or key isn't in the routing plan, and returns false. If the plan may
-// be outdated, a newer plan could contain it, so the client gets a retryable error instead of the given kind.
+// rejectUnknown rejects a request whose route or key isn't in the routing plan, and returns false. If this node's
+// plan may be outdated, a newer plan could contain the route or key, so the client gets a retryable error instead
+// of the given kind.
 func (req *request) rejectUnknown(planIsFresh bool, kind *errs.Kind, reason string) bool {
 	if !planIsFresh {
 		req.reject(errs.NotExecuted, "the plan known here may be old, and "+reason, req.server.planRetryAfter())
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -10,11 +10,11 @@
 	"pebbleloom/internal/errs"
 )
 
-// outcome is the result of an attempt, as far as this node can prove it.
+// outcome is the result of sending a request to a worker, as far as this edge node can prove it.
 type outcome int
 
 const (
-	notSent     outcome = iota // proven: no byte of the request left this node
+	notSent     outcome = iota // proven: no byte of the request was sent to the worker
 	notExecuted                // the worker reported that it didn't execute the request
 	interrupted                // the worker may have executed the request, but gave no usable, complete response
 	responded                  // the header of a response that may be relayed has come
@@ -29,28 +29,29 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 
-	conn      *workerConn   // nil: none acquired yet, or already released
+	conn      *workerConn   // nil: no connection was acquired yet, or it was already released
 	reused    bool          // conn has carried an earlier request
 	idleTime  time.Duration // how long conn was idle before this attempt
 	staleConn bool          // conn was closed before anything was sent, because it wasn't safe to reuse
 
 	response       *http.Response
 	startedAt      time.Duration
-	firstByteAfter time.Duration // from startedAt to the first byte of the response body; 0: none received
+	firstByteAfter time.Duration // time from startedAt to the first byte of the response body; 0: no byte received
 	outcome        outcome
 	reported       selection.Outcome // the outcome that is reported to the selector
 	definitive     bool              // a retry is pointless: any worker would respond the same
-	load           *selection.Load   // the load that the worker reported in its response; nil: none
+	load           *selection.Load   // the load that the worker reported in its response; nil: it reported none
 }
 
 const (
 	// The dial time-out is the route's latency target divided by dialTimeoutDivisor, so that another worker can
-	// still respond within the target, but at least minDialTimeoutRatio of the bound on leaving workers
-	// (Bounds.LeaveMs), in case the target is very short or unset.
+	// still respond within the target. It is at least minDialTimeoutRatio of Bounds.LeaveMs (the time within which
+	// a worker that left stops getting requests), in case the target is very short or unset.
 	dialTimeoutDivisor  = 2
 	minDialTimeoutRatio = 0.05
-	// maxConnsTried bounds how many connections an attempt tries because the worker had closed the reused one.
-	// Connections with staleConn set don't count: each is closed, and once none is left a new one is dialed.
+	// maxConnsTried is the maximum number of connections that an attempt tries if the worker turns out to have
+	// closed each reused one. Connections that this node closes as unsafe to reuse (staleConn) don't count: once
+	// none of them is left, a new connection is dialed.
 	maxConnsTried = 4
 )
 
@@ -70,7 +71,7 @@
 	return a
 }
 
-// dialContext returns the request's context with the dialLimits of a connection dialed for this attempt.
+// dialContext returns the request's context with the limits (dialLimits) for dialing a connection to the worker.
 func (a *attempt) dialContext() context.Context {
 	req := a.request
 	timeout := max(req.selection.Route.LatencyTarget/dialTimeoutDivisor, req.server.process.Settings.Bounds.Leave(minDialTimeoutRatio))
@@ -117,7 +118,7 @@
 		}
 	case a.conn == nil || a.conn.discard(a):
 		a.outcome, a.reported = notSent, selection.Failed
-		if errs.KindOf(err) == errs.Overloaded { // this node has its share of the worker's connections open; not a failure of the worker
+		if errs.KindOf(err) == errs.Overloaded { // this node's share of the worker's connections is in use; the worker didn't fail
 			a.reported = selection.NoFreeSlot
 		}
 	default:
@@ -128,8 +129,8 @@
 	}
 }
 
-// gotConn is the httptrace.ClientTrace.GotConn hook: it acquires the connection before net/http writes to it. A
-// connection that may be broken, or may deliver bytes of another response, is closed with nothing sent on it.
+// gotConn is the httptrace.ClientTrace.GotConn hook: it acquires the connection before net/http writes the request
+// to it. A connection that may be broken, or may deliver bytes of another response, is closed with nothing sent.
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	a.conn, a.reused, a.idleTime = info.Conn.(*workerConn), info.Reused, info.IdleTime
 	if info.Reused {
--- a/internal/data/proxy/body.go
+++ b/internal/data/proxy/body.go
@@ -43,7 +43,7 @@
 }
 
 // readBodyInTime reads the body, and fails if the request's deadline passes before its end. Of a chunked body it
-// reads at most one byte more than the limit, enough to detect that the limit is exceeded.
+// reads at most one byte more than the size limit, enough to detect that the body exceeds it.
 func (req *request) readBodyInTime(length, limit int64) (err error) {
 	timer := time.AfterFunc(req.deadline-req.receivedAt, func() { _ = req.controller.SetReadDeadline(pastTime) })
 	if req.chunked {
@@ -65,8 +65,8 @@
 	req.reject(errs.TooLarge, "the body is over "+strconv.FormatInt(limit, 10)+" bytes", 0)
 }
 
-// reserveMemory reserves bytes of the server's memory limit until the request is released. If that exceeds the
-// limit, it rejects the request and returns false.
+// reserveMemory reserves bytes of the memory limit for requests in flight (memoryLimit) until the request is
+// released. If the reservations exceed the limit, it rejects the request and returns false.
 func (req *request) reserveMemory(bytes int64) bool {
 	req.reservedMemory += bytes
 	if req.server.reservedMemory.Add(bytes) <= req.server.memoryLimit {
--- a/internal/data/proxy/classify.go
+++ b/internal/data/proxy/classify.go
@@ -23,7 +23,7 @@
 		a.load = &load
 	}
 	if status < 200 || !a.matchesRequestID() || header.Get("Content-Encoding") != "" || !a.isSelfDelimited() {
-		a.markInterrupted() // a response to another request, or one that no conforming worker sends
+		a.markInterrupted() // the response belongs to another request, or no conforming worker sends it
 		return
 	}
 	claimsNotExecuted := len(header.Values(headers.NotExecuted)) > 0
@@ -36,11 +36,11 @@
 		a.definitive = true
 		a.markNotExecuted(selection.Failed)
 	case claimsNotExecuted || impliesNotExecuted(status):
-		a.markInterrupted() // the not-executed field contradicts the status or is missing, so nothing is proven
+		a.markInterrupted() // the NotExecuted field contradicts the status or is missing, so it isn't proven that the request wasn't executed
 	case status < 300 && header.Get(headers.Seal) == "":
 		a.markInterrupted()
 	case a.request.responseStarted && !a.isResumableStream():
-		a.markInterrupted() // part of a stream was relayed, and this response can't continue it
+		a.markInterrupted() // part of another worker's stream was relayed, and this response can't continue it
 	case status >= 500 && a.response.ContentLength <= maxBufferedResponse:
 		a.bufferResponse(true)
 	default:
@@ -48,8 +48,8 @@
 	}
 }
 
-// markMisdirected ends an attempt that was rejected with a 421: the address now belongs to another worker
-// instance, or the worker serves another version of the model weights.
+// markMisdirected ends an attempt that was rejected with a 421 (Misdirected Request): the worker's address now
+// belongs to another worker instance, or the worker serves another version of the model weights.
 func (a *attempt) markMisdirected() {
 	a.markNotExecuted(selection.Misdirected)
 	served := a.response.Header.Get(a.request.server.Headers.WeightVersions)
@@ -94,8 +94,9 @@
 	return a.response.StatusCode == http.StatusOK && a.isEventStream() && a.response.ContentLength < 0
 }
 
-// bufferResponse reads a short error response of a worker and stores it as the request's fallback, unless the
-// stored one is better. executed reports whether the worker executed the request.
+// bufferResponse reads a short error response of a worker and stores it as the request's fallback, which the client
+// gets if no other attempt succeeds. executed reports whether the worker executed the request. A stored response of
+// a worker that executed the request isn't replaced by one of a worker that didn't.
 func (a *attempt) bufferResponse(executed bool) {
 	req := a.request
 	body, err := io.ReadAll(io.LimitReader(a.response.Body, maxBufferedResponse+1))
@@ -107,7 +108,7 @@
 	a.outcome, a.reported = interrupted, selection.Failed
 	a.definitive = a.definitive || a.response.StatusCode == http.StatusGatewayTimeout
 	if a.response.StatusCode == http.StatusMisdirectedRequest {
-		return // a 421 concerns this node's routing and isn't passed on to the client
+		return // a 421 concerns this node's choice of a worker and isn't passed on to the client
 	}
 	if req.fallback != nil && req.fallback.executed && !executed {
 		return
--- a/internal/data/proxy/connpool.go
+++ b/internal/data/proxy/connpool.go
@@ -13,19 +13,20 @@
 
 // Settings of the HTTP transport to the workers.
 const (
-	maxIdleConnsPerWorker  = 1 << 10 // above any node's share of a worker's connections, so that only the keep-alive time closes idle ones
+	maxIdleConnsPerWorker  = 1 << 10 // more than any edge node may open to a worker, so that only the keep-alive time-out closes idle connections
 	maxResponseHeaderBytes = 64 << 10
 	connBufferBytes        = 4 << 10
 )
 
-// TCP keep-alive settings. The times are ratios of the bound on leaving workers (Bounds.LeaveMs).
+// TCP keep-alive settings of connections to workers. The times are ratios of Bounds.LeaveMs, the time within which
+// a worker that left stops getting requests.
 const (
 	tcpKeepAliveIdleRatio     = 2.0 / 3
 	tcpKeepAliveIntervalRatio = 1.0 / 3
 	tcpKeepAliveCount         = 2
 )
 
-// connPool manages the connections from this node to the workers, and limits their number per worker.
+// connPool manages the connections from this edge node to the workers, and limits their number per worker.
 type connPool struct {
 	process   *daemon.Process
 	transport *http.Transport
@@ -36,7 +37,7 @@
 
 // dialLimits limits the dialing of a new connection. It is passed to the dialer in the attempt's context.
 type dialLimits struct {
-	maxConns int           // connections of this node to the worker; 0: no limit
+	maxConns int           // maximum number of connections from this edge node to the worker; 0: no limit
 	timeout  time.Duration // time-out of the dial; 0: only the context's deadline applies
 }
 
@@ -55,12 +56,12 @@
 	return p
 }
 
-// dial opens a connection to a worker. It fails with errs.Overloaded if this node already has its share of the
-// worker's connections open.
+// dial opens a connection to a worker. It fails with errs.Overloaded if this edge node already has its share of the
+// worker's connections (dialLimits.maxConns) open.
 func (p *connPool) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	limits, _ := ctx.Value(dialLimitsKey{}).(dialLimits)
 	if !p.reserve(addr, limits.maxConns) {
-		return nil, errs.New(errs.Overloaded, "dial worker %s: all %d connections of this node's share are in use", addr, limits.maxConns)
+		return nil, errs.New(errs.Overloaded, "dial worker %s: this node already has all %d connections of its share open", addr, limits.maxConns)
 	}
 	if limits.timeout > 0 {
 		var cancel context.CancelFunc
@@ -76,7 +77,7 @@
 	return newWorkerConn(conn, p.process.Settings.Bounds.Leave(1), func() { p.connClosed(addr) }), nil
 }
 
-// reserve counts a new connection to a worker. It returns false if maxConns connections are open already.
+// reserve counts a new connection to a worker. If maxConns connections to it are open already, it returns false.
 func (p *connPool) reserve(addr string, maxConns int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/data/proxy/eventsplitter.go
+++ b/internal/data/proxy/eventsplitter.go
@@ -16,17 +16,18 @@
 type eventSplitter struct {
 	lastID      string // ID of the last relayed event, or the client's Last-Event-ID before the first one
 	canResume   bool   // the relayed bytes end with the event lastID, so a resumed stream would lose nothing
-	resuming    bool   // this worker continues another worker's stream: event IDs must increase from lastID
+	resuming    bool   // the stream continues another worker's stream, so its event IDs must increase from lastID
 	passthrough bool   // the stream has no increasing event IDs or isn't parseable, and is relayed unsplit
 
 	buffer    []byte // backing storage of pending, reused between calls
 	pending   []byte // bytes received after the last complete event
 	scanned   int    // length of the complete lines at the start of pending, which are scanned already
-	currentID string // ID of the incomplete event in pending
-	hasData   bool   // the incomplete event has a data field
+	currentID string // ID of the incomplete event in pending; empty: no ID received yet
+	hasData   bool   // a data field of the incomplete event in pending was received
 }
 
-// reset prepares the splitter for another worker's stream, and drops bytes that were not relayed.
+// reset prepares the splitter for another worker's stream, and drops bytes of the previous worker's stream that were
+// not relayed.
 func (s *eventSplitter) reset(resuming bool) {
 	s.pending, s.scanned, s.currentID, s.hasData, s.resuming = nil, 0, "", false, resuming
 }
@@ -60,7 +61,7 @@
 	}
 	s.passthrough, s.canResume = true, false
 	if s.resuming {
-		return s.consume(complete), errs.New(errs.MayHaveExecuted, "resumed stream after event %q: event is too long, or its lines end with a lone CR", s.lastID)
+		return s.consume(complete), errs.New(errs.MayHaveExecuted, "resumed event stream: the event after %q exceeds %d bytes, or its lines end with a lone CR", s.lastID, maxBufferedEvent)
 	}
 	return s.consume(len(s.pending)), nil
 }
@@ -93,7 +94,7 @@
 	return bytes.IndexByte(bytes.TrimSuffix(s.pending[s.scanned:], []byte("\r")), '\r') >= 0
 }
 
-// consume removes the first n pending bytes and returns them.
+// consume removes the first n bytes of pending and returns them.
 func (s *eventSplitter) consume(n int) []byte {
 	out := s.pending[:n:n]
 	s.pending = s.pending[n:]
@@ -101,7 +102,7 @@
 	return out
 }
 
-// flush returns the incomplete event that is pending when the stream has ended without an error.
+// flush returns the remaining bytes after the stream has ended without an error: an event without a final blank line.
 func (s *eventSplitter) flush() []byte { return s.consume(len(s.pending)) }
 
 // scanLine parses one line of the current event: only the id and data fields matter.
@@ -125,7 +126,7 @@
 	case id != "" && (s.lastID == "" || idIncreases(s.lastID, id)):
 		s.lastID, s.canResume = id, isNumericID(id)
 	case s.resuming:
-		return errs.New(errs.MayHaveExecuted, "resumed stream has event ID %q after %q: want increasing numeric IDs", id, s.lastID)
+		return errs.New(errs.MayHaveExecuted, "resumed event stream: got event ID %q after %q, want increasing numeric IDs", id, s.lastID)
 	case id != "":
 		s.passthrough = true
 	default:
--- a/internal/data/proxy/handler.go
+++ b/internal/data/proxy/handler.go
@@ -9,8 +9,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// minRetryDivisor divides the route's latency target. The result is the least time until the deadline that
-// still permits a retry: a later retry could hardly succeed and would only add load.
+// minRetryDivisor is the divisor of the route's latency target that gives the least time until the request's
+// deadline at which a retry is still permitted: a later retry could hardly succeed and would only add load.
 const minRetryDivisor = 10
 
 // ServeHTTP forwards one request to a worker and relays its response.
@@ -30,8 +30,8 @@
 	}
 }
 
-// forward makes attempts, each on a different worker, until one completes or no retry is permitted. It
-// reports whether a response was relayed completely.
+// forward sends the request to one worker after another, each at most once, until a response was relayed completely
+// or no retry is permitted. It reports whether a response was relayed completely.
 func (req *request) forward() (ok bool) {
 	s := req.server
 	found := req.lookUpPrefixes()
@@ -74,15 +74,16 @@
 	return s.Selector.Lookup(req.ctx, s.Snapshot(), &req.selection)
 }
 
-// endResponse finishes a completely relayed response. It aborts the response if the write deadline passed
-// before the last bytes were written.
+// endResponse finishes a completely relayed response. If the write deadline passed before the
+// last bytes were written, it aborts the client connection.
 func (req *request) endResponse() {
 	if !req.stopWriteDeadline() {
-		panic(http.ErrAbortHandler) // the write deadline was set, so the last bytes may not reach the client
+		panic(http.ErrAbortHandler) // the write deadline is already set, so the last bytes may not reach the client
 	}
 }
 
-// mayRetry reports whether a failed attempt may be retried, and if so withdraws the retry from the budgets.
+// mayRetry reports whether the request may be retried on another worker after a failed attempt. If so, it counts the
+// retry against the retry budgets.
 func (req *request) mayRetry(failed *attempt) bool {
 	route := req.selection.Route
 	if failed.outcome == clientGone || req.ctx.Err() != nil || req.timeRemaining() < max(route.LatencyTarget/minRetryDivisor, time.Millisecond) {
@@ -113,8 +114,8 @@
 	req.server.misdirectedBudget.Deposit(edges)
 }
 
-// spendRetryBudget reports whether the service's retry budget permits another attempt. A token granted for an
-// attempt that was never sent is kept for the next attempt.
+// spendRetryBudget reports whether the service's retry budget permits another attempt, and takes a token from the
+// budget. A token taken for an attempt that was never sent is kept for the request's next attempt.
 func (req *request) spendRetryBudget() bool {
 	if req.attemptsSent <= req.retriesGranted {
 		return true
--- a/internal/data/proxy/headers.go
+++ b/internal/data/proxy/headers.go
@@ -11,23 +11,23 @@
 )
 
 // Headers holds the names of the platform's HTTP header fields, and functions that parse and format their values.
-// The platform's adapter provides it; all members are required. Unless noted, the fields are request fields.
+// The platform's adapter provides it; all its fields are required. Unless noted, they are request fields.
 type Headers struct {
 	ID               string // request ID; forwarded unchanged in request and response
 	TimeRemaining    string // time until the client's deadline
-	Tenant           string // name of the tenant whose API key the client presented; set by this node
-	ExpectedInstance string // ID of the only worker that may execute the request
-	ExpectedVersion  string // the only version of the model weights that may execute the request
-	Priority         string // 0 to 9; 0 is the most urgent
-	CacheSalt        string // salt that separates the cache entries of the prompt's parts by cache domain
-	FetchFrom        string // address from which the worker fetches prompt parts that it hasn't cached
-	SaveTo           string // address to which the worker saves prompt parts
+	Tenant           string // name of the tenant whose API key the client presented; set by the proxy
+	ExpectedInstance string // ID of the selected worker; any other worker must reject the request
+	ExpectedVersion  string // version of the model weights that the worker must use to execute the request
+	Priority         string // priority of the request, 0 to 9; 0 is the most urgent
+	CacheSalt        string // salt of the cache keys of prompt parts; it differs by model, weights version and isolated tenant, so that these share no entries
+	FetchFrom        string // address from which the worker fetches cached results of prompt parts that it lacks
+	SaveTo           string // address to which the worker saves cached results of prompt parts
 	Model            string // name of the requested model
 	TokenUsage       string // number of prompt tokens and maximum number of output tokens
-	PromptParts      string // IDs and sizes of the prompt's parts, in prompt order
+	PromptParts      string // IDs and token counts of the consecutive parts of the prompt whose results can be cached
 	LastEventID      string // ID of the event after which a stream is resumed
 	NotExecuted      string // response field: present if the worker didn't execute the request
-	Seal             string // response field: the worker's signature
+	Seal             string // response field: the worker's signature; a 2xx response without it isn't relayed
 	Load             string // response field: numbers of running requests, waiting requests and slots of the worker
 	WeightVersions   string // response field: the version of the model weights that the worker serves
 	AuthScheme       string // authentication scheme before the API key in the Authorization field
@@ -47,12 +47,12 @@
 // idempotencyKeys lists the header fields whose presence makes net/http treat a request as idempotent.
 var idempotencyKeys = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// proxyOnly lists the request fields that only this node may set, and Authorization, which workers must not see.
+// proxyOnly lists the request header fields that only the proxy may set, and Authorization, which workers must not see.
 func (h *Headers) proxyOnly() []string {
 	return []string{"Authorization", h.Tenant, h.ExpectedInstance, h.Priority, h.CacheSalt, h.FetchFrom, h.SaveTo, h.TimeRemaining}
 }
 
-// endToEnd lists the fields that are forwarded even if the Connection field names them: otherwise a client could
+// endToEnd lists the header fields that are forwarded even if the Connection field names them: otherwise a client could
 // suppress them by declaring them hop-by-hop.
 func (h *Headers) endToEnd() []string {
 	return []string{h.ID, h.ExpectedVersion, h.Model, h.TokenUsage, h.PromptParts, h.LastEventID, h.NotExecuted, h.Seal, h.Load, h.WeightVersions,
@@ -70,7 +70,7 @@
 
 // withoutHopByHop returns a copy of a header without the hop-by-hop fields. The value slices are shared.
 func (h *Headers) withoutHopByHop(from http.Header) http.Header {
-	const added = 8 // spare capacity for fields that the caller adds
+	const added = 8 // spare capacity for header fields that the caller adds
 	to := make(http.Header, len(from)+added)
 	for name, values := range from {
 		to[name] = values
@@ -90,7 +90,7 @@
 }
 
 // workerHeader returns the header of the request to the selected worker. Values that the client sent for fields
-// that only this node may set are removed.
+// that only the proxy may set are removed.
 func (req *request) workerHeader(choice selection.Choice, remaining time.Duration) http.Header {
 	headers := &req.server.Headers
 	header := headers.withoutHopByHop(req.incoming.Header)
@@ -106,7 +106,7 @@
 		setIfAny(header, headers.LastEventID, req.events.lastID)
 	}
 	if _, ok := header["User-Agent"]; !ok {
-		header["User-Agent"] = nil // a nil value keeps net/http from adding its own
+		header["User-Agent"] = nil // a nil value keeps net/http from adding a User-Agent of its own
 	}
 	if len(req.body) == 0 && !req.chunked {
 		hideIdempotencyKeys(header)
@@ -114,7 +114,7 @@
 	return header
 }
 
-// setChoice sets the fields that pass the selector's decision on to the worker.
+// setChoice sets the request header fields that tell the worker what the selector decided.
 func (req *request) setChoice(to http.Header, choice selection.Choice) {
 	headers := &req.server.Headers
 	setIfAny(to, headers.ExpectedInstance, choice.Worker.ID)
--- a/internal/data/proxy/idlelimit.go
+++ b/internal/data/proxy/idlelimit.go
@@ -10,15 +10,16 @@
 // it is sent only on connections whose idle time is within the estimated limit. Idempotent requests may use
 // connections with longer idle times, and if these succeed, the limit is raised again.
 type idleLimit struct {
-	mu           sync.Mutex
-	maxSafe      time.Duration // the limit; 0: no dropped connection was seen yet
-	longerReuses int           // consecutive successful reuses after an idle time above maxSafe
+	mu               sync.Mutex
+	maxSafe          time.Duration // the estimated limit; 0: none, because no dropped connection was seen yet
+	reusesAboveLimit int           // consecutive successful reuses of connections that had been idle for longer than maxSafe
 }
 
 const (
-	// safeIdleRatio, of the idle time after which a connection was found dropped, is the new limit.
+	// safeIdleRatio is the ratio of the new idle limit to the idle time after which a connection was found dropped.
 	safeIdleRatio = 0.5
-	// idleGrowthRatio is the factor by which the limit grows after reusesToGrow consecutive longer reuses.
+	// idleGrowthRatio is the factor by which the idle limit grows after reusesToGrow consecutive successful reuses of
+	// connections that had been idle for longer than the limit.
 	idleGrowthRatio = 1.25
 	reusesToGrow    = 8
 )
@@ -30,7 +31,7 @@
 	return l.maxSafe == 0 || idleTime <= l.maxSafe
 }
 
-// recordDropped lowers the limit after a connection with this idle time was found to have been dropped.
+// recordDropped lowers the idle limit after a worker was found to have dropped a connection with this idle time.
 func (l *idleLimit) recordDropped(idleTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,17 +39,17 @@
 	if l.maxSafe == 0 || safe < l.maxSafe {
 		l.maxSafe = safe
 	}
-	l.longerReuses = 0
+	l.reusesAboveLimit = 0
 }
 
-// recordReuse counts a successful reuse of a connection after this idle time.
+// recordReuse records that a connection was reused successfully after this idle time.
 func (l *idleLimit) recordReuse(idleTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.maxSafe == 0 || idleTime <= l.maxSafe {
 		return
 	}
-	if l.longerReuses++; l.longerReuses >= reusesToGrow {
-		l.maxSafe, l.longerReuses = time.Duration(float64(l.maxSafe)*idleGrowthRatio), 0
+	if l.reusesAboveLimit++; l.reusesAboveLimit >= reusesToGrow {
+		l.maxSafe, l.reusesAboveLimit = time.Duration(float64(l.maxSafe)*idleGrowthRatio), 0
 	}
 }
--- a/internal/data/proxy/outgoing.go
+++ b/internal/data/proxy/outgoing.go
@@ -56,8 +56,8 @@
 // Close does nothing: the body is kept in memory for possible retries.
 func (*nonReplayableBody) Close() error { return nil }
 
-// declaresEmptyBody reports whether net/http sends "Content-Length: 0" for the method if the body is empty.
-// net/http doesn't resend requests with such a method on its own.
+// declaresEmptyBody reports whether net/http sends "Content-Length: 0" if a request with this method has an empty
+// body. net/http doesn't resend requests with such a method on its own.
 func declaresEmptyBody(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
--- a/internal/data/proxy/readiness.go
+++ b/internal/data/proxy/readiness.go
@@ -8,18 +8,19 @@
 	"pebbleloom/internal/settings"
 )
 
-// keyProofRatio, of the bound on key revocation (Bounds.KeyRevocationMs), is the maximum age of the proof that a
-// routing plan is the newest, for API keys to be accepted under that plan. The rest of the bound covers the time
-// from reading the request to sending it to a worker.
+// keyProofRatio is the fraction of Bounds.KeyRevocationMs (the time within which a revoked API key must stop working)
+// for which API keys are accepted after the control nodes last attested that this node's routing plan is the newest
+// (Snapshot.ProofAt). The rest of the bound covers the time from reading a request to sending it to a worker.
 const keyProofRatio = 0.95
 
-// maxKeyProofAge returns the maximum age of the proof that a routing plan is the newest, for accepting API keys.
+// maxKeyProofAge returns how long API keys are accepted after the control nodes last attested that this node's
+// routing plan is the newest (Snapshot.ProofAt).
 func (s *server) maxKeyProofAge() time.Duration {
 	return settings.Fraction(s.process.Settings.Bounds.KeyRevocationMs, keyProofRatio)
 }
 
-// proofIsFresh reports whether the snapshot's routing plan was proven to be the newest less than maxAge before the
-// given instant.
+// proofIsFresh reports whether the control nodes attested less than maxAge before the given instant that the
+// snapshot's routing plan is the newest.
 func proofIsFresh(snapshot *fleet.Snapshot, instant, maxAge time.Duration) bool {
 	return snapshot.ProofAt > 0 && instant-snapshot.ProofAt < maxAge
 }
@@ -37,9 +38,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// isReady reports whether this node has a routing plan, a fresh proof that it is the newest if key revocation is
-// enforced, and has seen a worker of a routed service at least once. Workers that leave later don't make it
-// unready: moving clients to another edge node wouldn't bring the workers back.
+// isReady reports whether this node has a routing plan, has a fresh proof that the plan is the newest (required
+// only if key revocation is enforced), and has seen a worker of a service with a route at least once. Workers that
+// leave later don't make it unready: moving clients to another edge node wouldn't bring the workers back.
 func (s *server) isReady() bool {
 	snapshot := s.Snapshot()
 	if snapshot == nil || snapshot.Plan == nil || s.draining.Load() {
--- a/internal/data/proxy/relay.go
+++ b/internal/data/proxy/relay.go
@@ -63,7 +63,8 @@
 	req.server.Selector.RecordFirstEvent(&req.selection, a.choice, a.load, a.firstByteAfter)
 }
 
-// readChunk reads the bytes that are available. With fill set, it reads until the buffer is full or the body ends.
+// readChunk reads the available bytes of the response body. With fill set, it reads until the buffer is full or the
+// body ends.
 func (a *attempt) readChunk(buffer []byte, fill bool) (n int, err error) {
 	for n < len(buffer) && err == nil {
 		var more int
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -19,25 +19,25 @@
 	controller *http.ResponseController
 	incoming   *http.Request
 
-	ctx               context.Context // done shortly after the deadline (transitRatio), or when the client disconnects
+	ctx               context.Context // done a short time after the deadline (see transitRatio), or when the client disconnects
 	cancel            context.CancelFunc
 	stopWriteDeadline func() bool // cancels the write deadline that is set when ctx is done; false: it was set already
 
 	receivedAt     time.Duration // when the request header was read, by the process clock
 	deadline       time.Duration // the earlier of the client's and the route's deadline, by the process clock
 	selection      selection.Request
-	maxConns       int // maximum number of connections of this node to one worker; 0: no limit
+	maxConns       int // maximum number of connections from this edge node to one worker; 0: no limit
 	body           []byte
 	chunked        bool            // the body came with chunked transfer encoding and is forwarded that way
-	reservedMemory int64           // this request's part of server.reservedMemory, in bytes
+	reservedMemory int64           // bytes of server.reservedMemory that this request has reserved
 	tried          map[string]bool // IDs of the workers that were selected for an attempt
 
-	attemptsSent       int               // attempts of which some bytes may have left this node
-	attemptsNotSent    int               // attempts proven not to have left this node
+	attemptsSent       int               // attempts of which some bytes may have been sent to a worker
+	attemptsNotSent    int               // attempts of which provably no byte was sent to a worker
 	retriesGranted     int               // attempts beyond the first that the retry budget has permitted
 	mayHaveExecuted    bool              // some worker may have executed the request
 	capacityExpectedIn time.Duration     // estimated time until a worker has a free slot; 0: unknown
-	fallback           *bufferedResponse // the best error response received from a worker so far; nil: none
+	fallback           *bufferedResponse // error response of a worker, relayed if no attempt completes; nil: none received
 	responseStarted    bool              // the response header was written to the client
 	events             *eventSplitter    // splits a resumable event stream; nil: the response can't be resumed
 }
@@ -46,15 +46,17 @@
 var pastTime = time.Unix(1, 0)
 
 const (
-	// transitRatio, of settings.Site.TransitMs, is how long the request's context lasts beyond its deadline, so
-	// that a response that the worker sent just in time still reaches the client.
+	// transitRatio is the fraction of settings.Site.TransitMs (the maximum time to forward an event of a stream) for
+	// which the request's context lasts beyond its deadline, so that a response that the worker sent just in time
+	// still reaches the client.
 	transitRatio = 0.5
 	// The default Retry-After value is the route's latency target divided by retryAfterDivisor: short enough that
 	// the client's retry can still be served within the target.
 	retryAfterDivisor = 4
 )
 
-// accept admits a request and reads its body. It answers a request that it can't accept, and returns nil.
+// accept admits a request and reads its body. If it can't accept the request, it answers it with an error and returns
+// nil.
 func (s *server) accept(writer http.ResponseWriter, incoming *http.Request) *request {
 	req := s.newRequest(writer, incoming)
 	snapshot := s.Snapshot()
--- a/internal/data/proxy/response.go
+++ b/internal/data/proxy/response.go
@@ -11,16 +11,17 @@
 	"pebbleloom/internal/errs"
 )
 
-// bufferedResponse is a short error response of a worker, relayed if no other worker gives a better response.
+// bufferedResponse is a short error response of a worker, relayed if no other worker
+// gives a usable response.
 type bufferedResponse struct {
 	status   int
 	header   http.Header
 	body     []byte
-	executed bool // whether the worker executed the request; false: it reported that it didn't
+	executed bool // the worker executed the request; false: it reported that it didn't
 }
 
-// startResponse writes the header of a worker's response to the client. From now on, writes to the client fail
-// once the request's context is done.
+// startResponse writes the header of a worker's response to the client. From then on, writes to the client fail once
+// the request's context is done.
 func (req *request) startResponse(response *http.Response) {
 	req.responseStarted = true
 	req.copyHeader(response.Header)
@@ -34,8 +35,9 @@
 	req.writer.WriteHeader(response.StatusCode)
 }
 
-// respondWithFailure answers a request of which no attempt completed. If a response has already started, or the
-// client has disconnected, it aborts the connection, so that a partial response can't look complete.
+// respondWithFailure answers a request for which no worker's response was relayed completely. If a response has
+// already started, or the client has disconnected, it aborts the connection, so that a partial response can't look
+// complete.
 func (req *request) respondWithFailure() {
 	defer req.stopWriteDeadline()
 	if req.responseStarted || req.incoming.Context().Err() != nil {
@@ -68,7 +70,7 @@
 	_, _ = req.writer.Write(response.body)
 }
 
-// reject answers a request with an error response from this node. With a retryAfter of 0 it sets no Retry-After
+// reject answers a request with an error response of the proxy itself. With a retryAfter of 0 it sets no Retry-After
 // field.
 func (req *request) reject(kind *errs.Kind, reason string, retryAfter time.Duration) {
 	header := req.writer.Header()
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -47,20 +47,20 @@
 	conns             *connPool
 	retryBudgets      *retrybudget.ByService
 	misdirectedBudget *retrybudget.Budget // limits retries after a 421; shared by all services
-	memoryLimit       int64               // upper bound of reservedMemory, in bytes
+	memoryLimit       int64               // maximum of reservedMemory, in bytes
 	reservedMemory    atomic.Int64        // bytes reserved by requests in flight
 	inFlight          atomic.Int64        // number of requests in flight
-	retries           atomic.Int64        // attempts sent beyond the first of each request
+	retries           atomic.Int64        // attempts sent to workers beyond the first attempt of each request
 	resumedStreams    atomic.Int64        // event streams that were continued by another worker
 	draining          atomic.Bool         // set on shutdown, never reset
-	wasReady          atomic.Bool         // set once a worker of a routed service was seen, never reset
-	bufferPool        sync.Pool           // *[]byte buffers of relayBufferBytes each
+	wasReady          atomic.Bool         // set once a worker of a service with a route was seen, never reset
+	bufferPool        sync.Pool           // buffers for relaying response bodies: *[]byte with a length of relayBufferBytes
 }
 
 // Memory accounting of requests in flight.
 const (
-	// requestMemoryDivisor reserves a third of the node's memory for requests; the rest is for connection
-	// buffers, the snapshot and the headroom of the garbage collector.
+	// requestMemoryDivisor limits requests in flight to a third of the process's memory limit; the rest is for
+	// connection buffers, the routing plan, the list of workers and the headroom of the garbage collector.
 	requestMemoryDivisor = 3
 	// requestOverhead is the assumed memory use of a request without its body, in bytes.
 	requestOverhead  = 32 << 10
@@ -70,22 +70,25 @@
 // Phases of graceful shutdown, as ratios of the platform's grace period (settings.Site.GraceMs). Their sum
 // must stay below 1, so that the process exits before the platform kills it.
 const (
-	// lameDuckRatio is how long new requests are still accepted after the shutdown signal. It gives the
-	// platform's load balancer time to notice the failing readiness check.
+	// lameDuckRatio is the fraction of the grace period during which new requests are still accepted after the shutdown
+	// signal. It gives the platform's load balancer time to notice the failing readiness check.
 	lameDuckRatio = 0.3
-	// drainRatio is how long requests in flight may continue after the lame-duck period.
+	// drainRatio is the fraction of the grace period during which requests in flight may continue once new requests
+	// are no longer accepted.
 	drainRatio = 0.55
 )
 
-// firstPlanRatio, of the configuration bound (Bounds.ConfigMs), is how long the client listener waits for the
-// first routing plan; firstPlanChecks is the number of checks in that time. A longer wait would delay a node
-// that can't reach the control nodes, and that should reject requests with a proper response instead.
+// firstPlanRatio is the fraction of Bounds.ConfigMs (the time within which a new configuration takes effect) for
+// which a starting node waits for its first routing plan before it accepts clients; firstPlanChecks is the number
+// of checks in that time. A node that can't reach the control nodes shouldn't wait longer, but answer requests with
+// an error.
 const (
 	firstPlanRatio  = 0.25
 	firstPlanChecks = 25
 )
 
-// HTTP limits used when no routing plan sets any. Time-outs are ratios of the bound on healing (Bounds.HealMs).
+// HTTP limits that apply if the first routing plan sets none or comes too late. The time-outs are fractions of
+// Bounds.HealMs, the time within which service must be restored after a fault.
 const (
 	defaultHeaderBytes      = 16 << 10
 	headerTimeoutRatio      = 0.25
@@ -94,8 +97,9 @@
 )
 
 // A retry after a 421 response (the worker's address now belongs to another worker) also needs a token from a
-// second budget, which all services share. Such attempts load the service that now has the address, and that
-// service's own retry budget doesn't limit them. Both constants are ratios of the retry budget's settings.
+// second retry budget, which all services share. Such attempts load the service that now has the address, and that
+// service's own retry budget doesn't limit them. The constants are the ratios of this budget's settings (retries per
+// request, and allowance beside them) to those of a service's retry budget.
 const (
 	misdirectedRatio          = 0.1
 	misdirectedAllowanceRatio = 0.5
@@ -130,7 +134,7 @@
 	meter.Counter("pebbleloom_resumed_total", "streams that another worker continued", func() float64 { return float64(s.resumedStreams.Load()) })
 }
 
-// start opens both listeners and serves in the background until the process stops.
+// start opens the listeners for clients and for readiness checks, and serves in the background until the process stops.
 func (s *server) start() error {
 	front, err := s.process.Listen(s.process.Settings.Public)
 	if err != nil {
@@ -186,9 +190,10 @@
 // malformed requests.
 func discardLogger() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// awaitLimits returns the HTTP limits of the first routing plan if it comes within firstPlanRatio, and the
-// default limits otherwise. If key revocation is enforced, the plan must also be proven to be the newest. In the
-// meantime connections wait in the listen queue, so that early requests are delayed instead of rejected.
+// awaitLimits returns the HTTP limits of the first routing plan if the plan comes within firstPlanRatio of
+// Bounds.ConfigMs, and the default limits otherwise. If key revocation is enforced, the control nodes must also have
+// attested that the plan is the newest. In the meantime client connections wait in the listen queue, so that early
+// requests are delayed instead of rejected.
 func (s *server) awaitLimits() routingconfig.Limits {
 	bounds := s.process.Settings.Bounds
 	pause := bounds.Config(firstPlanRatio / firstPlanChecks)
@@ -231,8 +236,8 @@
 	return nil
 }
 
-// drain shuts the server down gracefully: readiness checks fail at once, new requests are accepted until the
-// lame-duck period ends, and requests in flight may finish within the drain period after it.
+// drain shuts the server down gracefully: readiness checks fail at once, new requests are accepted for lameDuckRatio
+// of the grace period, and requests in flight may then finish within drainRatio of it.
 func (s *server) drain(ctx context.Context, front *http.Server) {
 	s.draining.Store(true)
 	clock.Sleep(ctx, settings.Fraction(s.siteSettings.GraceMs, lameDuckRatio))
@@ -245,8 +250,9 @@
 	s.conns.transport.CloseIdleConnections()
 }
 
-// planRetryAfterRatio, of the configuration bound (Bounds.ConfigMs), is the Retry-After value for a request that
-// this node can't route or authenticate until it has a newer routing plan or a newer proof.
+// planRetryAfterRatio is the fraction of Bounds.ConfigMs (the time within which a new configuration takes effect)
+// that is sent as Retry-After to a client whose request this node can't route or authenticate until it has a newer
+// routing plan, or a newer proof that its plan is the newest.
 const planRetryAfterRatio = 0.1
 
 func (s *server) planRetryAfter() time.Duration {
--- a/internal/data/proxy/stoppedprocess_test.go
+++ b/internal/data/proxy/stoppedprocess_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// sendStrayData sends on each connection something that the proxy must not take for a response: a response to an earlier
-// request, garbage, a FIN or a reset.
+// sendStrayData sends on each connection something that the proxy must not take for a response: a response to an
+// earlier request, garbage, a FIN or a reset.
 func (worker *blockingWorker) sendStrayData() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
--- a/internal/data/proxy/workerconn.go
+++ b/internal/data/proxy/workerconn.go
@@ -16,19 +16,19 @@
 )
 
 // workerConn is a connection to a worker that one attempt, its holder, uses at a time. It guarantees two things:
-// it knows whether any byte of the holder's request may have left this node, and Read never returns a byte
-// that the worker sent before the holder's request began to leave.
+// it knows whether any byte of the holder's request may have been sent, and Read never returns a byte that came
+// before the first byte of the holder's request was sent.
 type workerConn struct {
 	net.Conn
 	raw     syscall.RawConn // raw access to the socket; nil if Conn isn't a socket
 	onClose func()          // called once, at the first Close
 
 	mu            sync.Mutex
-	changed       sync.Cond // signals that closed or reading was set
+	changed       sync.Cond // signaled when closed or reading is set
 	closed        bool
 	reading       bool // a Read is in progress; all bytes received before it have been consumed
 	pendingWrites int  // number of Write calls in progress
-	wroteBytes    bool // the kernel has accepted bytes of the holder's request
+	wroteBytes    bool // the kernel has accepted bytes of the request of the attempt in holder
 	holder        any  // the *attempt that uses the connection; nil: idle
 	idleTimer     *time.Timer
 	keepAlive     time.Duration // how long the worker keeps the connection open while idle
@@ -99,7 +99,7 @@
 		return true
 	})
 	switch {
-	case pollErr != nil: // the connection was closed, or its deadline passed, before any byte came
+	case pollErr != nil: // the connection was closed, or its read deadline passed, before any byte came
 		c.mu.Lock()
 		c.reading = false
 		c.mu.Unlock()
@@ -147,7 +147,7 @@
 	return c.Conn.Close()
 }
 
-// acquire makes the given attempt the connection's holder.
+// acquire makes the given attempt the connection's holder, the only one that may use it.
 func (c *workerConn) acquire(holder any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,8 +190,8 @@
 	return unread || err != nil
 }
 
-// release makes the connection idle and closes it after keepAlive, unless another attempt acquires it before. It
-// does nothing if another attempt holds the connection already.
+// release makes the connection idle and closes it after keepAlive, unless another attempt acquires it before. If
+// another attempt than the given holder already uses the connection, it does nothing.
 func (c *workerConn) release(holder any, keepAlive time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,13 +210,13 @@
 	c.mu.Lock()
 	idle := c.holder == nil
 	c.mu.Unlock()
-	if idle { // an attempt that acquires it right now can't write any byte, and uses another connection
+	if idle { // an attempt that acquires the connection at this moment can't write to it any more, and uses another one
 		c.Close()
 	}
 }
 
-// discard closes the connection, and reports whether it is proven that nothing of the holder's request was sent:
-// the kernel accepted no byte and will accept none. If another attempt holds the connection by now, discard
+// discard closes the connection, and reports whether provably nothing of the holder's request was sent: the kernel
+// accepted no byte and will accept none. If another attempt holds the connection by now, discard
 // leaves it open and returns false.
 func (c *workerConn) discard(holder any) (nothingSent bool) {
 	c.mu.Lock()
