--- a/internal/data/proxy/connpool.go
+++ b/internal/data/proxy/connpool.go
@@ -11,14 +11,14 @@
 	"pebbleloom/internal/errs"
 )
 
-// Settings of the HTTP transport to the workers.
+// Settings of the http.Transport for connections to the workers.
 const (
 	maxIdleConnsPerWorker  = 1 << 10 // more than any edge node may open to a worker, so that only the keep-alive time-out closes idle connections
 	maxResponseHeaderBytes = 64 << 10
 	connBufferBytes        = 4 << 10
 )
 
-// TCP keep-alive settings of connections to workers. The times are ratios of Bounds.LeaveMs, the time within which
+// TCP keep-alive settings of connections to workers. The times are fractions of Bounds.LeaveMs, the time within which
 // a worker that left stops getting requests.
 const (
 	tcpKeepAliveIdleRatio     = 2.0 / 3
--- a/internal/data/proxy/eventsplitter.go
+++ b/internal/data/proxy/eventsplitter.go
@@ -122,7 +122,7 @@
 	id, hasData := s.currentID, s.hasData
 	s.currentID, s.hasData = "", false
 	switch {
-	case id == "" && !hasData: // no event: only comments or other fields
+	case id == "" && !hasData: // the blank line ends only comments or other fields, which are no event
 	case id != "" && (s.lastID == "" || idIncreases(s.lastID, id)):
 		s.lastID, s.canResume = id, isNumericID(id)
 	case s.resuming:
--- a/internal/data/proxy/handler.go
+++ b/internal/data/proxy/handler.go
@@ -107,7 +107,7 @@
 	return req.spendRetryBudget()
 }
 
-// depositRetryTokens credits the request to the retry budgets, which limit retries to a ratio of the requests.
+// depositRetryTokens credits the request to the retry budgets, which limit retries to a fraction of the requests.
 func (req *request) depositRetryTokens() {
 	edges := req.server.Snapshot().EdgeCount
 	req.server.retryBudgets.Deposit(req.selection.Service, edges)
--- a/internal/data/proxy/headers.go
+++ b/internal/data/proxy/headers.go
@@ -47,13 +47,14 @@
 // idempotencyKeys lists the header fields whose presence makes net/http treat a request as idempotent.
 var idempotencyKeys = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// proxyOnly lists the request header fields that only the proxy may set, and Authorization, which workers must not see.
+// proxyOnly lists the request header fields that only the proxy may set, and Authorization, which workers must not
+// see.
 func (h *Headers) proxyOnly() []string {
 	return []string{"Authorization", h.Tenant, h.ExpectedInstance, h.Priority, h.CacheSalt, h.FetchFrom, h.SaveTo, h.TimeRemaining}
 }
 
-// endToEnd lists the header fields that are forwarded even if the Connection field names them: otherwise a client could
-// suppress them by declaring them hop-by-hop.
+// endToEnd lists the header fields that are forwarded even if the Connection field names them: otherwise a client
+// could suppress them by declaring them hop-by-hop.
 func (h *Headers) endToEnd() []string {
 	return []string{h.ID, h.ExpectedVersion, h.Model, h.TokenUsage, h.PromptParts, h.LastEventID, h.NotExecuted, h.Seal, h.Load, h.WeightVersions,
 		"Host", "Content-Length", "Content-Type", "Content-Encoding"}
@@ -114,7 +115,8 @@
 	return header
 }
 
-// setChoice sets the request header fields that tell the worker what the selector decided.
+// setChoice sets the request header fields that pass the selector's choice (the worker, its model weights, the prompt
+// cache addresses and the priority) on to the worker.
 func (req *request) setChoice(to http.Header, choice selection.Choice) {
 	headers := &req.server.Headers
 	setIfAny(to, headers.ExpectedInstance, choice.Worker.ID)
--- a/internal/data/proxy/readiness.go
+++ b/internal/data/proxy/readiness.go
@@ -38,9 +38,10 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// isReady reports whether this node has a routing plan, has a fresh proof that the plan is the newest (required
-// only if key revocation is enforced), and has seen a worker of a service with a route at least once. Workers that
-// leave later don't make it unready: moving clients to another edge node wouldn't bring the workers back.
+// isReady reports whether this node has a routing plan, has a fresh proof of the control nodes that the plan is the
+// newest (required only if key revocation is enforced), and has seen a worker of a service with a route at least
+// once. Workers that leave later don't make it unready: moving clients to another edge node wouldn't bring the
+// workers back.
 func (s *server) isReady() bool {
 	snapshot := s.Snapshot()
 	if snapshot == nil || snapshot.Plan == nil || s.draining.Load() {
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -30,11 +30,11 @@
 	body           []byte
 	chunked        bool            // the body came with chunked transfer encoding and is forwarded that way
 	reservedMemory int64           // bytes of server.reservedMemory that this request has reserved
-	tried          map[string]bool // IDs of the workers that were selected for an attempt
+	tried          map[string]bool // IDs of the workers that were selected for an attempt of this request
 
 	attemptsSent       int               // attempts of which some bytes may have been sent to a worker
 	attemptsNotSent    int               // attempts of which provably no byte was sent to a worker
-	retriesGranted     int               // attempts beyond the first that the retry budget has permitted
+	retriesGranted     int               // attempts beyond the first that the service's retry budget has permitted
 	mayHaveExecuted    bool              // some worker may have executed the request
 	capacityExpectedIn time.Duration     // estimated time until a worker has a free slot; 0: unknown
 	fallback           *bufferedResponse // error response of a worker, relayed if no attempt completes; nil: none received
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -46,13 +46,13 @@
 	siteSettings      *settings.Site
 	conns             *connPool
 	retryBudgets      *retrybudget.ByService
-	misdirectedBudget *retrybudget.Budget // limits retries after a 421; shared by all services
+	misdirectedBudget *retrybudget.Budget // limits retries after a 421 (Misdirected Request); shared by all services
 	memoryLimit       int64               // maximum of reservedMemory, in bytes
 	reservedMemory    atomic.Int64        // bytes reserved by requests in flight
 	inFlight          atomic.Int64        // number of requests in flight
 	retries           atomic.Int64        // attempts sent to workers beyond the first attempt of each request
 	resumedStreams    atomic.Int64        // event streams that were continued by another worker
-	draining          atomic.Bool         // set on shutdown, never reset
+	draining          atomic.Bool         // set when the shutdown begins, never reset
 	wasReady          atomic.Bool         // set once a worker of a service with a route was seen, never reset
 	bufferPool        sync.Pool           // buffers for relaying response bodies: *[]byte with a length of relayBufferBytes
 }
@@ -67,7 +67,7 @@
 	relayBufferBytes = 8 << 10
 )
 
-// Phases of graceful shutdown, as ratios of the platform's grace period (settings.Site.GraceMs). Their sum
+// Phases of graceful shutdown, as fractions of the platform's grace period (settings.Site.GraceMs). Their sum
 // must stay below 1, so that the process exits before the platform kills it.
 const (
 	// lameDuckRatio is the fraction of the grace period during which new requests are still accepted after the shutdown
@@ -134,7 +134,8 @@
 	meter.Counter("pebbleloom_resumed_total", "streams that another worker continued", func() float64 { return float64(s.resumedStreams.Load()) })
 }
 
-// start opens the listeners for clients and for readiness checks, and serves in the background until the process stops.
+// start opens the listeners for clients and for readiness checks, and serves in the background until the process
+// stops.
 func (s *server) start() error {
 	front, err := s.process.Listen(s.process.Settings.Public)
 	if err != nil {
