--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -19,7 +19,7 @@
 	"pebbleloom/internal/settings"
 )
 
-// step is a point in the exchange of a request and its response, as seen by the worker.
+// step is a point in the exchange of a request and its response at which a test worker injects a fault.
 type step int
 
 const (
@@ -30,27 +30,27 @@
 	firstByteSent                // one byte of the response was sent
 	halfHeadSent                 // half of the response's header was sent
 	halfBodySent                 // half of the response's body was sent
-	responseSent                 // the complete response was sent, with the surplus bytes of the fault in the same write
+	responseSent                 // the complete response was sent, together with the surplus bytes if the fault sends any
 	afterResponse                // the client has received the response
 	stepCount
 )
 
 func (s step) String() string {
-	return [stepCount]string{"connected", "header received", "half of the body received", "body received", "first byte sent", "half of the header sent", "half of the body sent", "response sent", "after the response"}[s]
+	return [stepCount]string{"connected", "request header received", "half of the request body received", "request body received", "first byte of the response sent", "half of the response header sent", "half of the response body sent", "response sent", "after the response was received"}[s]
 }
 
-// fault is a kind of misbehavior of a worker.
+// fault is a kind of misbehavior of a test worker.
 type fault int
 
 const (
-	hang fault = iota
-	reset
-	closeWrite // a FIN in place of the rest of the response
-	extraBytes // bytes that aren't HTTP; the connection stays open
-	duplicateResponse
-	staleResponse // a response to an earlier request
-	wrongID       // a response to another request, and then no more bytes
-	garbage       // bytes that aren't HTTP, and then the connection is closed
+	hang              fault = iota // the worker sends nothing more and keeps the connection open
+	reset                          // the worker resets the TCP connection
+	closeWrite                     // the worker sends a FIN in place of the rest of the response
+	extraBytes                     // the worker sends bytes that aren't HTTP, and keeps the connection open
+	duplicateResponse              // the worker sends its response twice
+	staleResponse                  // the worker sends a response to an earlier request
+	wrongID                        // the worker sends a response to another request, and then nothing more
+	garbage                        // the worker sends bytes that aren't HTTP, and closes the connection
 	faultCount
 )
 
@@ -59,24 +59,24 @@
 }
 
 // adversary is a worker on a real socket that injects faults as its plan says. It counts the requests that it
-// executed, and those that came on connections that should not have been reused.
+// executed, and those that came on connections on which it had sent unsolicited bytes.
 type adversary struct {
 	fleet.Worker
 	t                *testing.T
-	plan             func(id string, served int) (step, fault, bool) // returns the fault to inject and its step, by the request's ID ("" before a request has come) and the number of requests served on the connection
-	faultDone        chan struct{}                                   // closed once a fault was injected
+	plan             func(id string, served int) (step, fault, bool) // returns the step and the fault to inject, given the request's ID ("" before a request has come) and the number of requests served on the connection
+	faultDone        chan struct{}                                   // closed once the worker has injected a fault
 	responseReceived chan struct{}                                   // closed by the test once the client has its response
 
-	mu                  sync.Mutex
-	once                sync.Once
-	runs                map[string]int // executions by request ID
-	requestsAfterStrays int            // requests received on connections on which unsolicited bytes had been sent
+	mu                       sync.Mutex
+	once                     sync.Once
+	runs                     map[string]int // number of executions by request ID
+	requestsAfterUnsolicited int            // requests received on connections on which unsolicited bytes had been sent
 }
 
 func newAdversary(t *testing.T, id string, plan func(string, int) (step, fault, bool)) *adversary {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatalf("listen as worker %s: %v", id, err)
+		t.Fatalf("listen on loopback as test worker %s: %v", id, err)
 	}
 	a := &adversary{Worker: fleet.Worker{ID: id, Service: "s", Addr: listener.Addr().String(), Slots: 8}, t: t, plan: plan,
 		faultDone: make(chan struct{}), responseReceived: make(chan struct{}), runs: map[string]int{}}
@@ -99,15 +99,15 @@
 // adversaryConn is a connection that an adversary accepted.
 type adversaryConn struct {
 	net.Conn
-	adversary     *adversary
-	br            *bufio.Reader
-	served        int
-	faultInjected bool
-	sentStrays    bool // unsolicited bytes were sent together with a response
-	ended         bool
+	adversary       *adversary
+	br              *bufio.Reader
+	served          int
+	faultInjected   bool
+	sentUnsolicited bool // the worker has sent unsolicited bytes in the same write as a response
+	ended           bool
 }
 
-// serve answers the requests of a connection one after another, and injects the planned fault at its step.
+// serve answers the requests of a connection one after another, and injects the planned fault at the planned step.
 func (a *adversary) serve(conn *adversaryConn) {
 	defer conn.Close()
 	for !conn.ended {
@@ -118,9 +118,9 @@
 		if err != nil {
 			return
 		}
-		if conn.sentStrays {
+		if conn.sentUnsolicited {
 			a.mu.Lock()
-			a.requestsAfterStrays++
+			a.requestsAfterUnsolicited++
 			a.mu.Unlock()
 		}
 		conn.serveRequest(r)
@@ -174,7 +174,7 @@
 	}
 	if s, f, ok := c.adversary.plan(id, c.served); ok && s == responseSent && (f == extraBytes || f == duplicateResponse || f == staleResponse || f == wrongID) {
 		_, _ = c.Write(append(out[from:len(out):len(out)], surplusBytes(f, out)...)) // in the same write, so that the proxy reads both at once
-		c.faultInjected, c.sentStrays = true, true
+		c.faultInjected, c.sentUnsolicited = true, true
 		return
 	}
 	if _, err := c.Write(out[from:]); err != nil {
@@ -190,7 +190,8 @@
 	}
 }
 
-// surplusBytes returns the unsolicited bytes that a fault sends. own is the correct response, if there is one.
+// surplusBytes returns the unsolicited bytes that a fault sends. own is the correct response to the current request;
+// nil: no request has come yet.
 func surplusBytes(f fault, own []byte) []byte {
 	switch f {
 	case extraBytes:
@@ -206,7 +207,7 @@
 	return plainResponse("stranger")
 }
 
-// injectFaultAt injects the planned fault if this is its step and the connection hasn't had a fault yet.
+// injectFaultAt injects the planned fault if currentStep is its step and no fault was injected on the connection yet.
 func (c *adversaryConn) injectFaultAt(currentStep step, id string, own []byte) {
 	plannedStep, kind, ok := c.adversary.plan(id, c.served)
 	if !ok || plannedStep != currentStep || c.faultInjected {
@@ -238,7 +239,7 @@
 	if c.ended {
 		c.Close()
 	}
-	if c.ended || currentStep == connected { // otherwise the rest of the response is sent first
+	if c.ended || currentStep == connected { // at other steps, serve closes faultDone once it has sent the rest of the response
 		c.adversary.once.Do(func() { close(c.adversary.faultDone) })
 	}
 }
@@ -276,7 +277,7 @@
 	return all
 }
 
-// loopbackSite is an edge node with its workers on loopback sockets.
+// loopbackSite is a proxy whose clients and workers are connected to it by loopback sockets.
 type loopbackSite struct {
 	t        *testing.T
 	server   *server
@@ -303,7 +304,7 @@
 	snapshot := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), EdgeCount: 1, Workers: workers}
 	site.server = newServer(process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: func() *fleet.Snapshot { return snapshot }, Selector: site.selector})
 	if err := site.server.start(); err != nil {
-		t.Fatalf("start the proxy: %v", err)
+		t.Fatalf("start the proxy on loopback sockets: %v", err)
 	}
 	t.Cleanup(func() { process.Stop(time.Millisecond) })
 	return site
--- a/internal/data/proxy/bench_test.go
+++ b/internal/data/proxy/bench_test.go
@@ -15,19 +15,19 @@
 	"pebbleloom/internal/settings"
 )
 
-// dialLoopbackSite starts an edge node with one worker on loopback sockets, and connects a client to it.
+// dialLoopbackSite starts a proxy with one worker on loopback sockets, and connects a client to it.
 func dialLoopbackSite(b *testing.B, respond workerScript) *clientConn {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		b.Fatalf("listen as worker: %v", err)
+		b.Fatalf("listen on loopback as the worker: %v", err)
 	}
 	worker := &testWorker{script: func(conn net.Conn, r *http.Request, s string) bool { return respond(conn, r, s) }}
 	worker.Worker = fleet.Worker{ID: "w0", Service: "s", Addr: listener.Addr().String(), Slots: 8}
 	go worker.serve(listener)
 	frontListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		b.Fatalf("listen for clients: %v", err)
+		b.Fatalf("listen on loopback for clients of the proxy: %v", err)
 	}
 	processSettings := settings.Process{Name: "e1", Zone: "d", Listen: "127.0.0.1:0", Public: "front", Bounds: settings.DefaultBounds(), Options: []string{"log=off"},
 		Site: &settings.Site{ReadinessListen: "127.0.0.1:0", MemoryLimitMB: 256, GraceMs: 10, TransitMs: 120}}
@@ -45,7 +45,7 @@
 	}
 	conn, err := net.Dial("tcp", frontListener.Addr().String())
 	if err != nil {
-		b.Fatalf("dial the proxy: %v", err)
+		b.Fatalf("dial the proxy as a client: %v", err)
 	}
 	b.Cleanup(func() { conn.Close(); listener.Close(); process.Stop(time.Second) })
 	return &clientConn{conn, bufio.NewReader(conn)}
@@ -58,10 +58,10 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := io.WriteString(client, text); err != nil {
-			b.Fatalf("send request: %v", err)
+			b.Fatalf("send benchmark request: %v", err)
 		}
 		if response := client.readReply("POST"); response.status != 200 {
-			b.Fatalf("got response %+v, want status 200", response)
+			b.Fatalf("benchmark request: got response %+v, want status 200", response)
 		}
 	}
 }
@@ -78,14 +78,14 @@
 		return true
 	})
 	if _, err := io.WriteString(client, strings.Replace(postRequest("resume", "a1", "b"), "4000", "9000000", 1)); err != nil {
-		b.Fatalf("send request: %v", err)
+		b.Fatalf("send request for an event stream: %v", err)
 	}
 	got := make([]byte, len(streamedEvent(1000000)))
 	n := 1000000
 	next <- chunk(streamedEvent(n))
 	a, err := http.ReadResponse(client.br, nil)
 	if err != nil {
-		b.Fatalf("read response header: %v", err)
+		b.Fatalf("read header of the event stream: %v", err)
 	}
 	_, _ = io.ReadFull(a.Body, got)
 	b.ReportAllocs()
@@ -93,7 +93,7 @@
 		n++
 		next <- chunk(streamedEvent(n))
 		if _, err := io.ReadFull(a.Body, got); err != nil {
-			b.Fatalf("read event %d: %v", n, err)
+			b.Fatalf("read event %d of the event stream: %v", n, err)
 		}
 	}
 	close(next)
--- a/internal/data/proxy/faults_test.go
+++ b/internal/data/proxy/faults_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Client deadlines of the fault tests.
+// Client deadlines of the requests in fault tests.
 const (
-	shortDeadline = 150 * time.Millisecond // for requests to which the worker never responds
-	longDeadline  = 10 * time.Second
+	shortDeadline = 150 * time.Millisecond // client deadline of requests to which the worker never responds
+	longDeadline  = 10 * time.Second       // client deadline of requests that get a response
 )
 
 // checkReply checks the invariants of a request: a request that isn't idempotent is executed at most once, no
@@ -26,7 +26,7 @@
 		t.Errorf("request %q got the response to request %q", id, response.header.Get("Go-Id"))
 	}
 	if response.status == 200 && response.err == nil && response.body != completeBody(route, id) {
-		t.Errorf("request %q got a wrong body without an error: got %q, want %q", id, response.body, completeBody(route, id))
+		t.Errorf("request %q: got body %q without an error, want %q", id, response.body, completeBody(route, id))
 	}
 }
 
@@ -63,24 +63,24 @@
 	site := newLoopbackSite(t, faulty.Worker, working.Worker)
 	if c.reused {
 		if response := site.send("repeat", "warm", longDeadline); response.status != 200 || response.body != "of warm" {
-			t.Fatalf("request that opens the connection: got response %+v, want status 200 with body %q", response, "of warm")
+			t.Fatalf("request that opens the connection for the next one: got response %+v, want status 200 with body %q", response, "of warm")
 		}
 		if c.step == connected {
 			<-faulty.faultDone
 		}
 	}
-	response := site.send(c.route, "victim", c.victimDeadline())
+	response := site.send(c.route, "affected", c.affectedDeadline())
 	close(faulty.responseReceived)
-	c.checkVictim(t, response, faulty.executions("victim")+working.executions("victim"))
+	c.checkAffected(t, response, faulty.executions("affected")+working.executions("affected"))
 	<-faulty.faultDone
 	c.checkNext(t, site, faulty, working)
-	if faulty.mu.Lock(); faulty.requestsAfterStrays > 0 {
-		t.Errorf("%d requests were sent on connections with unsolicited bytes, want 0", faulty.requestsAfterStrays)
+	if faulty.mu.Lock(); faulty.requestsAfterUnsolicited > 0 {
+		t.Errorf("%d requests were sent on connections on which unsolicited bytes had come, want 0", faulty.requestsAfterUnsolicited)
 	}
 	faulty.mu.Unlock()
 }
 
-// newFaultyWorker starts a worker that injects the fault once: while it serves the request "victim", or on the
+// newFaultyWorker starts a worker that injects the fault once: while it serves the request "affected", or on the
 // connection on which that request will be sent.
 func (c faultCase) newFaultyWorker(t *testing.T) *adversary {
 	servedBefore := 0
@@ -91,16 +91,16 @@
 	faulty = newAdversary(t, "w0", func(id string, served int) (step, fault, bool) {
 		select {
 		case <-faulty.faultDone:
-			return c.step, c.fault, id == "victim"
+			return c.step, c.fault, id == "affected"
 		default:
 		}
-		return c.step, c.fault, id == "victim" || id == "" && served == servedBefore
+		return c.step, c.fault, id == "affected" || id == "" && served == servedBefore
 	})
 	return faulty
 }
 
-// victimDeadline returns the deadline of the request "victim": short if the worker leaves it without a response.
-func (c faultCase) victimDeadline() time.Duration {
+// affectedDeadline returns the deadline of the request "affected": short if the worker leaves it without a response.
+func (c faultCase) affectedDeadline() time.Duration {
 	if (c.fault == hang || c.fault == wrongID) && c.step < responseSent {
 		return shortDeadline
 	}
@@ -120,21 +120,21 @@
 	return false
 }
 
-func (c faultCase) checkVictim(t *testing.T, response reply, runs int) {
+func (c faultCase) checkAffected(t *testing.T, response reply, runs int) {
 	t.Helper()
 	if !c.isUndetectable() {
-		checkReply(t, c.route, "victim", response, runs)
+		checkReply(t, c.route, "affected", response, runs)
 	}
 	if response.status == 200 && runs == 0 && c.step >= bodyReceived {
-		t.Errorf("request \"victim\" got status %d, but no worker executed it", response.status)
+		t.Errorf("request during which the fault was injected: got status %d, but no worker executed it", response.status)
 	}
 	if c.step >= responseSent && (response.status != 200 || response.err != nil) && (c.fault != reset || c.step == afterResponse) {
 		t.Errorf("worker sent its complete response before the fault: client got %+v, want status 200 without error", response)
 	}
 }
 
-// checkNext sends another request and checks its response. If the worker hangs after its complete response, this
-// request is the first to notice, and ends with a 504.
+// checkNext sends another request and checks its response. If the worker hangs after its complete response,
+// only this next request is affected, and must end with a 504.
 func (c faultCase) checkNext(t *testing.T, site *loopbackSite, faulty, working *adversary) {
 	t.Helper()
 	wait, want := longDeadline, 200
--- a/internal/data/proxy/search_test.go
+++ b/internal/data/proxy/search_test.go
@@ -12,15 +12,15 @@
 	"pebbleloom/internal/fleet"
 )
 
-// Size of the randomized test, and its fault rates.
+// Size and fault rates of the randomized test TestSearchForAnswersGoneWrong.
 const (
-	searchSeeds    = 2 // number of seeds, unless POINT5_SEEDS sets another
-	searchClients  = 24
-	searchRequests = 30 // requests per client
-	searchWorkers  = 3
-	searchConns    = 4                      // maximum connections to each worker
-	faultRatio     = 0.2                    // ratio of requests at which a worker injects a fault
-	hangRatio      = 0.1                    // ratio of the injected faults that are hangs
+	searchSeeds    = 2                      // number of seeds, unless the environment variable POINT5_SEEDS sets another number
+	searchClients  = 24                     // number of concurrent clients
+	searchRequests = 30                     // number of requests that each client sends
+	searchWorkers  = 3                      // number of workers
+	searchConns    = 4                      // maximum number of connections from the proxy to each worker
+	faultRatio     = 0.2                    // fraction of requests at which a worker injects a fault
+	hangRatio      = 0.1                    // fraction of the injected faults that are hangs
 	searchDeadline = 400 * time.Millisecond // deadline of each client request
 )
 
@@ -62,12 +62,12 @@
 			total[status] += n
 		}
 		if t.Failed() {
-			t.Fatalf("invariants violated with seed %d", seed)
+			t.Fatalf("seed %d: responses or executions violate the invariants reported above", seed)
 		}
 	}
-	t.Logf("%d seeds with %d requests each; number of responses by status (0: incomplete or none): %v", seeds, searchClients*searchRequests, total)
+	t.Logf("random worker faults: %d seeds with %d requests each; number of responses by status (0: incomplete or none): %v", seeds, searchClients*searchRequests, total)
 	if total[200] < seeds*searchClients*searchRequests/3 {
-		t.Errorf("got %d responses with status 200, want at least a third of %d requests; by status: %v", total[200], seeds*searchClients*searchRequests, total)
+		t.Errorf("random worker faults: got %d responses with status 200, want at least a third of %d requests; by status: %v", total[200], seeds*searchClients*searchRequests, total)
 	}
 }
 
@@ -107,8 +107,8 @@
 	}
 	all.Wait()
 	for _, faultyWorker := range faulty {
-		if faultyWorker.mu.Lock(); faultyWorker.requestsAfterStrays > 0 {
-			t.Errorf("worker %s: %d requests came on connections with unsolicited bytes, want 0", faultyWorker.ID, faultyWorker.requestsAfterStrays)
+		if faultyWorker.mu.Lock(); faultyWorker.requestsAfterUnsolicited > 0 {
+			t.Errorf("worker %s: %d requests came on connections on which it had sent unsolicited bytes, want 0", faultyWorker.ID, faultyWorker.requestsAfterUnsolicited)
 		}
 		faultyWorker.mu.Unlock()
 	}
--- a/internal/data/proxy/stoppedprocess_test.go
+++ b/internal/data/proxy/stoppedprocess_test.go
@@ -35,13 +35,13 @@
 
 // blockingWorker responds to each request at once, except to the request "held", which waits for release.
 type blockingWorker struct {
-	mu                  sync.Mutex
-	runs                map[string]int
-	hasStrayData        map[net.Conn]bool // connections on which sendStrayData has sent unsolicited bytes, a FIN or a reset
-	requestsAfterStrays int               // number of requests received on connections in hasStrayData
-	conns               []net.Conn
-	blocked             chan struct{} // closed when the request "held" has been received
-	release             chan struct{} // closed by the test to let the worker respond to "held"
+	mu                       sync.Mutex
+	runs                     map[string]int
+	sentUnsolicited          map[net.Conn]bool // connections on which sendUnsolicitedData has sent unsolicited bytes, a FIN or a reset
+	requestsAfterUnsolicited int               // number of requests received on connections in sentUnsolicited
+	conns                    []net.Conn
+	blocked                  chan struct{} // closed when the request "held" has been received
+	release                  chan struct{} // closed by the test to let the worker respond to "held"
 }
 
 func (worker *blockingWorker) serve(listener net.Listener) {
@@ -70,8 +70,8 @@
 		id := r.Header.Get("Go-Id")
 		worker.mu.Lock()
 		worker.runs[id]++
-		if worker.hasStrayData[conn] {
-			worker.requestsAfterStrays++
+		if worker.sentUnsolicited[conn] {
+			worker.requestsAfterUnsolicited++
 		}
 		worker.mu.Unlock()
 		if id == "held" {
@@ -84,13 +84,13 @@
 	}
 }
 
-// sendStrayData sends on each connection something that the proxy must not take for a response: a response to an
+// sendUnsolicitedData sends on each connection something that the proxy must not take for a response: a response to an
 // earlier request, garbage, a FIN or a reset.
-func (worker *blockingWorker) sendStrayData() {
+func (worker *blockingWorker) sendUnsolicitedData() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	for i, c := range worker.conns {
-		worker.hasStrayData[c] = true
+		worker.sentUnsolicited[c] = true
 		switch i % 4 {
 		case 0:
 			_, _ = c.Write(plainResponse("warm0"))
@@ -112,11 +112,11 @@
 	cmd.Env = append(os.Environ(), workerVariable+"="+worker)
 	in, err := cmd.StdinPipe()
 	if err != nil {
-		t.Fatalf("pipe to the proxy process's input: %v", err)
+		t.Fatalf("open a pipe to the proxy process's standard input: %v", err)
 	}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
-		t.Fatalf("pipe from the proxy process's output: %v", err)
+		t.Fatalf("open a pipe from the proxy process's standard output: %v", err)
 	}
 	if err := cmd.Start(); err != nil {
 		t.Fatalf("start the proxy process: %v", err)
@@ -132,7 +132,7 @@
 			return cmd.Process, addr
 		}
 	}
-	t.Fatal("proxy process ended before it printed its client address")
+	t.Fatal("proxy process ended before it printed the address for clients")
 	return nil, ""
 }
 
@@ -145,10 +145,10 @@
 	const conns, fresh, blockedDeadline = 8, 8, 2 * time.Second
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatalf("listen as worker: %v", err)
+		t.Fatalf("listen on loopback as the worker: %v", err)
 	}
 	defer listener.Close()
-	worker := &blockingWorker{runs: map[string]int{}, hasStrayData: map[net.Conn]bool{}, blocked: make(chan struct{}), release: make(chan struct{})}
+	worker := &blockingWorker{runs: map[string]int{}, sentUnsolicited: map[net.Conn]bool{}, blocked: make(chan struct{}), release: make(chan struct{})}
 	go worker.serve(listener)
 	process, front := startProxy(t, listener.Addr().String())
 	site := &loopbackSite{t: t, front: front}
@@ -162,7 +162,7 @@
 	select {
 	case <-worker.blocked:
 	case response := <-blocked:
-		t.Fatalf("request \"held\" was answered before the worker received it: %+v", response)
+		t.Fatalf("request to be in flight during the suspension got a response before the worker received it: %+v", response)
 	}
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatalf("send SIGSTOP to the proxy process: %v", err)
@@ -173,7 +173,7 @@
 	}
 	over := time.NewTimer(blockedDeadline + blockedDeadline/4)
 	close(worker.release)
-	worker.sendStrayData()
+	worker.sendUnsolicitedData()
 	replies := make([]reply, fresh)
 	for i := range fresh {
 		all.Go(func() { replies[i] = site.send("once", "fresh"+strconv.Itoa(i), longDeadline) })
@@ -194,7 +194,7 @@
 		}
 	}
 	checkReply(t, "once", "held", response, worker.runs["held"])
-	if worker.runs["held"] != 1 || worker.requestsAfterStrays > 0 {
-		t.Errorf("request \"held\" was executed %d times, want 1; %d requests came on connections with unsolicited bytes, want 0", worker.runs["held"], worker.requestsAfterStrays)
+	if worker.runs["held"] != 1 || worker.requestsAfterUnsolicited > 0 {
+		t.Errorf("request in flight during the suspension was executed %d times, want 1; %d requests came on connections on which the worker had sent unsolicited bytes, want 0", worker.runs["held"], worker.requestsAfterUnsolicited)
 	}
 }
