--- a/internal/data/proxy/client_test.go
+++ b/internal/data/proxy/client_test.go
@@ -15,8 +15,8 @@
 	status     int
 	header     http.Header
 	body       string
-	err        error // set if no response came or its body is incomplete
-	closesConn bool  // the response has "Connection: close"
+	err        error // not nil if no response came or its body is incomplete
+	closesConn bool  // the response has the header field "Connection: close"
 }
 
 // clientConn is a connection of a test client.
@@ -28,7 +28,7 @@
 func (s *testSite) dialClient() *clientConn {
 	c, err := s.network.Dial(context.Background(), "tcp", clientAddr)
 	if err != nil {
-		s.t.Fatalf("dial the client listener: %v", err)
+		s.t.Fatalf("dial the proxy's listener for clients: %v", err)
 	}
 	return &clientConn{c, bufio.NewReader(c)}
 }
@@ -69,7 +69,7 @@
 func (s *testSite) readinessStatus(path string) int {
 	c, err := s.network.Dial(context.Background(), "tcp", readinessAddr)
 	if err != nil {
-		s.t.Fatalf("dial the readiness listener: %v", err)
+		s.t.Fatalf("dial the proxy's listener for readiness checks: %v", err)
 	}
 	defer c.Close()
 	return (&clientConn{c, bufio.NewReader(c)}).roundTrip("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").status
--- a/internal/data/proxy/idlelimit_test.go
+++ b/internal/data/proxy/idlelimit_test.go
@@ -65,40 +65,42 @@
 		synctest.Wait()
 		time.Sleep(time.Second)
 		if response := s.send(postRequest("once", "a1", "b")); response.status != 200 {
-			t.Errorf("request with 9 idle connections beyond the limit: got response %+v, want status 200", response)
+			t.Errorf("request while 9 connections are idle for longer than the limit: got response %+v, want status 200", response)
 		}
 	})
 }
 
-// The idle limit must fall when a connection was dropped, and rise only after enough reuses beyond the limit.
+// The limit on the idle time of reused connections must fall when a worker has dropped an idle connection. It must
+// rise only after reusesToGrow consecutive successful reuses of connections that were idle for longer than the limit,
+// which only idempotent requests may use.
 func TestIdleLimitIsLearnt(t *testing.T) {
 	var limit idleLimit
 	if !limit.allows(time.Hour) {
-		t.Error("no dropped connection recorded: idle time of 1h is not allowed, want it allowed")
+		t.Error("no dropped connection recorded: reuse after an idle time of 1h is refused, want it allowed")
 	}
 	limit.recordDropped(4 * time.Second)
 	limit.recordDropped(10 * time.Second)
 	if !limit.allows(2*time.Second) || limit.allows(2*time.Second+1) {
-		t.Errorf("connections dropped after 4s and 10s: idle limit is %v, want 2s", limit.maxSafe)
+		t.Errorf("connections dropped after idle times of 4s and 10s: limit on the idle time is %v, want 2s", limit.maxSafe)
 	}
 	for range reusesToGrow {
-		limit.recordReuse(time.Second) // within the limit, so it gives no reason to raise it
+		limit.recordReuse(time.Second) // an idle time within the limit of 2 s gives no reason to raise the limit
 	}
 	if limit.allows(2*time.Second + 1) {
-		t.Errorf("reuses within the limit only: idle limit is %v, want 2s", limit.maxSafe)
+		t.Errorf("reuses after idle times within the limit only: limit on the idle time is %v, want 2s", limit.maxSafe)
 	}
 	for range reusesToGrow {
 		limit.recordReuse(3 * time.Second)
 	}
 	if !limit.allows(5 * time.Second / 2) {
-		t.Errorf("%d reuses after 3s: idle limit is %v, want 2.5s", reusesToGrow, limit.maxSafe)
+		t.Errorf("%d reuses after an idle time of 3s, above the limit of 2s: limit on the idle time is %v, want 2.5s", reusesToGrow, limit.maxSafe)
 	}
 	for range reusesToGrow - 1 {
 		limit.recordReuse(time.Minute)
 	}
-	limit.recordDropped(time.Minute) // resets the count of longer reuses
+	limit.recordDropped(time.Minute) // must reset the count of reuses above the limit, so that the next one doesn't raise it
 	limit.recordReuse(time.Minute)
 	if limit.allows(5*time.Second/2 + 1) {
-		t.Errorf("count of longer reuses interrupted by a dropped connection: idle limit is %v, want 2.5s", limit.maxSafe)
+		t.Errorf("reuses above the limit on the idle time, interrupted by a dropped connection: limit is %v, want 2.5s", limit.maxSafe)
 	}
 }
--- a/internal/data/proxy/pipenetwork_test.go
+++ b/internal/data/proxy/pipenetwork_test.go
@@ -7,7 +7,8 @@
 	"syscall"
 )
 
-// pipeNetwork connects a testSite by in-memory pipes: unlike sockets, these work inside a synctest bubble.
+// pipeNetwork connects the proxy under test to its clients and workers by in-memory pipes: unlike sockets, these work
+// inside a synctest bubble.
 type pipeNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
--- a/internal/data/proxy/retrybudget_test.go
+++ b/internal/data/proxy/retrybudget_test.go
@@ -40,19 +40,19 @@
 			s.server.misdirectedBudget.Deposit(1)
 		}
 		if response := s.send(postRequest("once", "a", "b")); response.status != 503 {
-			t.Errorf("all permitted attempts rejected: got response %+v, want status 503", response)
+			t.Errorf("workers reject every attempt that MaxAttempts permits: got response %+v, want status 503", response)
 		}
 		for i, worker := range s.workers {
 			if want := map[bool]int{true: 1}[i < 3]; worker.requestCount() != want {
-				t.Errorf("MaxAttempts 3: worker %d received %d requests, want %d", i, worker.requestCount(), want)
+				t.Errorf("workers reject all attempts of a route with MaxAttempts 3: worker %d received %d requests, want %d", i, worker.requestCount(), want)
 			}
 		}
 	})
 }
 
-// Retries after 421 responses must stay within misdirectedBudget even if the service's own budget permits more. The
-// addresses belong to workers of another service, which reject each request and look idle, so that unlimited
-// retries would load that service.
+// Retries after 421 responses must stay within their own budget (misdirectedBudget) even if the service's own
+// budget permits more. The addresses belong to workers of another service, which reject each request and look idle,
+// so that unlimited retries would load that service.
 func TestMisdirectedAttemptsAreFew(t *testing.T) {
 	moved := respondWith("HTTP/1.1 421 Misdirected Request\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	withSite(t, []workerScript{moved, moved, moved, moved}, func(s *testSite) {
--- a/internal/data/proxy/shutdown_test.go
+++ b/internal/data/proxy/shutdown_test.go
@@ -12,8 +12,9 @@
 	"pebbleloom/internal/fleet"
 )
 
-// An edge node that is shut down must fail its readiness checks at once, serve new requests during the lame-duck
-// period and close each client connection after its response, and must not interrupt requests in flight.
+// An edge node that is shut down must fail its readiness checks at once, still serve new requests in the lame-duck
+// period (lameDuckRatio) and close each client connection after its response, and must not interrupt requests in
+// flight.
 func TestGracefulShutdown(t *testing.T) {
 	var release chan struct{}
 	streamUntilReleased := func(conn net.Conn, r *http.Request, body string) bool {
@@ -47,17 +48,17 @@
 		}
 		for range 3 {
 			if response := site.send(postRequest("once", "a1", "b")); response.status != 200 || !response.closesConn || response.err != nil {
-				t.Errorf("new connection in the lame-duck period: got response %+v, want status 200 with Connection: close", response)
+				t.Errorf("request on a new connection in the lame-duck period: got response %+v, want status 200 with Connection: close", response)
 			}
 			time.Sleep(700 * time.Millisecond) // fake time of the synctest bubble
 		}
 		if response := persistent.roundTrip(postRequest("once", "a2", "b")); response.status != 200 || !response.closesConn {
-			t.Errorf("existing connection in the lame-duck period: got response %+v, want status 200 with Connection: close", response)
+			t.Errorf("request on an existing connection in the lame-duck period: got response %+v, want status 200 with Connection: close", response)
 		}
 		time.Sleep(time.Second)
 		if conn, err := site.network.Dial(t.Context(), "tcp", clientAddr); err == nil {
 			conn.Close()
-			t.Error("client connection was accepted after the lame-duck period, want it refused")
+			t.Error("new client connection was accepted after the lame-duck period, want it refused")
 		}
 		time.Sleep(2 * time.Second)
 		close(release)
@@ -66,7 +67,7 @@
 		}
 		grace := 8 * time.Second
 		if d := <-stopped; d < 4*time.Second || d > grace*9/10 {
-			t.Errorf("process stopped after %v, want at least 4s and at most 9/10 of the grace period of %v", d, grace)
+			t.Errorf("shutdown with a stream in flight took %v, want at least 4s and at most 9/10 of the grace period of %v", d, grace)
 		}
 		persistent.Close()
 		streaming.Close()
@@ -89,7 +90,7 @@
 		began := s.process.Clock.Now()
 		s.stop()
 		if d := s.process.Clock.Now() - began; d < 5*time.Second || d > 8*time.Second*9/10 {
-			t.Errorf("process stopped after %v, want at least 5s and at most 7.2s", d)
+			t.Errorf("shutdown with a request that outlasts the grace period of 8s took %v, want at least 5s and at most 7.2s", d)
 		}
 		if response := client.readReply("POST"); response.err == nil {
 			t.Errorf("request aborted by the shutdown: got response %+v, want an error", response)
@@ -98,8 +99,8 @@
 	})
 }
 
-// An edge node is ready if it has a routing plan and a fresh proof that the plan is the newest, and has seen a
-// worker of a routed service at least once.
+// An edge node is ready if it has a routing plan and a fresh proof of the control nodes that the plan is the
+// newest, and has seen a worker of a service with a route at least once.
 func TestReadiness(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(site *testSite) {
 		ws := site.snapshot.Load().Workers
@@ -108,13 +109,13 @@
 			set  func(snapshot *fleet.Snapshot)
 			want int
 		}{
-			{"no worker seen yet", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 503},
+			{"no worker seen since the start", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 503},
 			{"only a worker of a service without a route", func(snapshot *fleet.Snapshot) { snapshot.Workers = []fleet.Worker{{ID: "x", Service: "other"}} }, 503},
-			{"worker of a routed service", func(snapshot *fleet.Snapshot) { snapshot.Workers = ws }, 200},
+			{"a worker of a service with a route", func(snapshot *fleet.Snapshot) { snapshot.Workers = ws }, 200},
 			{"all workers have left", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 200},
-			{"proof older than the limit", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 5*time.Second }, 503},
-			{"fresh proof", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 4*time.Second }, 200},
-			{"no proof", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = 0 }, 503},
+			{"proof that the routing plan is the newest is too old", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 5*time.Second }, 503},
+			{"fresh proof that the routing plan is the newest", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 4*time.Second }, 200},
+			{"no proof that the routing plan is the newest", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = 0 }, 503},
 			{"no routing plan", func(snapshot *fleet.Snapshot) { snapshot.ProofAt, snapshot.Plan = site.process.Clock.Now(), nil }, 503},
 		} {
 			site.set(test.set)
@@ -134,19 +135,19 @@
 	withSite(t, []workerScript{respondWith(okResponse)}, func(site *testSite) {
 		bounds := site.process.Settings.Bounds
 		for _, test := range []struct {
-			name    string
-			revokes bool
-			proof   time.Duration // time until the proof comes
-			minWait time.Duration
-			maxWait time.Duration
+			name     string
+			enforced bool          // key revocation is enforced
+			proof    time.Duration // time until the proof comes that the routing plan is the newest
+			minWait  time.Duration
+			maxWait  time.Duration
 		}{
-			{"proof known at the start", true, 0, 0, 0},
-			{"proof after 100 ms", true, 100 * time.Millisecond, 100 * time.Millisecond, 130 * time.Millisecond},
-			{"no proof within the wait", true, time.Hour, bounds.Config(0.8 * firstPlanRatio), bounds.Config(firstPlanRatio)},
-			{"revocation not enforced", false, time.Hour, 0, 0},
+			{"routing plan proven newest at the start", true, 0, 0, 0},
+			{"routing plan proven newest after 100 ms", true, 100 * time.Millisecond, 100 * time.Millisecond, 130 * time.Millisecond},
+			{"routing plan not proven newest within the maximum wait", true, time.Hour, bounds.Config(0.8 * firstPlanRatio), bounds.Config(firstPlanRatio)},
+			{"key revocation not enforced", false, time.Hour, 0, 0},
 		} {
 			siteSettings := *site.server.siteSettings // a copy, because the running server reads the original
-			siteSettings.EnforceRevocation = test.revokes
+			siteSettings.EnforceRevocation = test.enforced
 			d := &server{Config: site.server.Config, process: site.process, siteSettings: &siteSettings}
 			if test.proof > 0 {
 				site.set(func(snapshot *fleet.Snapshot) { snapshot.ProofAt = 0 })
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -103,7 +103,7 @@
 		site.snapshot.Store(snap)
 		site.server = newServer(site.process, Config{Headers: testHeaders(), ReadyPath: "/up", Snapshot: site.snapshot.Load, Selector: site.selector})
 		if err := site.server.start(); err != nil {
-			t.Fatalf("start the proxy: %v", err)
+			t.Fatalf("start the proxy on in-memory connections: %v", err)
 		}
 		defer func() {
 			site.stop()
@@ -111,10 +111,10 @@
 			site.selector.mu.Lock()
 			defer site.selector.mu.Unlock()
 			if site.selector.openAttempts != 0 {
-				t.Errorf("RecordSent minus RecordOutcome calls at the selector: got %d, want 0", site.selector.openAttempts)
+				t.Errorf("attempts that were reported to the selector as sent, but without an outcome: got %d, want 0", site.selector.openAttempts)
 			}
 		}()
-		site.server.misdirectedBudget = retrybudget.New(1, 100) // ample, so that it limits no retry unless a test replaces it
+		site.server.misdirectedBudget = retrybudget.New(1, 100) // large enough to permit every retry after a 421, unless a test replaces this budget
 		run(site)
 	})
 }
