--- a/internal/data/proxy/eventsplitter_test.go
+++ b/internal/data/proxy/eventsplitter_test.go
@@ -16,15 +16,15 @@
 			for _, p := range []string{text[:i], text[i:j], text[j:]} {
 				b, err := splitter.feed([]byte(p))
 				if err != nil {
-					t.Fatalf("split at %d and %d: feed(%q): %v", i, j, p, err)
+					t.Fatalf("event stream split at bytes %d and %d: feed(%q): %v", i, j, p, err)
 				}
 				out.Write(b)
 				if s := out.String(); s != "" && !strings.HasSuffix(s, "\n\n") && !strings.HasSuffix(s, "\r\n\r\n") {
-					t.Fatalf("split at %d and %d: relayed bytes don't end at an event boundary: %q", i, j, s)
+					t.Fatalf("event stream split at bytes %d and %d: relayed %q, want an end at an event boundary", i, j, s)
 				}
 			}
 			if splitter.lastID != "4" || !splitter.canResume || out.String()+string(splitter.flush()) != text {
-				t.Fatalf("split at %d and %d: last ID %q, resumable %v, relayed %q; want last ID \"4\", resumable, the complete stream", i, j, splitter.lastID, splitter.canResume, out.String())
+				t.Fatalf("event stream split at bytes %d and %d: last event ID %q, resumable %v, relayed %q; want last event ID \"4\", resumable, the complete stream", i, j, splitter.lastID, splitter.canResume, out.String())
 			}
 		}
 	}
@@ -37,11 +37,11 @@
 		splitter := &eventSplitter{canResume: true}
 		b, err := splitter.feed([]byte(text))
 		if err != nil || string(b)+string(splitter.flush()) != text || splitter.canResume {
-			t.Errorf("stream %.20q: relayed %.20q, error %v, resumable %v; want it relayed unchanged, not resumable", text, b, err, splitter.canResume)
+			t.Errorf("event stream %.20q: relayed %.20q, error %v, resumable %v; want it relayed unchanged, not resumable", text, b, err, splitter.canResume)
 		}
 		splitter = &eventSplitter{lastID: "7", canResume: true, resuming: true}
 		if b, err := splitter.feed([]byte(text)); err == nil || len(b) != 0 {
-			t.Errorf("stream %.20q as continuation of another stream: relayed %.20q, error %v; want nothing relayed and an error", text, b, err)
+			t.Errorf("event stream %.20q as continuation of another worker's stream: relayed %.20q, error %v; want nothing relayed and an error", text, b, err)
 		}
 	}
 }
@@ -51,6 +51,6 @@
 	splitter := &eventSplitter{lastID: "2", canResume: true, resuming: true}
 	b, err := splitter.feed([]byte("id: 3\ndata: a\n\nid: 3\ndata: a\n\n"))
 	if err == nil || string(b) != "id: 3\ndata: a\n\n" || splitter.lastID != "3" {
-		t.Errorf("events 3 and 3 after event 2: relayed %q, error %v, last ID %q; want the first event 3, an error, last ID \"3\"", b, err, splitter.lastID)
+		t.Errorf("event 3 sent twice after event 2: relayed %q, error %v, last event ID %q; want event 3 relayed once, an error, last event ID \"3\"", b, err, splitter.lastID)
 	}
 }
--- a/internal/data/proxy/reuse_test.go
+++ b/internal/data/proxy/reuse_test.go
@@ -86,7 +86,7 @@
 	for range 1000 {
 		runtime.Gosched() // lets the reader goroutine run
 		if !conn.hasUnreadData() {
-			t.Error("unsolicited bytes left the socket buffer before the reader could mark the connection as closed")
+			t.Error("unsolicited bytes were taken from the socket buffer before the reader could mark the connection as closed")
 			break
 		}
 	}
@@ -102,7 +102,7 @@
 	conn := newWorkerConn(near, time.Hour, func() {})
 	conn.mu.Lock()
 	if !conn.endRead(1) {
-		t.Error("endRead(1) on an idle connection: got solicited, want unsolicited")
+		t.Error("endRead(1) on an idle connection: got unsolicited = false, want true")
 	}
 	conn.mu.Unlock()
 	conn.acquire(1)
@@ -110,10 +110,10 @@
 		t.Errorf("Write after unsolicited bytes: got %d bytes, error %v; want 0 bytes, net.ErrClosed", n, err)
 	}
 	if !conn.discard(1) {
-		t.Error("discard after a refused Write: got no proof that nothing was sent, want the proof")
+		t.Error("discard after a refused Write: got false, want true (proven that nothing was sent)")
 	}
 	if n, err := far.Read(make([]byte, 9)); n != 0 || err != io.EOF {
-		t.Errorf("worker's Read: got %d bytes, error %v; want 0 bytes, EOF", n, err)
+		t.Errorf("worker's Read after the proxy closed the connection: got %d bytes, error %v; want 0 bytes, EOF", n, err)
 	}
 }
 
@@ -122,7 +122,7 @@
 	t.Helper()
 	raw, err := conn.SyscallConn()
 	if err != nil {
-		t.Fatalf("raw access to the TCP connection: %v", err)
+		t.Fatalf("get raw access to the TCP connection: %v", err)
 	}
 	for unacknowledged := 1; unacknowledged > 0; runtime.Gosched() {
 		var ioctlErr error
@@ -193,7 +193,7 @@
 				t.Fatalf("route %s, request after the keep-alive time: got response %+v, want status 200", route, response)
 			}
 			if len(*conns) != 2 || s.workers[0].requestCount() != 2 {
-				t.Errorf("route %s: %d connections dialed, %d requests received; want 2 and 2", route, len(*conns), s.workers[0].requestCount())
+				t.Errorf("route %s, request after the keep-alive time: %d connections dialed and %d requests received in all, want 2 and 2", route, len(*conns), s.workers[0].requestCount())
 			}
 		})
 	}
--- a/internal/data/proxy/stream_test.go
+++ b/internal/data/proxy/stream_test.go
@@ -62,14 +62,14 @@
 		withSite(t, []workerScript{streamScript("first", 5, bytesBeforeClose), streamScript("second", 5, -1)}, func(s *testSite) {
 			response := s.send(postRequest("resume", "a1", "body"))
 			if response.err != nil || response.status != 200 || response.body != fiveEvents() {
-				t.Errorf("first worker closed after %d bytes of events: got status %d, error %v, body %q; want 200 with all 5 events", bytesBeforeClose, response.status, response.err, response.body)
+				t.Errorf("first worker broke off the stream after %d bytes of events: got status %d, error %v, body %q; want 200 with all 5 events", bytesBeforeClose, response.status, response.err, response.body)
 			}
 			want := "first"
 			if bytesBeforeClose < len(streamedEvent(1)) {
 				want = "second" // no complete event of the first worker was relayed
 			}
 			if response.header.Get("Go-Seal") != want {
-				t.Errorf("first worker closed after %d bytes of events: got the header of worker %q, want %q", bytesBeforeClose, response.header.Get("Go-Seal"), want)
+				t.Errorf("first worker broke off the stream after %d bytes of events: got the header of worker %q, want %q", bytesBeforeClose, response.header.Get("Go-Seal"), want)
 			}
 		})
 	}
@@ -82,10 +82,10 @@
 		withSite(t, []workerScript{streamScript("first", 5, bytesBeforeClose), streamScript("second", 5, -1)}, func(s *testSite) {
 			response := s.send(postRequest("stream", "a1", "body"))
 			if bytesBeforeClose == 0 && response.status != 502 || bytesBeforeClose > 0 && response.err == nil || !strings.HasPrefix(fiveEvents(), response.body) && bytesBeforeClose > 0 {
-				t.Errorf("stream closed after %d bytes of events: got status %d, error %v, body %q; want a 502 before the first byte, else an error after a part of the events", bytesBeforeClose, response.status, response.err, response.body)
+				t.Errorf("worker broke off the stream after %d bytes of events: got status %d, error %v, body %q; want a 502 before the first byte, else an error after a part of the events", bytesBeforeClose, response.status, response.err, response.body)
 			}
 			if n := s.workers[1].requestCount(); n != 0 {
-				t.Errorf("stream closed after %d bytes of events: second worker received %d requests, want 0", bytesBeforeClose, n)
+				t.Errorf("first worker broke off the stream after %d bytes of events: second worker received %d requests, want 0", bytesBeforeClose, n)
 			}
 		})
 	}
@@ -105,21 +105,21 @@
 func TestResumedOnlyByWhatFollows(t *testing.T) {
 	two := len(streamedEvent(1) + streamedEvent(2))
 	for name, second := range map[string]workerScript{
-		"restarts at the first event":   respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
-		"repeats the last event":        respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
-		"event without ID":              respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk("data: x\n\n") + "0\r\n\r\n"),
-		"not an event stream":           respondWith(okResponse),
-		"no Go-Seal field":              respondWith(strings.Replace(streamHead, "Go-Seal: SEAL\r\n", "", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
-		"response to another request":   respondWith(strings.Replace(strings.Replace(streamHead, "SEAL", "s", 1), "ID", "other", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
-		"status 500":                    respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"),
-		"rejects, no free slot":         respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
-		"closes before the first event": streamScript("s", 5, 0),
+		"second worker restarts at the first event":   respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
+		"second worker repeats the last event":        respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
+		"second worker sends an event without ID":     respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk("data: x\n\n") + "0\r\n\r\n"),
+		"second worker doesn't send an event stream":  respondWith(okResponse),
+		"second worker sends no signature (Go-Seal)":  respondWith(strings.Replace(streamHead, "Go-Seal: SEAL\r\n", "", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
+		"second worker responds to another request":   respondWith(strings.Replace(strings.Replace(streamHead, "SEAL", "s", 1), "ID", "other", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
+		"second worker responds with status 500":      respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"),
+		"second worker rejects: no free slot":         respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
+		"second worker closes before its first event": streamScript("s", 5, 0),
 	} {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, []workerScript{streamScript("first", 5, two), second}, func(s *testSite) {
 				response := s.send(postRequest("resume", "a1", "body"))
 				if response.err == nil || response.body != streamedEvent(1)+streamedEvent(2) {
-					t.Errorf("got error %v, body %q; want an error after the 2 events of the first worker", response.err, response.body)
+					t.Errorf("client got error %v, body %q; want an error after the 2 events of the first worker", response.err, response.body)
 				}
 				if id := s.workers[1].requests[0].Header.Get("Last-Event-Id"); id != "2" {
 					t.Errorf("second worker received Last-Event-Id %q, want \"2\"", id)
@@ -134,12 +134,12 @@
 	first := respondThenClose(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk("data: no id\n\n"))
 	withSite(t, []workerScript{first, streamScript("second", 5, -1)}, func(s *testSite) {
 		if response := s.send(postRequest("resume", "a1", "b")); response.err == nil || response.body != streamedEvent(1)+"data: no id\n\n" || s.workers[1].requestCount() != 0 {
-			t.Errorf("broken off after an event without ID: got error %v, body %q, second worker received %d requests; want an error after both events, 0 requests", response.err, response.body, s.workers[1].requestCount())
+			t.Errorf("first worker broke off the stream after an event without ID: got error %v, body %q, second worker received %d requests; want an error after both events, 0 requests", response.err, response.body, s.workers[1].requestCount())
 		}
 	})
 }
 
-// Each event must be flushed to the client when it comes, and not be held back until the next one.
+// Each event must be flushed to the client when it comes, and not be held back until the next event.
 func TestEventsAreFlushedAtOnce(t *testing.T) {
 	for _, route := range []string{"stream", "resume"} {
 		step := make(chan string)
@@ -151,18 +151,18 @@
 			return true
 		}
 		withSite(t, []workerScript{script}, func(s *testSite) {
-			step = make(chan string) // must be created inside the synctest bubble
+			step = make(chan string) // the channel must be created inside the synctest bubble
 			client := s.dialClient()
 			go func() { _, _ = io.WriteString(client, postRequest(route, "a1", "b")) }()
 			go func() { step <- chunk(streamedEvent(1)) }()
 			a, err := http.ReadResponse(client.br, nil)
 			if err != nil {
-				t.Fatalf("route %s: read response header: %v", route, err)
+				t.Fatalf("route %s: read header of the event stream: %v", route, err)
 			}
 			for i := 1; i <= 3; i++ {
 				got := make([]byte, len(streamedEvent(i)))
 				if _, err := io.ReadFull(a.Body, got); err != nil || string(got) != streamedEvent(i) {
-					t.Fatalf("route %s: read event %d: got %q, error %v; want %q", route, i, got, err, streamedEvent(i))
+					t.Fatalf("route %s: read event %d of the stream: got %q, error %v; want %q", route, i, got, err, streamedEvent(i))
 				}
 				if i < 3 {
 					step <- chunk(streamedEvent(i + 1))
@@ -171,7 +171,7 @@
 			step <- "0\r\n\r\n"
 			close(step)
 			if rest, err := io.ReadAll(a.Body); len(rest) != 0 || err != nil {
-				t.Errorf("route %s: after the last event: got %q, error %v; want the end of the stream", route, rest, err)
+				t.Errorf("route %s: after the last event of the stream: got %q, error %v; want the end of the stream", route, rest, err)
 			}
 			client.Close()
 		})
@@ -180,11 +180,11 @@
 
 // When the client disconnects, the proxy must close the worker's connection at once and not retry the request.
 func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
-	for _, when := range []string{"before the response header", "after the first event"} {
+	for _, when := range []string{"client disconnects before the response header", "client disconnects after the first event"} {
 		t.Run(when, func(t *testing.T) {
 			var ended chan error
 			script := func(c net.Conn, r *http.Request, _ string) bool {
-				if when == "after the first event" {
+				if when == "client disconnects after the first event" {
 					respondWith(strings.Replace(streamHead, "SEAL", "s", 1)+chunk(streamedEvent(1)))(c, r, "")
 				}
 				_, err := c.Read(make([]byte, 1))
@@ -195,7 +195,7 @@
 				ended = make(chan error, 1)
 				client := site.dialClient()
 				go func() { _, _ = io.WriteString(client, postRequest("resume", "a1", "b")) }()
-				if when == "after the first event" {
+				if when == "client disconnects after the first event" {
 					a, err := http.ReadResponse(client.br, nil)
 					if err != nil {
 						t.Fatalf("read response header: %v", err)
--- a/internal/data/proxy/workerconn_test.go
+++ b/internal/data/proxy/workerconn_test.go
@@ -56,10 +56,10 @@
 			withSite(t, []workerScript{script}, func(s *testSite) {
 				text := method + " /once/x HTTP/1.1\r\nHost: any.example\r\nGo-Id: a1\r\n" + key + "\r\n"
 				if response := s.send(text); response.status != 204 {
-					t.Fatalf("%s %q: first request got response %+v, want status 204", method, key, response)
+					t.Fatalf("%s with header %q: first request got response %+v, want status 204", method, key, response)
 				}
 				if response := s.send(text); response.status != 502 || s.workers[0].requestCount() != 2 {
-					t.Errorf("%s %q on a reused connection that breaks: got status %d, sent %d times; want 502, sent once", method, key, response.status, s.workers[0].requestCount()-1)
+					t.Errorf("%s with header %q on a reused connection that breaks: got status %d, sent %d times; want 502, sent once", method, key, response.status, s.workers[0].requestCount()-1)
 				}
 			})
 		}
@@ -84,12 +84,12 @@
 		withSite(t, []workerScript{script}, func(s *testSite) {
 			ended = make(chan struct{})
 			if response := s.send(postRequest("once", "a1", "b")); response.status != 200 {
-				t.Fatalf("Keep-Alive %q: got response %+v, want status 200", keep, response)
+				t.Fatalf("worker sends Keep-Alive %q: got response %+v, want status 200", keep, response)
 			}
 			began := s.process.Clock.Now()
 			<-ended
 			if d := s.process.Clock.Now() - began; d != want {
-				t.Errorf("Keep-Alive %q: idle connection was closed after %v, want %v", keep, d, want)
+				t.Errorf("worker sends Keep-Alive %q: idle connection was closed after %v, want %v", keep, d, want)
 			}
 		})
 	}
@@ -99,14 +99,14 @@
 func TestBytesAfterAResponseReachNoRequest(t *testing.T) {
 	late := strings.Replace(okResponse, "ID", "old", 1)
 	for name, stray := range map[string]string{"garbage": "\x00garbage", "response to another request": late, "duplicate response": okResponse, "a newline": "\r\n"} {
-		for _, when := range []string{"in the same write", "50 ms later"} {
-			t.Run(name+" "+when, func(t *testing.T) {
+		for _, when := range []string{"surplus bytes in the same write as the response", "surplus bytes 50 ms after the response"} {
+			t.Run(name+" as "+when, func(t *testing.T) {
 				requests := 0
 				script := func(c net.Conn, r *http.Request, b string) bool {
 					if requests++; requests > 1 {
 						return respondWith(okResponse)(c, r, b)
 					}
-					if when == "in the same write" {
+					if when == "surplus bytes in the same write as the response" {
 						return respondWith(okResponse+stray)(c, r, b)
 					}
 					respondWith(okResponse)(c, r, b)
@@ -124,7 +124,7 @@
 						}
 					}
 					if requests := s.workers[0].requestCount(); requests != 3 {
-						t.Errorf("worker received %d requests, want 3", requests)
+						t.Errorf("worker received %d requests, want 3: one before and two after the surplus bytes", requests)
 					}
 				})
 			})
@@ -150,17 +150,17 @@
 			t.Errorf("request after a stale response: got response %+v, want its own response with status 200", response)
 		}
 		if n := s.network.dials[s.workers[0].Addr]; n != 2 {
-			t.Errorf("%d connections dialed for 2 requests, want 2", n)
+			t.Errorf("stale response, then another request: %d connections dialed, want 2", n)
 		}
 	})
 }
 
 // The proxy must not open more connections to a worker than this node's share. If no other worker is left, a request
-// beyond it must be rejected as not executed.
+// beyond that share must be rejected as not executed.
 func TestConnectionsToAWorkerAreBounded(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	withSite(t, []workerScript{silent}, func(s *testSite) {
-		s.set(func(snapshot *fleet.Snapshot) { snapshot.EdgeCount = 50 }) // a share of 2 of the worker's 100 connections
+		s.set(func(snapshot *fleet.Snapshot) { snapshot.EdgeCount = 50 }) // each of the 50 edge nodes gets a share of 2 of the worker's 100 connections
 		var cs []*clientConn
 		for i := range 2 {
 			client := s.dialClient()
@@ -169,10 +169,10 @@
 			synctest.Wait()
 		}
 		if response := s.send(postRequest("once", "a3", "b")); response.status != 503 || response.header.Get("Retry-After") == "" {
-			t.Errorf("request beyond the share of connections: got response %+v, want status 503 with Retry-After", response)
+			t.Errorf("request when all connections of this node's share are in use: got response %+v, want status 503 with Retry-After", response)
 		}
 		if s.workers[0].requestCount() != 2 || s.selector.outcomes[0] != selection.NoFreeSlot {
-			t.Errorf("share of 2 connections: worker received %d requests, selector got outcomes %v; want 2 requests, NoFreeSlot first", s.workers[0].requestCount(), s.selector.outcomes)
+			t.Errorf("node's share of 2 connections to the worker: worker received %d requests, selector got outcomes %v; want 2 requests, NoFreeSlot first", s.workers[0].requestCount(), s.selector.outcomes)
 		}
 		for _, client := range cs {
 			client.Close()
@@ -184,7 +184,7 @@
 // another worker.
 func TestHangingDialIsAbandoned(t *testing.T) {
 	withSite(t, []workerScript{nil, respondWith(okResponse)}, func(s *testSite) {
-		if _, err := s.network.Listen(s.workers[0].Addr); err != nil { // listens, but never accepts
+		if _, err := s.network.Listen(s.workers[0].Addr); err != nil { // the first worker listens, but never accepts a connection
 			t.Fatalf("listen at the first worker's address: %v", err)
 		}
 		began := s.process.Clock.Now()
@@ -220,10 +220,10 @@
 		do   func(conn *workerConn)
 		want bool
 	}{
-		{"holder has sent a byte", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")) }, true},
-		{"holder has sent nothing", func(conn *workerConn) { conn.acquire(1) }, false},
-		{"connection is idle", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")); conn.release(1, time.Hour) }, false},
-		{"connection was reused and the new holder has sent nothing", func(conn *workerConn) {
+		{"attempt has written a byte of its request", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")) }, true},
+		{"attempt has written nothing of its request", func(conn *workerConn) { conn.acquire(1) }, false},
+		{"connection is idle, held by no attempt", func(conn *workerConn) { conn.acquire(1); _, _ = conn.Write([]byte("x")); conn.release(1, time.Hour) }, false},
+		{"connection was reused and the new attempt has written nothing", func(conn *workerConn) {
 			conn.acquire(1)
 			_, _ = conn.Write([]byte("x"))
 			conn.release(1, time.Hour)
@@ -234,10 +234,10 @@
 		test.do(conn)
 		n, err := conn.Read(make([]byte, 9))
 		if got := n == 5 && err == nil && !conn.closed; got != test.want {
-			t.Errorf("%s: Read returned %d bytes, error %v; delivered: %v, want %v", test.name, n, err, got, test.want)
+			t.Errorf("%s: Read of the worker's bytes returned %d bytes, error %v; delivered: %v, want %v", test.name, n, err, got, test.want)
 		}
 		if !test.want && (n != 0 || err != io.EOF || !conn.closed) {
-			t.Errorf("%s: Read returned %d bytes, error %v, connection closed: %v; want 0 bytes, EOF, closed", test.name, n, err, conn.closed)
+			t.Errorf("%s: Read of the worker's bytes returned %d bytes, error %v, connection closed: %v; want 0 bytes, EOF, closed", test.name, n, err, conn.closed)
 		}
 	}
 }
@@ -252,16 +252,16 @@
 		do   func(conn *workerConn)
 		want bool
 	}{
-		{"nothing written", fakeConn{}, func(*workerConn) {}, true},
-		{"write failed, no byte accepted", fakeConn{n: 0, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("x")) }, true},
-		{"write failed, one byte accepted", fakeConn{n: 1, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
-		{"all bytes accepted", fakeConn{n: 9}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
+		{"no Write yet", fakeConn{}, func(*workerConn) {}, true},
+		{"Write failed and the kernel accepted no byte", fakeConn{n: 0, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("x")) }, true},
+		{"Write failed after the kernel accepted one byte", fakeConn{n: 1, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
+		{"Write succeeded and the kernel accepted all bytes", fakeConn{n: 9}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
 	} {
 		conn := newWorkerConn(&test.fake, time.Hour, func() {})
 		conn.acquire(1)
 		test.do(conn)
 		if got := conn.discard(1); got != test.want {
-			t.Errorf("%s: discard reported nothing sent: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: discard returned %v (true: nothing sent), want %v", test.name, got, test.want)
 		}
 		if n, err := conn.Write([]byte("x")); n != 0 || err == nil {
 			t.Errorf("%s: Write after discard: got %d bytes, error %v; want 0 bytes and an error", test.name, n, err)
@@ -279,7 +279,7 @@
 		conn.mu.Unlock()
 	}
 	if conn.discard(1) {
-		t.Error("discard reported nothing sent while a write was in progress")
+		t.Error("discard while a Write is in progress: got true (nothing sent), want false")
 	}
 	close(fake.wait)
 	<-done
@@ -292,9 +292,9 @@
 	conn.acquire(2)
 	conn.release(1, time.Nanosecond)
 	if conn.discard(1) || conn.holder != 2 || conn.idleTimer != nil {
-		t.Errorf("discard or release by the former holder changed the connection: holder %v (want 2), idle timer set: %v (want false)", conn.holder, conn.idleTimer != nil)
+		t.Errorf("discard or release by an attempt that no longer holds the connection changed it: holder %v (want 2), idle timer set: %v (want false)", conn.holder, conn.idleTimer != nil)
 	}
 	if n, err := conn.Write([]byte("x")); n == 0 || err != nil {
-		t.Errorf("Write by the current holder: got %d bytes, error %v; want 1 byte", n, err)
+		t.Errorf("Write by the attempt that holds the connection: got %d bytes, error %v; want 1 byte", n, err)
 	}
 }
