--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -158,26 +158,26 @@
 	}
 	head := strings.Index(string(out), "Go-Seal")
 	body := strings.Index(string(out), "\r\n\r\n") + 4
-	from := 0
-	for _, x := range []struct {
+	sent := 0
+	for _, part := range []struct {
 		at step
 		to int
 	}{{firstByteSent, 1}, {halfHeadSent, head}, {halfBodySent, (body + len(out)) / 2}} {
-		if _, err := c.Write(out[from:x.to]); err != nil {
+		if _, err := c.Write(out[sent:part.to]); err != nil {
 			c.ended = true
 			return
 		}
-		from = x.to
-		if c.injectFaultAt(x.at, id, out); c.ended {
+		sent = part.to
+		if c.injectFaultAt(part.at, id, out); c.ended {
 			return
 		}
 	}
 	if s, f, ok := c.adversary.plan(id, c.served); ok && s == responseSent && (f == extraBytes || f == duplicateResponse || f == staleResponse || f == wrongID) {
-		_, _ = c.Write(append(out[from:len(out):len(out)], surplusBytes(f, out)...)) // in the same write, so that the proxy reads both at once
+		_, _ = c.Write(append(out[sent:len(out):len(out)], surplusBytes(f, out)...)) // in the same write, so that the proxy reads both at once
 		c.faultInjected, c.sentUnsolicited = true, true
 		return
 	}
-	if _, err := c.Write(out[from:]); err != nil {
+	if _, err := c.Write(out[sent:]); err != nil {
 		c.ended = true
 		return
 	}
--- a/internal/data/proxy/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -340,10 +340,10 @@
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	withSite(t, []workerScript{silent}, func(site *testSite) {
 		site.server.memoryLimit = 2*requestOverhead + 100
-		var cs []*clientConn
+		var clients []*clientConn
 		for range 2 {
 			client := site.dialClient()
-			cs = append(cs, client)
+			clients = append(clients, client)
 			_, _ = io.WriteString(client, postRequest("once", "a1", "body"))
 			synctest.Wait()
 		}
@@ -353,7 +353,7 @@
 		if response := site.send("POST /once/x HTTP/1.1\r\nHost: any.example\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("body") + "0\r\n\r\n"); response.status != errs.Overloaded.HTTPStatus {
 			t.Errorf("chunked request over the memory limit: got response %+v, want status %d", response, errs.Overloaded.HTTPStatus)
 		}
-		for _, client := range cs {
+		for _, client := range clients {
 			client.Close()
 		}
 		synctest.Wait()
--- a/internal/data/proxy/retrybudget_test.go
+++ b/internal/data/proxy/retrybudget_test.go
@@ -8,9 +8,9 @@
 
 // Attempts beyond the first of each request must stay within the retry budget, and must be able to use all of it.
 func TestAttemptsStayWithinTheRetryBudget(t *testing.T) {
-	full := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-	for _, first := range []workerScript{full, respondThenClose(""), nil} {
-		withSite(t, []workerScript{first, full, full, full}, func(s *testSite) {
+	rejecting := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+	for _, first := range []workerScript{rejecting, respondThenClose(""), nil} {
+		withSite(t, []workerScript{first, rejecting, rejecting, rejecting}, func(s *testSite) {
 			s.server.retryBudgets = retrybudget.NewByService(0.2, 5)
 			arrivals := func() (n int) {
 				for _, worker := range s.workers {
@@ -33,8 +33,8 @@
 
 // A route's MaxAttempts must hold even if the retry budgets would permit more attempts.
 func TestAttemptsAreBounded(t *testing.T) {
-	full := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-	withSite(t, []workerScript{full, full, full, full, respondWith(okResponse)}, func(s *testSite) {
+	rejecting := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+	withSite(t, []workerScript{rejecting, rejecting, rejecting, rejecting, respondWith(okResponse)}, func(s *testSite) {
 		for range 100 {
 			s.server.retryBudgets.Deposit("s", 1)
 			s.server.misdirectedBudget.Deposit(1)
@@ -54,8 +54,8 @@
 // budget permits more. The addresses belong to workers of another service, which reject each request and look idle,
 // so that unlimited retries would load that service.
 func TestMisdirectedAttemptsAreFew(t *testing.T) {
-	moved := respondWith("HTTP/1.1 421 Misdirected Request\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-	withSite(t, []workerScript{moved, moved, moved, moved}, func(s *testSite) {
+	misdirected := respondWith("HTTP/1.1 421 Misdirected Request\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+	withSite(t, []workerScript{misdirected, misdirected, misdirected, misdirected}, func(s *testSite) {
 		const share, allowance = 0.2, 8.0
 		s.server.retryBudgets = retrybudget.NewByService(share, allowance)
 		s.server.misdirectedBudget = retrybudget.New(share*misdirectedRatio, allowance*misdirectedAllowanceRatio)
--- a/internal/data/proxy/search_test.go
+++ b/internal/data/proxy/search_test.go
@@ -82,10 +82,10 @@
 	site := newLoopbackSite(t, workers...)
 	site.server.Snapshot().Plan.Services[0].MaxConns = searchConns
 	var mu sync.Mutex
-	got := map[int]int{}
-	var all sync.WaitGroup
+	byStatus := map[int]int{}
+	var senders sync.WaitGroup
 	for client := range searchClients {
-		all.Go(func() {
+		senders.Go(func() {
 			r := rand.New(rand.NewPCG(seed, uint64(client)))
 			for n := range searchRequests {
 				route := []string{"repeat", "once", "once", "resume"}[r.IntN(4)]
@@ -100,17 +100,17 @@
 				if response.err != nil {
 					response.status = 0
 				}
-				got[response.status]++
+				byStatus[response.status]++
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
+	senders.Wait()
 	for _, faultyWorker := range faulty {
 		if faultyWorker.mu.Lock(); faultyWorker.requestsAfterUnsolicited > 0 {
 			t.Errorf("worker %s: %d requests came on connections on which it had sent unsolicited bytes, want 0", faultyWorker.ID, faultyWorker.requestsAfterUnsolicited)
 		}
 		faultyWorker.mu.Unlock()
 	}
-	return got
+	return byStatus
 }
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -137,29 +137,29 @@
 // start opens the listeners for clients and for readiness checks, and serves in the background until the process
 // stops.
 func (s *server) start() error {
-	front, err := s.process.Listen(s.process.Settings.Public)
+	clientListener, err := s.process.Listen(s.process.Settings.Public)
 	if err != nil {
 		return errs.WrapAs(err, errs.BadInput, "listen for clients on "+s.process.Settings.Public)
 	}
-	ready, err := s.process.Listen(s.siteSettings.ReadinessListen)
+	readinessListener, err := s.process.Listen(s.siteSettings.ReadinessListen)
 	if err != nil {
-		front.Close()
+		clientListener.Close()
 		return errs.WrapAs(err, errs.BadInput, "listen for readiness checks on "+s.siteSettings.ReadinessListen)
 	}
-	s.serveReadinessOn(ready)
-	s.serveClientsOn(front)
+	s.serveReadinessOn(readinessListener)
+	s.serveClientsOn(clientListener)
 	return nil
 }
 
 // serveReadinessOn answers readiness checks on a listener until the process stops, including while it drains.
 func (s *server) serveReadinessOn(listener net.Listener) {
-	ready := &http.Server{
+	readinessServer := &http.Server{
 		Handler:           http.HandlerFunc(s.serveReadiness),
 		ReadHeaderTimeout: s.process.Settings.Bounds.Heal(readyHeaderTimeoutRatio),
 		ErrorLog:          discardLogger(),
 	}
-	s.process.Go(func() { s.serveHTTP(ready, listener) })
-	s.process.OnStop(func() { ready.Close() })
+	s.process.Go(func() { s.serveHTTP(readinessServer, listener) })
+	s.process.OnStop(func() { readinessServer.Close() })
 }
 
 // serveClientsOn accepts clients once the HTTP limits of the first routing plan are known (see awaitLimits),
@@ -168,15 +168,15 @@
 	started := make(chan *http.Server, 1)
 	s.process.Go(func() {
 		limits := s.awaitLimits()
-		front := &http.Server{
+		clientServer := &http.Server{
 			Handler:           s,
 			ErrorLog:          discardLogger(),
 			MaxHeaderBytes:    limits.HeaderBytes,
 			ReadHeaderTimeout: limits.HeaderTimeout,
 			IdleTimeout:       limits.IdleTimeout,
 		}
-		started <- front
-		s.serveHTTP(front, listener)
+		started <- clientServer
+		s.serveHTTP(clientServer, listener)
 	})
 	s.process.OnShutdown(func(ctx context.Context) { s.drain(ctx, <-started) })
 }
@@ -239,14 +239,14 @@
 
 // drain shuts the server down gracefully: readiness checks fail at once, new requests are accepted for lameDuckRatio
 // of the grace period, and requests in flight may then finish within drainRatio of it.
-func (s *server) drain(ctx context.Context, front *http.Server) {
+func (s *server) drain(ctx context.Context, clientServer *http.Server) {
 	s.draining.Store(true)
 	clock.Sleep(ctx, settings.Fraction(s.siteSettings.GraceMs, lameDuckRatio))
 	ctx, cancel := context.WithTimeout(ctx, settings.Fraction(s.siteSettings.GraceMs, drainRatio))
 	defer cancel()
-	if err := front.Shutdown(ctx); err != nil {
+	if err := clientServer.Shutdown(ctx); err != nil {
 		s.process.Log.Warn("proxy: aborting requests still in flight at the end of the drain period", "requests", s.inFlight.Load())
-		front.Close()
+		clientServer.Close()
 	}
 	s.conns.transport.CloseIdleConnections()
 }
--- a/internal/data/proxy/shutdown_test.go
+++ b/internal/data/proxy/shutdown_test.go
@@ -103,7 +103,7 @@
 // newest, and has seen a worker of a service with a route at least once.
 func TestReadiness(t *testing.T) {
 	withSite(t, []workerScript{respondWith(okResponse)}, func(site *testSite) {
-		ws := site.snapshot.Load().Workers
+		workers := site.snapshot.Load().Workers
 		for _, test := range []struct {
 			name string
 			set  func(snapshot *fleet.Snapshot)
@@ -111,7 +111,7 @@
 		}{
 			{"no worker seen since the start", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 503},
 			{"only a worker of a service without a route", func(snapshot *fleet.Snapshot) { snapshot.Workers = []fleet.Worker{{ID: "x", Service: "other"}} }, 503},
-			{"a worker of a service with a route", func(snapshot *fleet.Snapshot) { snapshot.Workers = ws }, 200},
+			{"a worker of a service with a route", func(snapshot *fleet.Snapshot) { snapshot.Workers = workers }, 200},
 			{"all workers have left", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 200},
 			{"proof that the routing plan is the newest is too old", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 5*time.Second }, 503},
 			{"fresh proof that the routing plan is the newest", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 4*time.Second }, 200},
@@ -148,17 +148,17 @@
 		} {
 			siteSettings := *site.server.siteSettings // a copy, because the running server reads the original
 			siteSettings.EnforceRevocation = test.enforced
-			d := &server{Config: site.server.Config, process: site.process, siteSettings: &siteSettings}
+			starting := &server{Config: site.server.Config, process: site.process, siteSettings: &siteSettings}
 			if test.proof > 0 {
 				site.set(func(snapshot *fleet.Snapshot) { snapshot.ProofAt = 0 })
 			}
-			e := time.AfterFunc(max(test.proof, time.Nanosecond), func() { site.set(func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() }) })
-			from := time.Now()
-			d.awaitLimits()
-			if waited := time.Since(from); waited < test.minWait || waited > test.maxWait {
+			proofTimer := time.AfterFunc(max(test.proof, time.Nanosecond), func() { site.set(func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() }) })
+			began := time.Now()
+			starting.awaitLimits()
+			if waited := time.Since(began); waited < test.minWait || waited > test.maxWait {
 				t.Errorf("%s: awaitLimits returned after %v, want %v to %v", test.name, waited, test.minWait, test.maxWait)
 			}
-			e.Stop()
+			proofTimer.Stop()
 		}
 	})
 }
--- a/internal/data/proxy/site_test.go
+++ b/internal/data/proxy/site_test.go
@@ -89,12 +89,12 @@
 		clk := clock.Synctest()
 		site.process = daemon.NewIn(daemon.Environment{Clock: clk, Listen: site.network.Listen, Dial: site.network.Dial}, "edge", processSettings)
 		snap := &fleet.Snapshot{Plan: testPlan(), ProofAt: clk.Now(), EdgeCount: 1}
-		for i, x := range scripts {
-			worker := &testWorker{script: x}
+		for i, script := range scripts {
+			worker := &testWorker{script: script}
 			worker.Worker = fleet.Worker{ID: "w" + strconv.Itoa(i), Service: "s", Addr: "10.0.1." + strconv.Itoa(i) + ":8080", Slots: 8}
 			snap.Workers = append(snap.Workers, worker.Worker)
 			site.workers = append(site.workers, worker)
-			if x != nil { // a worker without a script doesn't listen on its address
+			if script != nil { // a worker without a script doesn't listen on its address
 				listener, _ := site.network.Listen(worker.Addr)
 				go worker.serve(listener)
 				defer listener.Close()
--- a/internal/data/proxy/stoppedprocess_test.go
+++ b/internal/data/proxy/stoppedprocess_test.go
@@ -18,13 +18,13 @@
 	"pebbleloom/internal/fleet"
 )
 
-// workerVariable is the environment variable that passes the worker's address to the proxy process.
-const workerVariable = "PROXY_TEST_WORKER"
+// workerAddrVariable is the environment variable that passes the worker's address to the proxy process.
+const workerAddrVariable = "PROXY_TEST_WORKER"
 
 // TestProxyProcess isn't a test of its own: it runs the proxy process that TestProcessStoppedAndContinued starts
 // and suspends. It serves until its standard input is closed.
 func TestProxyProcess(t *testing.T) {
-	addr := os.Getenv(workerVariable)
+	addr := os.Getenv(workerAddrVariable)
 	if addr == "" {
 		return
 	}
@@ -109,7 +109,7 @@
 func startProxy(t *testing.T, worker string) (p *os.Process, front string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestProxyProcess$")
-	cmd.Env = append(os.Environ(), workerVariable+"="+worker)
+	cmd.Env = append(os.Environ(), workerAddrVariable+"="+worker)
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		t.Fatalf("open a pipe to the proxy process's standard input: %v", err)
@@ -152,11 +152,11 @@
 	go worker.serve(listener)
 	process, front := startProxy(t, listener.Addr().String())
 	site := &loopbackSite{t: t, front: front}
-	var all sync.WaitGroup
+	var senders sync.WaitGroup
 	for i := range conns { // opens connections that are idle during the suspension
-		all.Go(func() { site.send("once", "warm"+strconv.Itoa(i), longDeadline) })
+		senders.Go(func() { site.send("once", "warm"+strconv.Itoa(i), longDeadline) })
 	}
-	all.Wait()
+	senders.Wait()
 	blocked := make(chan reply, 1)
 	go func() { blocked <- site.send("once", "held", blockedDeadline) }()
 	select {
@@ -176,13 +176,13 @@
 	worker.sendUnsolicitedData()
 	replies := make([]reply, fresh)
 	for i := range fresh {
-		all.Go(func() { replies[i] = site.send("once", "fresh"+strconv.Itoa(i), longDeadline) })
+		senders.Go(func() { replies[i] = site.send("once", "fresh"+strconv.Itoa(i), longDeadline) })
 	}
 	<-over.C
 	if err := process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatalf("send SIGCONT to the proxy process: %v", err)
 	}
-	all.Wait()
+	senders.Wait()
 	response := <-blocked
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
--- a/internal/data/proxy/workerconn_test.go
+++ b/internal/data/proxy/workerconn_test.go
@@ -161,10 +161,10 @@
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	withSite(t, []workerScript{silent}, func(s *testSite) {
 		s.set(func(snapshot *fleet.Snapshot) { snapshot.EdgeCount = 50 }) // each of the 50 edge nodes gets a share of 2 of the worker's 100 connections
-		var cs []*clientConn
+		var clients []*clientConn
 		for i := range 2 {
 			client := s.dialClient()
-			cs = append(cs, client)
+			clients = append(clients, client)
 			_, _ = io.WriteString(client, postRequest("once", strconv.Itoa(i), "b"))
 			synctest.Wait()
 		}
@@ -174,7 +174,7 @@
 		if s.workers[0].requestCount() != 2 || s.selector.outcomes[0] != selection.NoFreeSlot {
 			t.Errorf("node's share of 2 connections to the worker: worker received %d requests, selector got outcomes %v; want 2 requests, NoFreeSlot first", s.workers[0].requestCount(), s.selector.outcomes)
 		}
-		for _, client := range cs {
+		for _, client := range clients {
 			client.Close()
 		}
 	})
--- a/internal/data/proxy/workerresponse_test.go
+++ b/internal/data/proxy/workerresponse_test.go
@@ -100,7 +100,7 @@
 // If no worker completes a request, it must be answered as not executed (503 with Retry-After) only if no worker
 // may have executed it.
 func TestResponseWhenNoWorkerServes(t *testing.T) {
-	full := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+	rejecting := respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	for _, test := range []struct {
 		name        string
 		scripts     []workerScript
@@ -111,11 +111,11 @@
 	}{
 		{"no worker", nil, "once", 503, true, 0},
 		{"all workers refuse the connection", []workerScript{nil, nil}, "once", 503, true, 0},
-		{"all workers reject the request as not executed", []workerScript{full, full}, "once", 503, true, 2},
-		{"first worker rejects, second closes the connection", []workerScript{full, respondThenClose("")}, "once", 502, false, 2},
-		{"first worker closes the connection, second rejects", []workerScript{respondThenClose(""), full}, "repeat", 502, false, 2},
-		{"first worker responds 500, second rejects", []workerScript{respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), full}, "repeat", 500, false, 2},
-		{"more workers than the route's MaxAttempts", []workerScript{full, full, full, respondWith(okResponse)}, "once", 503, true, 3},
+		{"all workers reject the request as not executed", []workerScript{rejecting, rejecting}, "once", 503, true, 2},
+		{"first worker rejects, second closes the connection", []workerScript{rejecting, respondThenClose("")}, "once", 502, false, 2},
+		{"first worker closes the connection, second rejects", []workerScript{respondThenClose(""), rejecting}, "repeat", 502, false, 2},
+		{"first worker responds 500, second rejects", []workerScript{respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"), rejecting}, "repeat", 500, false, 2},
+		{"more workers than the route's MaxAttempts", []workerScript{rejecting, rejecting, rejecting, respondWith(okResponse)}, "once", 503, true, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			withSite(t, test.scripts, func(s *testSite) {
