--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -173,7 +173,7 @@
 		}
 	}
 	if s, f, ok := c.adversary.plan(id, c.served); ok && s == responseSent && (f == extraBytes || f == duplicateResponse || f == staleResponse || f == wrongID) {
-		_, _ = c.Write(append(out[sent:len(out):len(out)], surplusBytes(f, out)...)) // in the same write, so that the proxy reads both at once
+		_, _ = c.Write(append(out[sent:len(out):len(out)], surplusBytes(f, out)...)) // one write for the response and the surplus bytes, so that the proxy reads both at once
 		c.faultInjected, c.sentUnsolicited = true, true
 		return
 	}
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -38,7 +38,7 @@
 	startedAt      time.Duration
 	firstByteAfter time.Duration // time from startedAt to the first byte of the response body; 0: no byte received
 	outcome        outcome
-	reported       selection.Outcome // the outcome that is reported to the selector, which chooses workers by it
+	reported       selection.Outcome // the outcome that is reported to the selector of workers
 	definitive     bool              // a retry is pointless: any worker would respond the same
 	load           *selection.Load   // the load that the worker reported in its response; nil: it reported none
 }
--- a/internal/data/proxy/classify.go
+++ b/internal/data/proxy/classify.go
@@ -23,7 +23,7 @@
 		a.load = &load
 	}
 	if status < 200 || !a.matchesRequestID() || header.Get("Content-Encoding") != "" || !a.isSelfDelimited() {
-		a.markInterrupted() // the response belongs to another request, or no conforming worker sends it
+		a.markInterrupted() // the response belongs to another request, or has a form that no conforming worker sends
 		return
 	}
 	claimsNotExecuted := len(header.Values(headers.NotExecuted)) > 0
--- a/internal/data/proxy/handler.go
+++ b/internal/data/proxy/handler.go
@@ -74,8 +74,8 @@
 	return s.Selector.Lookup(req.ctx, s.Snapshot(), &req.selection)
 }
 
-// endResponse finishes a completely relayed response. If the write deadline passed before the
-// last bytes were written, it aborts the client connection.
+// endResponse finishes a completely relayed response. If the write deadline passed before the last bytes were
+// written, it aborts the client connection.
 func (req *request) endResponse() {
 	if !req.stopWriteDeadline() {
 		panic(http.ErrAbortHandler) // the write deadline is already set, so the last bytes may not reach the client
--- a/internal/data/proxy/headers.go
+++ b/internal/data/proxy/headers.go
@@ -12,6 +12,7 @@
 
 // Headers holds the names of the platform's HTTP header fields, and functions that parse and format their values.
 // The platform's adapter provides it; all its fields are required. Unless noted, they are request fields.
+// A prompt part is a section of a prompt that workers cache as a unit.
 type Headers struct {
 	ID               string // request ID; forwarded unchanged in request and response
 	TimeRemaining    string // time until the client's deadline
@@ -19,12 +20,12 @@
 	ExpectedInstance string // ID of the selected worker; any other worker must reject the request
 	ExpectedVersion  string // version of the model weights that the worker must use to execute the request
 	Priority         string // priority of the request, 0 to 9; 0 is the most urgent
-	CacheSalt        string // salt of the cache keys of prompt parts; it differs by model, weights version and isolated tenant, so that these share no entries
-	FetchFrom        string // address from which the worker fetches cached results of prompt parts that it lacks
-	SaveTo           string // address to which the worker saves cached results of prompt parts
+	CacheSalt        string // salt of the cache keys of prompt parts; it keeps apart the entries of different models, weights versions and isolated tenants
+	FetchFrom        string // address from which the worker fetches cached prompt parts that it lacks
+	SaveTo           string // address of the store to which the worker saves the prompt parts that it has cached
 	Model            string // name of the requested model
 	TokenUsage       string // number of prompt tokens and maximum number of output tokens
-	PromptParts      string // IDs and token counts of the consecutive parts of the prompt whose results can be cached
+	PromptParts      string // IDs and token counts of the prompt's consecutive parts, each of which can be cached
 	LastEventID      string // ID of the event after which a stream is resumed
 	NotExecuted      string // response field: present if the worker didn't execute the request
 	Seal             string // response field: the worker's signature; a 2xx response without it isn't relayed
--- a/internal/data/proxy/response.go
+++ b/internal/data/proxy/response.go
@@ -11,8 +11,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// bufferedResponse is a short error response of a worker, relayed if no other worker
-// gives a usable response.
+// bufferedResponse is a short error response of a worker, relayed if no other worker gives a usable response.
 type bufferedResponse struct {
 	status   int
 	header   http.Header
--- a/internal/data/proxy/retrybudget_test.go
+++ b/internal/data/proxy/retrybudget_test.go
@@ -74,7 +74,7 @@
 			arrivals += worker.requestCount()
 		}
 		if extra, limit := arrivals-requests, int(allowance*misdirectedAllowanceRatio+requests*share*misdirectedRatio); extra < 1 || extra > limit {
-			t.Errorf("all workers respond 421: %d attempts beyond the first of %d requests, want 1 to %d", extra, requests, limit)
+			t.Errorf("all workers respond 421: %d retries of %d requests, want 1 to %d", extra, requests, limit)
 		}
 	})
 }
--- a/internal/data/proxy/reuse_test.go
+++ b/internal/data/proxy/reuse_test.go
@@ -145,7 +145,7 @@
 			synctest.Wait()
 			select {
 			case <-ready:
-				t.Error("awaitReader returned while no Read was in progress and the connection was open")
+				t.Error("awaitReader returned while no Read was in progress and the connection was open, want it to wait")
 			default:
 			}
 			if how == "closed" {
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -87,8 +87,9 @@
 	firstPlanChecks = 25
 )
 
-// HTTP limits that apply if the first routing plan sets none or comes too late. The time-outs are fractions of
-// Bounds.HealMs, the time within which service must be restored after a fault.
+// HTTP limits of the client listener if the first routing plan sets none or comes too late, and of the readiness
+// listener (readyHeaderTimeoutRatio). The time-outs are fractions of Bounds.HealMs, the time within which service must
+// be restored after a fault.
 const (
 	defaultHeaderBytes      = 16 << 10
 	headerTimeoutRatio      = 0.25
--- a/internal/data/proxy/stoppedprocess_test.go
+++ b/internal/data/proxy/stoppedprocess_test.go
@@ -162,7 +162,7 @@
 	select {
 	case <-worker.blocked:
 	case response := <-blocked:
-		t.Fatalf("request to be in flight during the suspension got a response before the worker received it: %+v", response)
+		t.Fatalf("request that should be in flight while the proxy is suspended: got response %+v before the worker received it", response)
 	}
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatalf("send SIGSTOP to the proxy process: %v", err)
@@ -190,11 +190,11 @@
 		id := "fresh" + strconv.Itoa(i)
 		checkReply(t, "once", id, r, worker.runs[id])
 		if r.status != 200 || r.err != nil || worker.runs[id] != 1 {
-			t.Errorf("request %q sent during the suspension: got %+v, executed %d times; want status 200, executed once", id, r, worker.runs[id])
+			t.Errorf("request %q, sent while the proxy was suspended: got %+v, executed %d times; want status 200, executed once", id, r, worker.runs[id])
 		}
 	}
 	checkReply(t, "once", "held", response, worker.runs["held"])
 	if worker.runs["held"] != 1 || worker.requestsAfterUnsolicited > 0 {
-		t.Errorf("request in flight during the suspension was executed %d times, want 1; %d requests came on connections on which the worker had sent unsolicited bytes, want 0", worker.runs["held"], worker.requestsAfterUnsolicited)
+		t.Errorf("request in flight while the proxy was suspended: executed %d times, want 1; %d requests came on connections on which the worker had sent unsolicited bytes, want 0", worker.runs["held"], worker.requestsAfterUnsolicited)
 	}
 }
