--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -46,46 +46,50 @@
 	siteSettings      *settings.Site
 	conns             *connPool
 	retryBudgets      *retrybudget.ByService
-	misdirectedBudget *retrybudget.Budget // limits retries after a 421; shared by all services
-	memoryLimit       int64               // upper bound of reservedMemory, in bytes
+	misdirectedBudget *retrybudget.Budget // limits retries after a 421 (Misdirected Request); shared by all services
+	memoryLimit       int64               // maximum of reservedMemory, in bytes
 	reservedMemory    atomic.Int64        // bytes reserved by requests in flight
 	inFlight          atomic.Int64        // number of requests in flight
-	retries           atomic.Int64        // attempts sent beyond the first of each request
+	retries           atomic.Int64        // attempts sent to workers beyond the first attempt of each request
 	resumedStreams    atomic.Int64        // event streams that were continued by another worker
-	draining          atomic.Bool         // set on shutdown, never reset
-	wasReady          atomic.Bool         // set once a worker of a routed service was seen, never reset
-	bufferPool        sync.Pool           // *[]byte buffers of relayBufferBytes each
+	draining          atomic.Bool         // set when the shutdown begins, never reset
+	wasReady          atomic.Bool         // set once a worker of a service with a route was seen, never reset
+	bufferPool        sync.Pool           // buffers for relaying response bodies: *[]byte with a length of relayBufferBytes
 }
 
 // Memory accounting of requests in flight.
 const (
-	// requestMemoryDivisor reserves a third of the node's memory for requests; the rest is for connection
-	// buffers, the snapshot and the headroom of the garbage collector.
+	// requestMemoryDivisor limits requests in flight to a third of the process's memory limit; the rest is for
+	// connection buffers, the routing plan, the list of workers and the headroom of the garbage collector.
 	requestMemoryDivisor = 3
 	// requestOverhead is the assumed memory use of a request without its body, in bytes.
 	requestOverhead  = 32 << 10
 	relayBufferBytes = 8 << 10
 )
 
-// Phases of graceful shutdown, as ratios of the platform's grace period (settings.Site.GraceMs). Their sum
+// Phases of graceful shutdown, as fractions of the platform's grace period (settings.Site.GraceMs). Their sum
 // must stay below 1, so that the process exits before the platform kills it.
 const (
-	// lameDuckRatio is how long new requests are still accepted after the shutdown signal. It gives the
-	// platform's load balancer time to notice the failing readiness check.
+	// lameDuckRatio is the fraction of the grace period during which new requests are still accepted after the shutdown
+	// signal. It gives the platform's load balancer time to notice the failing readiness check.
 	lameDuckRatio = 0.3
-	// drainRatio is how long requests in flight may continue after the lame-duck period.
+	// drainRatio is the fraction of the grace period during which requests in flight may continue once new requests
+	// are no longer accepted.
 	drainRatio = 0.55
 )
 
-// firstPlanRatio, of the configuration bound (Bounds.ConfigMs), is how long the client listener waits for the
-// first routing plan; firstPlanChecks is the number of checks in that time. A longer wait would delay a node
-// that can't reach the control nodes, and that should reject requests with a proper response instead.
+// firstPlanRatio is the fraction of Bounds.ConfigMs (the time within which a new configuration takes effect) for
+// which a starting node waits for its first routing plan before it accepts clients; firstPlanChecks is the number
+// of checks in that time. A node that can't reach the control nodes shouldn't wait longer, but answer requests with
+// an error.
 const (
 	firstPlanRatio  = 0.25
 	firstPlanChecks = 25
 )
 
-// HTTP limits used when no routing plan sets any. Time-outs are ratios of the bound on healing (Bounds.HealMs).
+// HTTP limits of the client listener if the first routing plan sets none or comes too late, and of the readiness
+// listener (readyHeaderTimeoutRatio). The time-outs are fractions of Bounds.HealMs, the time within which service must
+// be restored after a fault.
 const (
 	defaultHeaderBytes      = 16 << 10
 	headerTimeoutRatio      = 0.25
@@ -94,8 +98,9 @@
 )
 
 // A retry after a 421 response (the worker's address now belongs to another worker) also needs a token from a
-// second budget, which all services share. Such attempts load the service that now has the address, and that
-// service's own retry budget doesn't limit them. Both constants are ratios of the retry budget's settings.
+// second retry budget, which all services share. Such attempts load the service that now has the address, and that
+// service's own retry budget doesn't limit them. The constants are the ratios of this budget's settings (retries per
+// request, and allowance beside them) to those of a service's retry budget.
 const (
 	misdirectedRatio          = 0.1
 	misdirectedAllowanceRatio = 0.5
@@ -130,31 +135,32 @@
 	meter.Counter("pebbleloom_resumed_total", "streams that another worker continued", func() float64 { return float64(s.resumedStreams.Load()) })
 }
 
-// start opens both listeners and serves in the background until the process stops.
+// start opens the listeners for clients and for readiness checks, and serves in the background until the process
+// stops.
 func (s *server) start() error {
-	front, err := s.process.Listen(s.process.Settings.Public)
+	clientListener, err := s.process.Listen(s.process.Settings.Public)
 	if err != nil {
 		return errs.WrapAs(err, errs.BadInput, "listen for clients on "+s.process.Settings.Public)
 	}
-	ready, err := s.process.Listen(s.siteSettings.ReadinessListen)
+	readinessListener, err := s.process.Listen(s.siteSettings.ReadinessListen)
 	if err != nil {
-		front.Close()
+		clientListener.Close()
 		return errs.WrapAs(err, errs.BadInput, "listen for readiness checks on "+s.siteSettings.ReadinessListen)
 	}
-	s.serveReadinessOn(ready)
-	s.serveClientsOn(front)
+	s.serveReadinessOn(readinessListener)
+	s.serveClientsOn(clientListener)
 	return nil
 }
 
 // serveReadinessOn answers readiness checks on a listener until the process stops, including while it drains.
 func (s *server) serveReadinessOn(listener net.Listener) {
-	ready := &http.Server{
+	readinessServer := &http.Server{
 		Handler:           http.HandlerFunc(s.serveReadiness),
 		ReadHeaderTimeout: s.process.Settings.Bounds.Heal(readyHeaderTimeoutRatio),
 		ErrorLog:          discardLogger(),
 	}
-	s.process.Go(func() { s.serveHTTP(ready, listener) })
-	s.process.OnStop(func() { ready.Close() })
+	s.process.Go(func() { s.serveHTTP(readinessServer, listener) })
+	s.process.OnStop(func() { readinessServer.Close() })
 }
 
 // serveClientsOn accepts clients once the HTTP limits of the first routing plan are known (see awaitLimits),
@@ -163,15 +169,15 @@
 	started := make(chan *http.Server, 1)
 	s.process.Go(func() {
 		limits := s.awaitLimits()
-		front := &http.Server{
+		clientServer := &http.Server{
 			Handler:           s,
 			ErrorLog:          discardLogger(),
 			MaxHeaderBytes:    limits.HeaderBytes,
 			ReadHeaderTimeout: limits.HeaderTimeout,
 			IdleTimeout:       limits.IdleTimeout,
 		}
-		started <- front
-		s.serveHTTP(front, listener)
+		started <- clientServer
+		s.serveHTTP(clientServer, listener)
 	})
 	s.process.OnShutdown(func(ctx context.Context) { s.drain(ctx, <-started) })
 }
@@ -186,9 +192,10 @@
 // malformed requests.
 func discardLogger() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// awaitLimits returns the HTTP limits of the first routing plan if it comes within firstPlanRatio, and the
-// default limits otherwise. If key revocation is enforced, the plan must also be proven to be the newest. In the
-// meantime connections wait in the listen queue, so that early requests are delayed instead of rejected.
+// awaitLimits returns the HTTP limits of the first routing plan if the plan comes within firstPlanRatio of
+// Bounds.ConfigMs, and the default limits otherwise. If key revocation is enforced, the control nodes must also have
+// attested that the plan is the newest. In the meantime client connections wait in the listen queue, so that early
+// requests are delayed instead of rejected.
 func (s *server) awaitLimits() routingconfig.Limits {
 	bounds := s.process.Settings.Bounds
 	pause := bounds.Config(firstPlanRatio / firstPlanChecks)
@@ -231,22 +238,23 @@
 	return nil
 }
 
-// drain shuts the server down gracefully: readiness checks fail at once, new requests are accepted until the
-// lame-duck period ends, and requests in flight may finish within the drain period after it.
-func (s *server) drain(ctx context.Context, front *http.Server) {
+// drain shuts the server down gracefully: readiness checks fail at once, new requests are accepted for lameDuckRatio
+// of the grace period, and requests in flight may then finish within drainRatio of it.
+func (s *server) drain(ctx context.Context, clientServer *http.Server) {
 	s.draining.Store(true)
 	clock.Sleep(ctx, settings.Fraction(s.siteSettings.GraceMs, lameDuckRatio))
 	ctx, cancel := context.WithTimeout(ctx, settings.Fraction(s.siteSettings.GraceMs, drainRatio))
 	defer cancel()
-	if err := front.Shutdown(ctx); err != nil {
+	if err := clientServer.Shutdown(ctx); err != nil {
 		s.process.Log.Warn("proxy: aborting requests still in flight at the end of the drain period", "requests", s.inFlight.Load())
-		front.Close()
+		clientServer.Close()
 	}
 	s.conns.transport.CloseIdleConnections()
 }
 
-// planRetryAfterRatio, of the configuration bound (Bounds.ConfigMs), is the Retry-After value for a request that
-// this node can't route or authenticate until it has a newer routing plan or a newer proof.
+// planRetryAfterRatio is the fraction of Bounds.ConfigMs (the time within which a new configuration takes effect)
+// that is sent as Retry-After to a client whose request this node can't route or authenticate until it has a newer
+// routing plan, or a newer proof that its plan is the newest.
 const planRetryAfterRatio = 0.1
 
 func (s *server) planRetryAfter() time.Duration {
--- a/internal/data/proxy/stoppedprocess_test.go
+++ b/internal/data/proxy/stoppedprocess_test.go
@@ -18,13 +18,13 @@
 	"pebbleloom/internal/fleet"
 )
 
-// workerVariable is the environment variable that passes the worker's address to the proxy process.
-const workerVariable = "PROXY_TEST_WORKER"
+// workerAddrVariable is the environment variable that passes the worker's address to the proxy process.
+const workerAddrVariable = "PROXY_TEST_WORKER"
 
 // TestProxyProcess isn't a test of its own: it runs the proxy process that TestProcessStoppedAndContinued starts
 // and suspends. It serves until its standard input is closed.
 func TestProxyProcess(t *testing.T) {
-	addr := os.Getenv(workerVariable)
+	addr := os.Getenv(workerAddrVariable)
 	if addr == "" {
 		return
 	}
@@ -35,13 +35,13 @@
 
 // blockingWorker responds to each request at once, except to the request "held", which waits for release.
 type blockingWorker struct {
-	mu                  sync.Mutex
-	runs                map[string]int
-	hasStrayData        map[net.Conn]bool // connections on which sendStrayData has sent unsolicited bytes, a FIN or a reset
-	requestsAfterStrays int               // number of requests received on connections in hasStrayData
-	conns               []net.Conn
-	blocked             chan struct{} // closed when the request "held" has been received
-	release             chan struct{} // closed by the test to let the worker respond to "held"
+	mu                       sync.Mutex
+	runs                     map[string]int
+	sentUnsolicited          map[net.Conn]bool // connections on which sendUnsolicitedData has sent unsolicited bytes, a FIN or a reset
+	requestsAfterUnsolicited int               // number of requests received on connections in sentUnsolicited
+	conns                    []net.Conn
+	blocked                  chan struct{} // closed when the request "held" has been received
+	release                  chan struct{} // closed by the test to let the worker respond to "held"
 }
 
 func (worker *blockingWorker) serve(listener net.Listener) {
@@ -70,8 +70,8 @@
 		id := r.Header.Get("Go-Id")
 		worker.mu.Lock()
 		worker.runs[id]++
-		if worker.hasStrayData[conn] {
-			worker.requestsAfterStrays++
+		if worker.sentUnsolicited[conn] {
+			worker.requestsAfterUnsolicited++
 		}
 		worker.mu.Unlock()
 		if id == "held" {
@@ -84,13 +84,13 @@
 	}
 }
 
-// sendStrayData sends on each connection something that the proxy must not take for a response: a response to an earlier
-// request, garbage, a FIN or a reset.
-func (worker *blockingWorker) sendStrayData() {
+// sendUnsolicitedData sends on each connection something that the proxy must not take for a response: a response to an
+// earlier request, garbage, a FIN or a reset.
+func (worker *blockingWorker) sendUnsolicitedData() {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	for i, c := range worker.conns {
-		worker.hasStrayData[c] = true
+		worker.sentUnsolicited[c] = true
 		switch i % 4 {
 		case 0:
 			_, _ = c.Write(plainResponse("warm0"))
@@ -109,14 +109,14 @@
 func startProxy(t *testing.T, worker string) (p *os.Process, front string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestProxyProcess$")
-	cmd.Env = append(os.Environ(), workerVariable+"="+worker)
+	cmd.Env = append(os.Environ(), workerAddrVariable+"="+worker)
 	in, err := cmd.StdinPipe()
 	if err != nil {
-		t.Fatalf("pipe to the proxy process's input: %v", err)
+		t.Fatalf("open a pipe to the proxy process's standard input: %v", err)
 	}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
-		t.Fatalf("pipe from the proxy process's output: %v", err)
+		t.Fatalf("open a pipe from the proxy process's standard output: %v", err)
 	}
 	if err := cmd.Start(); err != nil {
 		t.Fatalf("start the proxy process: %v", err)
@@ -132,7 +132,7 @@
 			return cmd.Process, addr
 		}
 	}
-	t.Fatal("proxy process ended before it printed its client address")
+	t.Fatal("proxy process ended before it printed the address for clients")
 	return nil, ""
 }
 
@@ -145,24 +145,24 @@
 	const conns, fresh, blockedDeadline = 8, 8, 2 * time.Second
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatalf("listen as worker: %v", err)
+		t.Fatalf("listen on loopback as the worker: %v", err)
 	}
 	defer listener.Close()
-	worker := &blockingWorker{runs: map[string]int{}, hasStrayData: map[net.Conn]bool{}, blocked: make(chan struct{}), release: make(chan struct{})}
+	worker := &blockingWorker{runs: map[string]int{}, sentUnsolicited: map[net.Conn]bool{}, blocked: make(chan struct{}), release: make(chan struct{})}
 	go worker.serve(listener)
 	process, front := startProxy(t, listener.Addr().String())
 	site := &loopbackSite{t: t, front: front}
-	var all sync.WaitGroup
+	var senders sync.WaitGroup
 	for i := range conns { // opens connections that are idle during the suspension
-		all.Go(func() { site.send("once", "warm"+strconv.Itoa(i), longDeadline) })
+		senders.Go(func() { site.send("once", "warm"+strconv.Itoa(i), longDeadline) })
 	}
-	all.Wait()
+	senders.Wait()
 	blocked := make(chan reply, 1)
 	go func() { blocked <- site.send("once", "held", blockedDeadline) }()
 	select {
 	case <-worker.blocked:
 	case response := <-blocked:
-		t.Fatalf("request \"held\" was answered before the worker received it: %+v", response)
+		t.Fatalf("request that should be in flight while the proxy is suspended: got response %+v before the worker received it", response)
 	}
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatalf("send SIGSTOP to the proxy process: %v", err)
@@ -173,16 +173,16 @@
 	}
 	over := time.NewTimer(blockedDeadline + blockedDeadline/4)
 	close(worker.release)
-	worker.sendStrayData()
+	worker.sendUnsolicitedData()
 	replies := make([]reply, fresh)
 	for i := range fresh {
-		all.Go(func() { replies[i] = site.send("once", "fresh"+strconv.Itoa(i), longDeadline) })
+		senders.Go(func() { replies[i] = site.send("once", "fresh"+strconv.Itoa(i), longDeadline) })
 	}
 	<-over.C
 	if err := process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatalf("send SIGCONT to the proxy process: %v", err)
 	}
-	all.Wait()
+	senders.Wait()
 	response := <-blocked
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
@@ -190,11 +190,11 @@
 		id := "fresh" + strconv.Itoa(i)
 		checkReply(t, "once", id, r, worker.runs[id])
 		if r.status != 200 || r.err != nil || worker.runs[id] != 1 {
-			t.Errorf("request %q sent during the suspension: got %+v, executed %d times; want status 200, executed once", id, r, worker.runs[id])
+			t.Errorf("request %q, sent while the proxy was suspended: got %+v, executed %d times; want status 200, executed once", id, r, worker.runs[id])
 		}
 	}
 	checkReply(t, "once", "held", response, worker.runs["held"])
-	if worker.runs["held"] != 1 || worker.requestsAfterStrays > 0 {
-		t.Errorf("request \"held\" was executed %d times, want 1; %d requests came on connections with unsolicited bytes, want 0", worker.runs["held"], worker.requestsAfterStrays)
+	if worker.runs["held"] != 1 || worker.requestsAfterUnsolicited > 0 {
+		t.Errorf("request in flight while the proxy was suspended: executed %d times, want 1; %d requests came on connections on which the worker had sent unsolicited bytes, want 0", worker.runs["held"], worker.requestsAfterUnsolicited)
 	}
 }
