--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -19,69 +19,70 @@
 	"pebbleloom/internal/wire"
 )
 
+// openTestShard opens the data in a disk as the member core-2 of a shard with three fixed members.
 func openTestShard(t *testing.T, disk storage.Disk) (*shard, error) {
 	t.Helper()
-	cfg := consensus.Config{Self: "core-2", Members: []string{"core-2", "core-3", "core-4"}, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(1, 1))}
-	return openShard(context.Background(), cfg, disk, func() string { return "new" }, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
+	config := consensus.Config{Self: "core-2", Members: []string{"core-2", "core-3", "core-4"}, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(1, 1))}
+	return openShard(context.Background(), config, disk, func() string { return "new" }, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
 }
 
-// openRecorded opens the data folder that a core machine of the first release left behind.
+// openRecorded opens the data directory in testdata/recorded-1, which a control node of the first release has written.
 func openRecorded(t *testing.T) *shard {
 	t.Helper()
-	d := newSimDisk()
+	disk := newSimDisk()
 	files, err := filepath.Glob("testdata/recorded-1/*")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("files in testdata/recorded-1: %v, error %v, want at least 2 files", files, err)
 	}
-	for _, f := range files {
-		if d.files[filepath.Base(f)], err = os.ReadFile(f); err != nil {
+	for _, file := range files {
+		if disk.files[filepath.Base(file)], err = os.ReadFile(file); err != nil {
 			t.Fatal(err)
 		}
 	}
-	replica, err := openTestShard(t, d)
+	replica, err := openTestShard(t, disk)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("opening the data directory of the first release: %v", err)
 	}
 	return replica
 }
 
-// The data folder of a control node of the first release is readable: testdata/recorded-1 is one, with the
-// configuration at version 4.
+// The data directory of a control node of the first release must remain readable. The one in testdata/recorded-1 contains
+// version 4 of the configuration.
 func TestFirstReleaseDataIsReadable(t *testing.T) {
 	replica := openRecorded(t)
 	status := replica.core.Status()
 	if status.Blank || status.LastIndex < 4 || status.Term == 0 {
-		t.Fatalf("%+v", status)
+		t.Fatalf("status of the recovered member: %+v, want a member that is not blank, with a term and at least 4 log entries", status)
 	}
-	for _, entry := range replica.core.UnappliedEntries() { // it would be committed with the peers
+	for _, entry := range replica.core.UnappliedEntries() { // the peers, which are not running here, would commit them
 		replica.applyEntry(entry)
 	}
 	config, err := serviceconfig.Decode(replica.state.documents[controlclient.ConfigKey].GetBody())
 	if err != nil || replica.state.documents[controlclient.ConfigKey].Version != 4 || config.Models["gisa"].Weights != 4 || len(config.Tenants) != 8 {
-		t.Fatalf("version %d, %+v, %v", replica.state.documents[controlclient.ConfigKey].GetVersion(), config, err)
+		t.Fatalf("recovered configuration has version %d: %+v, decoding error %v; want version 4 with 8 tenants and weights 4 of model gisa", replica.state.documents[controlclient.ConfigKey].GetVersion(), config, err)
 	}
 }
 
-// The formats of later releases are rejected.
+// A snapshot or state in the format of a later release must be rejected when the disk is opened.
 func TestLaterFormatsAreRejected(t *testing.T) {
 	state, err := proto.Marshal(&wire.ShardState{Format: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, snapshot := range map[string]*wire.Snapshot{
-		"a later snapshot": {Format: 2, HardState: &wire.HardState{Incarnation: "x"}},
-		"a later state":    {Format: 1, HardState: &wire.HardState{Incarnation: "x"}, State: state},
+		"snapshot in a later format": {Format: 2, HardState: &wire.HardState{Incarnation: "x"}},
+		"state in a later format":    {Format: 1, HardState: &wire.HardState{Incarnation: "x"}, State: state},
 	} {
-		d := newSimDisk()
-		store, _, err := storage.Open(d)
+		disk := newSimDisk()
+		store, _, err := storage.Open(disk)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := store.SaveSnapshot(snapshot, nil); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := openTestShard(t, d); errs.KindOf(err) != errs.DiskFailure {
-			t.Errorf("%s: %v", name, err)
+		if _, err := openTestShard(t, disk); errs.KindOf(err) != errs.DiskFailure {
+			t.Errorf("opening a disk with a %s: error %v, want kind %s", name, err, errs.DiskFailure.Name)
 		}
 	}
 }
