--- a/internal/control/controlstate/sim_disk_test.go
+++ b/internal/control/controlstate/sim_disk_test.go
@@ -7,15 +7,16 @@
 	"sort"
 )
 
-// simDisk fails, stalls or loses power on demand. What a call has written when it returns is synced.
+// simDisk is a disk in memory that can simulate a full disk, a slow disk or a loss of power. Every successful write is
+// synced when it returns.
 type simDisk struct {
 	files       map[string][]byte
 	failWrites  bool   // every write fails, as on a full disk
-	powerBudget int    // bytes until the power fails; below zero: it doesn't
+	powerBudget int    // bytes that can still be written before the power fails; negative: it does not fail
 	beforeWrite func() // called before every write
 }
 
-// corruptSnapshots flips a bit of each snapshot among a disk's files, so that none can be read.
+// corruptSnapshots flips a bit in each snapshot file of a disk, so that no snapshot can be decoded.
 func corruptSnapshots(files map[string][]byte) {
 	for _, name := range []string{"slot-0", "slot-1"} {
 		if content := files[name]; len(content) > 0 {
@@ -25,16 +26,17 @@
 	}
 }
 
+// newSimDisk returns an empty disk.
 func newSimDisk() *simDisk { return &simDisk{files: map[string][]byte{}, powerBudget: -1} }
 
-var errPowerLost, errDiskFull = errors.New("power lost"), errors.New("disk full")
+var errPowerLost, errDiskFull = errors.New("simulated loss of power"), errors.New("simulated disk is full")
 
 func (d *simDisk) Read(name string) ([]byte, bool, error) {
 	content, ok := d.files[name]
 	return bytes.Clone(content), ok, nil
 }
 
-// appendBytes writes as much as the disk and its power allow.
+// appendBytes appends to a file. If the disk is full or the power fails during the write, only a part is written.
 func (d *simDisk) appendBytes(name string, appended []byte) error {
 	if d.beforeWrite != nil {
 		d.beforeWrite()
@@ -71,32 +73,33 @@
 	return nil
 }
 
-// cacheDisk is a disk behind a cache. What was written and not synced survives the process, not a loss of
-// power, which leaves each such file as it was before, complete, or torn. A failed sync is reported once:
-// later ones of that file succeed, and sync nothing.
+// cacheDisk is a disk in memory behind a page cache. Data that was written but not synced survives the end of the
+// process. After a loss of power each file with such data is in its synced state, completely written, or torn. As on
+// Linux, a failed sync is reported only once: later syncs of the file succeed without syncing the data.
 type cacheDisk struct {
 	cached, synced   map[string][]byte
-	syncFailed       map[string]bool
+	syncFailed       map[string]bool // by file: a sync has failed since the file was last created
 	random           *rand.Rand
 	failWrites       bool
-	writesUntilCrash int // until the process crashes in a write; below zero: it doesn't
+	writesUntilCrash int // writes until the process crashes during one; negative: it does not crash
 	crashed          bool
 	beforeWrite      func() // called before every write
 }
 
+// newCacheDisk returns an empty disk that draws its random numbers from random.
 func newCacheDisk(random *rand.Rand) *cacheDisk {
 	return &cacheDisk{cached: map[string][]byte{}, synced: map[string][]byte{}, syncFailed: map[string]bool{}, random: random, writesUntilCrash: -1}
 }
 
-var errCrashed = errors.New("the process has crashed")
+var errCrashed = errors.New("simulated crash of the process during a write")
 
 func (d *cacheDisk) Read(name string) ([]byte, bool, error) {
 	content, ok := d.cached[name]
 	return bytes.Clone(content), ok, nil
 }
 
-// write writes a file anew, or appends to its old content.
-func (d *cacheDisk) write(name string, isNew bool, old, appended []byte) error {
+// write appends to the old content of a file; replaces: the file is written anew, and old is empty.
+func (d *cacheDisk) write(name string, replaces bool, old, appended []byte) error {
 	if d.crashed {
 		return errCrashed
 	}
@@ -112,7 +115,7 @@
 	case d.failWrites:
 		d.cached[name], d.syncFailed[name] = content[:len(old)+len(appended)/2], true
 		if d.random.IntN(2) == 0 {
-			d.cached[name] = content // written, and the sync failed
+			d.cached[name] = content // completely written, but the sync failed
 		}
 		return errDiskFull
 	}
@@ -120,7 +123,7 @@
 		d.writesUntilCrash--
 	}
 	d.cached[name] = content
-	if isNew {
+	if replaces {
 		delete(d.syncFailed, name)
 	}
 	if !d.syncFailed[name] {
@@ -147,15 +150,15 @@
 	return nil
 }
 
-// corrupt makes what the disk holds unreadable.
+// corrupt makes the snapshots on the disk undecodable, both in the cache and as synced.
 func (d *cacheDisk) corrupt() {
 	corruptSnapshots(d.cached)
 	corruptSnapshots(d.synced)
 }
 
-// losePower drops what isn't synced, or parts of it.
+// losePower simulates a loss of power: each file loses all, a part or none of its data that was not synced.
 func (d *cacheDisk) losePower() {
-	dropAll := d.random.IntN(4) == 0 // at times everything that isn't synced is lost
+	dropAll := d.random.IntN(4) == 0 // all files lose all data that was not synced
 	var names []string
 	for name := range d.cached {
 		names = append(names, name)
--- a/internal/control/controlstate/sim_network_test.go
+++ b/internal/control/controlstate/sim_network_test.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// simNetwork carries the connections of a testCluster's machines, and can be partitioned in one direction or
-// both. As with TCP, what is sent into a partition waits in the sender's buffer and arrives after it,
-// neither end gets an error, and a new connection needs both directions.
+// simNetwork carries the connections between the nodes of a testCluster. Its links can be partitioned in one direction
+// or in both. It behaves like TCP: data sent into a partition stays in the sender's buffer and arrives after the
+// partition has ended, neither end gets an error, and a connection can be established only if both directions are open.
 type simNetwork struct {
 	mu          sync.Mutex
-	partitioned map[[2]string]bool // from, to
+	partitioned map[[2]string]bool // by sender and receiver
 	changed     chan struct{}      // closed whenever a partition begins or ends
 }
 
-// dialTimeout ends an attempt to connect, as that of a process's dialer does.
+// dialTimeout limits an attempt to connect, like the dial time-out of a process.
 const dialTimeout = time.Second
 
+// newSimNetwork returns a network without partitions.
 func newSimNetwork() *simNetwork {
 	return &simNetwork{partitioned: map[[2]string]bool{}, changed: make(chan struct{})}
 }
 
-// update changes which links are partitioned.
+// update changes the set of partitioned links and wakes the connections that wait for a link.
 func (n *simNetwork) update(f func(partitioned map[[2]string]bool)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -40,18 +41,18 @@
 	n.update(func(partitioned map[[2]string]bool) { clear(partitioned) })
 }
 
-// isOpen reports whether packets get from one address to another. The channel is closed when that may have
-// changed.
+// isOpen reports whether the link from one address to another is open. The returned channel is closed at the next
+// change of any link.
 func (n *simNetwork) isOpen(from, to string) (bool, chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.partitioned[[2]string{from, to}], n.changed
 }
 
-// dial connects two machines, once both directions are open.
+// dial connects two addresses. It waits until the links in both directions are open.
 func (n *simNetwork) dial(ctx context.Context, cluster *testCluster, source, target string) (net.Conn, error) {
-	ctx, end := context.WithTimeout(ctx, dialTimeout)
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
 	for {
 		outward, changed := n.isOpen(source, target)
 		inward, _ := n.isOpen(target, source)
@@ -86,18 +87,19 @@
 	network        *simNetwork
 	from, to       string
 	mu             sync.Mutex
-	buffer         []byte
+	buffer         []byte // sent and not yet read
 	senderClosed   bool
 	receiverClosed bool
-	deadline       time.Time
-	changed        chan struct{}
+	deadline       time.Time     // read deadline
+	changed        chan struct{} // closed at the next change of the fields above
 }
 
+// newHalfConn returns one direction of a new connection.
 func newHalfConn(network *simNetwork, from, to string) *halfConn {
 	return &halfConn{network: network, from: from, to: to, changed: make(chan struct{})}
 }
 
-// update changes the state and wakes readers.
+// update changes the state of the direction and wakes its readers.
 func (h *halfConn) update(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -106,9 +108,10 @@
 	h.changed = make(chan struct{})
 }
 
+// read waits until the link is open and there is data, or until the connection ends or the deadline passes.
 func (h *halfConn) read(b []byte) (int, error) {
 	for {
-		open, healed := h.network.isOpen(h.from, h.to)
+		open, linksChanged := h.network.isOpen(h.from, h.to)
 		h.mu.Lock()
 		changed, deadline := h.changed, h.deadline
 		switch {
@@ -136,12 +139,13 @@
 		}
 		select {
 		case <-changed:
-		case <-healed:
+		case <-linksChanged:
 		case <-timeout:
 		}
 	}
 }
 
+// write appends to the buffer, also while the link is partitioned.
 func (h *halfConn) write(b []byte) (int, error) {
 	open, _ := h.network.isOpen(h.from, h.to)
 	err := error(nil)
--- a/internal/control/controlstate/sim_seeds_race_test.go
+++ b/internal/control/controlstate/sim_seeds_race_test.go
@@ -2,9 +2,9 @@
 
 package controlstate
 
-// groupSeeds is how many runs of a group's simulator a test makes. The race detector takes ten times
-// as long; CI makes the whole number without it.
+// groupSeeds is the number of seeds that a test of the group simulator runs. It is low here because the simulator takes
+// ten times as long under the race detector; CI also runs the tests without it, with the full number.
 const groupSeeds = 6
 
-// historySeeds is how many runs of real nodes a test makes.
+// historySeeds is the number of seeds that a test of real nodes runs.
 const historySeeds = 2
--- a/internal/control/controlstate/sim_seeds_test.go
+++ b/internal/control/controlstate/sim_seeds_test.go
@@ -2,8 +2,8 @@
 
 package controlstate
 
-// groupSeeds is how many runs of a group's simulator a test makes.
+// groupSeeds is the number of seeds that a test of the group simulator runs.
 const groupSeeds = 40
 
-// historySeeds is how many runs of real nodes a test makes.
+// historySeeds is the number of seeds that a test of real nodes runs.
 const historySeeds = 6
