--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -12,103 +12,105 @@
 	"pebbleloom/internal/wire"
 )
 
-// Faults that the simulators plant on purpose, to see that their checks find them.
+// Defects that a simulator can build into the simulated system on request, to verify that its checks detect them.
 const (
-	plantedBlankVote       = "vote-blank"       // a member that lost its disk votes at once
-	plantedStaleConfirm    = "vouch-unsettled"  // a member overlooks what its log holds and it hasn't applied
-	plantedKillConfirm     = "vouch-killed"     // the same, in the polls that follow a leader's kill alone
-	plantedStaleView       = "vouch-open"       // the same, of a group's published view
-	plantedLateLease       = "lease-late"       // a holder counts its lease from the answer, and longer
-	plantedDeadTimer       = "timer-dead"       // the election timer of a member that has known a leader never fires again
-	plantedLostPoll        = "poll-lost"        // an edge never renews a poll whose member was killed
-	plantedSameIncarnation = "same-incarnation" // a member that lost its disk comes back as the same member
+	defectBlankVote           = "blank member votes"                   // a member that lost its disk votes before it has caught up
+	defectStaleWatchResponse  = "watch ignores unapplied entries"      // watch responses ignore newer versions in unapplied log entries
+	defectStaleWatchAfterKill = "watch ignores unapplied after a kill" // as defectStaleWatchResponse, but only in the polls right after the leader is killed
+	defectStaleView           = "published view lacks unapplied"       // a group's published view ignores newer versions in unapplied log entries
+	defectLateLease           = "lease measured from response"         // a holder measures its lease from the response instead of the request, plus lateLeaseExtension
+	defectDeadTimer           = "election timer stopped"               // the election timer of a follower stops once it knows a leader
+	defectLostPoll            = "long poll not renewed"                // the agent stops polling a member whose process was killed during a poll
+	defectSameIncarnation     = "incarnation reused after a disk loss" // a member that lost its disk returns under its old incarnation
 )
 
-// plantedLateLeaseSurplus is by how much plantedLateLease lengthens a lease.
-const plantedLateLeaseSurplus = 2 * time.Second
+// lateLeaseExtension is the time that defectLateLease adds to a lease.
+const lateLeaseExtension = 2 * time.Second
 
-// answerTimeout is how long a simulated client waits for an answer; pollTime is how long a long poll is
-// held open.
+// Time-outs of simulated clients.
 const (
-	answerTimeout = 10 * time.Second
-	pollTime      = 300 * time.Millisecond
+	answerTimeout = 10 * time.Second       // for the response to a request
+	pollTime      = 300 * time.Millisecond // for a long poll without a newer version
 )
 
-// simBase is what the simulators of a shard and of a group have in common: virtual time, seeded
-// draws, messages in flight, calls in progress, holders of a lease, and what is recorded of a run.
+// simBase is the common part of the simulators of a shard (shardSim) and of a group (groupSim): virtual time,
+// seeded random numbers, messages in flight, pending client calls, lease holders, and the record of a run.
 type simBase struct {
 	seed         uint64
 	random       *rand.Rand
 	now          time.Duration
 	inFlight     []simMessage
 	sentMessages int
-	partitioned  map[string]bool // links that carry nothing, by "from>to"
-	lossRate     float64         // of messages, requests and answers
-	inProgress   []func() bool   // calls under way; each returns false once it has ended
+	partitioned  map[string]bool // links that drop all messages, by "from>to"
+	lossRate     float64         // probability that a message, request or response is lost
+	inProgress   []func() bool   // pending calls, run in each step until they return false
 	reads        []*simRead
 	leaseHolders []*simLeaseHolder
-	trace        []string
-	violations   []string
-	counts       map[string]int
-	plantedFault string
+	trace        []string       // log of the run, printed if a check fails
+	violations   []string       // failed checks, oldest first
+	counts       map[string]int // number of occurrences by event
+	defect       string         // one of the defect constants, or empty
 }
 
-// newSimBase draws from a stream of its own, so that the simulators differ for one seed.
-func newSimBase(seed, stream uint64, plantedFault string) simBase {
-	return simBase{seed: seed, random: rand.New(rand.NewPCG(seed, stream)), partitioned: map[string]bool{}, counts: map[string]int{}, plantedFault: plantedFault}
+// newSimBase returns the base of a simulator. Each simulator passes a different stream, so that simulators with the
+// same seed draw different random numbers.
+func newSimBase(seed, stream uint64, defect string) simBase {
+	return simBase{seed: seed, random: rand.New(rand.NewPCG(seed, stream)), partitioned: map[string]bool{}, counts: map[string]int{}, defect: defect}
 }
 
-// simMessage is a message on its way. Those due at the same time arrive in the order in which they
-// were sent.
+// simMessage is a message in flight. Messages with the same delivery time arrive in the order in which they were sent.
 type simMessage struct {
 	deliverAt time.Duration
 	sequence  int
 	message   *wire.Message
 }
 
-// simRead is an answered read.
+// simRead is a completed read of the document.
 type simRead struct {
 	version            uint64
 	body               string
 	sentAt, answeredAt time.Duration
 }
 
-// simLeaseHolder requests a lease by the product's controlclient.Lease, with a clock that drifts.
+// simLeaseHolder is a client that requests the lease through the production controlclient.Lease, with a drifting
+// clock.
 type simLeaseHolder struct {
 	lease          *controlclient.Lease
 	clock          *clock.Manual
 	clockRate      float64
 	requestPending bool
-	pausedUntil    time.Duration
+	pausedUntil    time.Duration // sends no request before this time
 }
 
-// Holders' clocks run at a rate from 1-clockDrift to 1+clockDrift, as those of machines do; what a
-// lease lasts is simLeaseTTL.
+// Clocks and leases of a simulation.
 const (
-	clockDrift  = 0.03
-	simLeaseTTL = 3 * time.Second
+	clockDrift  = 0.03            // the clocks of nodes and lease holders run at rates from 1-clockDrift to 1+clockDrift
+	simLeaseTTL = 3 * time.Second // duration of a granted lease
 )
 
+// tracef appends a line with the virtual time to the trace.
 func (s *simBase) tracef(format string, a ...any) {
 	s.trace = append(s.trace, fmt.Sprintf("%8.3f ", s.now.Seconds())+fmt.Sprintf(format, a...))
 }
 
-// violationf records that something happened that must not.
+// violationf records a failed check.
 func (s *simBase) violationf(format string, a ...any) {
 	s.tracef("VIOLATION "+format, a...)
 	s.violations = append(s.violations, fmt.Sprintf(format, a...))
 }
 
+// count counts an occurrence of an event.
 func (s *simBase) count(event string) { s.counts[event]++ }
 
+// randomClockRate draws the rate of a drifting clock.
 func (s *simBase) randomClockRate() float64 { return 1 - clockDrift + 2*clockDrift*s.random.Float64() }
 
-// randomBelow draws a duration from zero to just below a limit.
+// randomBelow draws a duration from zero up to, but not including, the limit.
 func (s *simBase) randomBelow(limit time.Duration) time.Duration {
 	return time.Duration(s.random.Int64N(int64(limit)))
 }
 
-// takeInFlight gives all messages on their way, in the order in which they arrive.
+// takeInFlight removes and returns all messages in flight, in order of delivery.
 func (s *simBase) takeInFlight() []simMessage {
 	sort.SliceStable(s.inFlight, func(i, j int) bool {
 		a, b := s.inFlight[i], s.inFlight[j]
@@ -119,8 +121,8 @@
 	return all
 }
 
-// addLeaseHolders adds holders of one lease. Its name is part of the log: with a longer one logs are compacted
-// at other times, and seeds give other runs.
+// addLeaseHolders adds clients that compete for one lease. Their names are stored in log entries: names of another
+// length would change when logs are compacted, and thereby the run that a seed produces.
 func (s *simBase) addLeaseHolders(count int) {
 	for i := range count {
 		holder := &simLeaseHolder{clock: &clock.Manual{}, clockRate: s.randomClockRate()}
@@ -129,13 +131,14 @@
 	}
 }
 
+// advanceLeaseHolders advances the drifting clocks of the lease holders by one step of virtual time.
 func (s *simBase) advanceLeaseHolders(step time.Duration) {
 	for _, holder := range s.leaseHolders {
 		holder.clock.Time += time.Duration(float64(step) * holder.clockRate)
 	}
 }
 
-// checkLeaseHolders checks that no two holders hold the lease at a time.
+// checkLeaseHolders checks that at most one client considers itself the holder of the lease.
 func (s *simBase) checkLeaseHolders() {
 	holders := 0
 	for _, holder := range s.leaseHolders {
@@ -144,13 +147,13 @@
 		}
 	}
 	if holders > 1 {
-		s.violationf("%d hold the lease at once", holders)
+		s.violationf("%d clients hold the lease at the same time, want at most 1", holders)
 	}
 }
 
-// nextLeaseRequest draws a holder that requests the lease now; nil: the one that was drawn waits for an
-// answer or is paused. At times a holder freezes after its request.
-func (s *simBase) nextLeaseRequest() *simLeaseHolder {
+// drawLeaseHolder draws the client that requests the lease now. It returns nil if that client is paused or has a
+// request pending. With a probability of 1 in 40 the client is paused after this request.
+func (s *simBase) drawLeaseHolder() *simLeaseHolder {
 	holder := s.leaseHolders[s.random.IntN(len(s.leaseHolders))]
 	if holder.pausedUntil > s.now || holder.requestPending {
 		return nil
@@ -161,21 +164,21 @@
 	return holder
 }
 
-// awaitLeaseAnswer has a holder send no other request until it gives up this one.
-func (s *simBase) awaitLeaseAnswer(holder *simLeaseHolder) {
+// markRequestPending prevents further requests of a client until it gives up on the current one.
+func (s *simBase) markRequestPending(holder *simLeaseHolder) {
 	const giveUpAfter = simLeaseTTL / 2
-	begun := s.now
+	startedAt := s.now
 	holder.requestPending = true
 	s.inProgress = append(s.inProgress, func() bool {
-		holder.requestPending = s.now-begun < giveUpAfter
+		holder.requestPending = s.now-startedAt < giveUpAfter
 		return holder.requestPending
 	})
 }
 
-// handleLeaseAnswer passes an answer to the holder's lease, which counts from the time of the request.
-func (s *simBase) handleLeaseAnswer(holder *simLeaseHolder, requestedAt time.Duration, response *wire.ChangeResponse) {
-	if s.plantedFault == plantedLateLease {
-		requestedAt = holder.clock.Now() + plantedLateLeaseSurplus
+// handleLeaseResponse passes a response to the client's lease, which lasts from the time of the request.
+func (s *simBase) handleLeaseResponse(holder *simLeaseHolder, requestedAt time.Duration, response *wire.ChangeResponse) {
+	if s.defect == defectLateLease {
+		requestedAt = holder.clock.Now() + lateLeaseExtension
 	}
 	holder.lease.HandleResponse(requestedAt, response)
 	if response.Outcome == wire.OutcomeDone {
@@ -183,9 +186,9 @@
 	}
 }
 
-// continueCalls lets every call in progress act. Calls that begin meanwhile, as in the handling of an answer, act
-// from the next step on.
-func (s *simBase) continueCalls() {
+// runPendingCalls runs all pending calls once. Calls that are added while it runs, by the handler of a response for
+// example, run from the next step on.
+func (s *simBase) runPendingCalls() {
 	calls := s.inProgress
 	s.inProgress = nil
 	for _, call := range calls {
@@ -195,21 +198,21 @@
 	}
 }
 
-// lastTrace is the end of the trace, for a failure's message.
+// lastTrace returns the last lines of the trace, for the message of a failed test.
 func (s *simBase) lastTrace(lines int) string {
 	return strings.Join(s.trace[max(0, len(s.trace)-lines):], "\n")
 }
 
-// awaitResponse calls done with a response in the next step, or when it comes, unless the process
-// that was asked ends before, or answerTimeout passes.
+// awaitResponse calls done with the response: in the next step if there is one already, otherwise when it arrives on
+// the pending channel. It gives up if the process that received the request ends first, or after answerTimeout.
 func (s *simBase) awaitResponse(response *wire.ChangeResponse, pending <-chan *wire.ChangeResponse, isSameProcess func() bool, done func(*wire.ChangeResponse)) {
-	begun := s.now
+	startedAt := s.now
 	s.inProgress = append(s.inProgress, func() bool {
 		if response == nil {
 			select {
 			case response = <-pending:
 			default:
-				return isSameProcess() && s.now-begun < answerTimeout
+				return isSameProcess() && s.now-startedAt < answerTimeout
 			}
 		}
 		if isSameProcess() {
--- a/internal/control/controlstate/sim_group_clients_test.go
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -10,26 +10,26 @@
 	"pebbleloom/internal/wire"
 )
 
-// A change that is retried after this many others were acknowledged counts as late, or very late.
+// Numbers of other changes acknowledged in the meantime after which a retry counts as late or very late.
 const lateAfter, veryLateAfter = 40, 256
 
-// groupChange is a configuration that an operator builds on a version.
+// groupChange is a change of the routing configuration that an operator makes, based on a version.
 type groupChange struct {
 	name                    string
 	baseVersion, newVersion uint64
 	body                    string
-	ackedAt                 time.Duration // when it was first acknowledged; zero: never
-	ackedBefore             int           // how many changes had been acknowledged when it was made
+	ackedAt                 time.Duration // time of the first acknowledgement; 0: not acknowledged
+	ackedBefore             int           // number of changes that had been acknowledged when this one was created
 	attempts                int
 	createdAt               time.Duration
 }
 
-// readAt begins a read at a node, and calls then with what it returns.
+// readAt starts a read at a node, and calls then with the result if the read succeeds.
 func (s *groupSim) readAt(node *groupSimNode, then func(version uint64, body string)) {
-	if !s.isHealthy(node) || s.isAbandoned(node) {
+	if !s.isHealthy(node) || s.isSuperseded(node) {
 		return
 	}
-	begun, generation, confirmed := s.now, node.generation, make(chan bool, 1)
+	startedAt, generation, confirmed := s.now, node.generation, make(chan bool, 1)
 	node.shard.beginRead(confirmed)
 	s.runStep(node)
 	s.inProgress = append(s.inProgress, func() bool {
@@ -45,56 +45,57 @@
 			}
 			return false
 		default:
-			return node.generation == generation && s.now-begun < answerTimeout
+			return node.generation == generation && s.now-startedAt < answerTimeout
 		}
 	})
 }
 
-// read is a reader's request to a node, and the checks of what it returns.
+// read sends a read to a node and checks the result.
 func (s *groupSim) read(node *groupSimNode) {
-	begun, query := s.now, s.history.BeginRead(routingconfig.DocumentKey)
+	startedAt, query := s.now, s.history.BeginRead(routingconfig.DocumentKey)
 	s.readAt(node, func(version uint64, body string) {
 		query.Complete(version, body)
-		read := &simRead{sentAt: begun, answeredAt: s.now, version: version, body: body}
+		read := &simRead{sentAt: startedAt, answeredAt: s.now, version: version, body: body}
 		s.reads = append(s.reads, read)
 		s.knownVersion = max(s.knownVersion, version)
 		s.count("read")
-		s.checkIsolated(node, begun, "answers a read")
+		s.checkIsolated(node, startedAt, "served a read")
 		for _, change := range s.changes {
 			if change.ackedAt > 0 && change.ackedAt < read.sentAt && change.newVersion > version {
-				s.violationf("read version %d after %d was acknowledged", version, change.newVersion)
+				s.violationf("read returned version %d, although version %d had been acknowledged before the read started", version, change.newVersion)
 			}
 			if change.ackedAt > 0 && change.newVersion == version && change.body != body {
-				s.violationf("read another body under version %d", version)
+				s.violationf("read of version %d returned body %q, want the acknowledged body %q", version, body, change.body)
 			}
 		}
 		for _, earlier := range s.reads {
 			if earlier.answeredAt < read.sentAt && earlier.version > version || earlier.version == version && earlier.body != body {
-				s.violationf("read version %d %q after %d %q", version, body, earlier.version, earlier.body)
+				s.violationf("read returned version %d with body %q after an earlier read returned version %d with body %q", version, body, earlier.version, earlier.body)
 			}
 		}
 	})
 }
 
-// checkIsolated checks that a node that is isolated in both directions serves no request that was sent
-// to it since.
-func (s *groupSim) checkIsolated(node *groupSimNode, sentAt time.Duration, what string) {
+// checkIsolated checks, when a node has served a request, that the node was not isolated in both directions when the
+// request was sent. action describes what the node did.
+func (s *groupSim) checkIsolated(node *groupSimNode, sentAt time.Duration, action string) {
 	if s.isolatedAddr != node.addr || sentAt <= s.isolatedSince || node.shard == nil {
 		return
 	}
-	if members, _, _ := node.shard.core.Members(); len(members) > 1 { // else it is the only member
-		s.violationf("%s, isolated since %v, %s of %v", node.addr, s.isolatedSince, what, sentAt)
+	if members, _, _ := node.shard.core.Members(); len(members) > 1 { // a group of one member may serve in isolation
+		s.violationf("%s %s that was sent at %v, although the node has been isolated since %v", node.addr, action, sentAt, s.isolatedSince)
 	}
 }
 
-// sendCommand sends a command to a node and waits for its answer. The request or the answer may be lost.
+// sendCommand sends a command to a node and calls done with the response. The request or the response may be lost, in
+// which case done is not called.
 func (s *groupSim) sendCommand(node *groupSimNode, request *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
 	s.proposeCommand(node, request, func(response *wire.ChangeResponse, _ bool) { done(response) })
 }
 
-// proposeCommand is sendCommand that also reports whether the answer comes from a committed entry.
+// proposeCommand is like sendCommand, but also reports whether the response comes from a committed entry.
 func (s *groupSim) proposeCommand(node *groupSimNode, request *wire.ChangeRequest, done func(response *wire.ChangeResponse, committed bool)) {
-	if !s.isRunning(node) || s.isAbandoned(node) || s.random.Float64() < s.lossRate {
+	if !s.isRunning(node) || s.isSuperseded(node) || s.random.Float64() < s.lossRate {
 		return
 	}
 	pending, response := node.shard.propose(request, nil)
@@ -108,8 +109,8 @@
 	})
 }
 
-// newChange is a change that builds on the newest version that operators have heard of, and makes a
-// version that the operator chose.
+// newChange returns a new change that is based on the newest version that operators know of and produces the given
+// version, which the operator chose.
 func (s *groupSim) newChange(version uint64) *groupChange {
 	change := &groupChange{name: fmt.Sprintf("w%d", len(s.changes)), baseVersion: s.knownVersion, newVersion: version, ackedBefore: s.ackedCount, createdAt: s.now}
 	change.body = string(body(version, change.name+s.bodyPadding))
@@ -117,7 +118,7 @@
 	return change
 }
 
-// earlierChange draws a change that was sent before, of the last few or of all; nil: there is none.
+// earlierChange draws one of the changes created so far, either of the last few or of all. It returns nil if there is none.
 func (s *groupSim) earlierChange() *groupChange {
 	const few = 8
 	count := len(s.changes)
@@ -130,42 +131,43 @@
 	return s.changes[s.random.IntN(count)]
 }
 
-// writeChange sends a new change, or an earlier one again, whatever its outcome was.
-func (s *groupSim) writeChange(acked func(*groupSimNode)) {
+// writeChange sends a new change, or retries an earlier one, whatever its outcome was. onAcked, unless it is nil, is
+// called with the leader that acknowledged the change.
+func (s *groupSim) writeChange(onAcked func(*groupSimNode)) {
 	node := s.randomNode()
 	if leader := s.leader(); leader != nil && s.random.IntN(3) > 0 {
 		node = leader
 	}
 	if change := s.earlierChange(); change != nil && s.random.IntN(3) == 0 {
-		s.sendChange(change, node, acked)
+		s.sendChange(change, node, onAcked)
 		return
 	}
 	next := s.knownVersion + 1 + s.random.Uint64N(3)
 	if !s.allFaults {
-		s.sendChange(s.newChange(next), node, acked)
+		s.sendChange(s.newChange(next), node, onAcked)
 		return
 	}
 	switch s.random.IntN(12) {
-	case 0: // two operators, one version, different content
-		s.count("one version, two contents")
-		s.sendChange(s.newChange(next), s.randomNode(), acked)
-		s.sendChange(s.newChange(next), node, acked)
-	case 1: // two operators, one version, the same content
-		s.count("one version, one content")
+	case 0: // two operators make different changes to the same version
+		s.count("two changes of one version")
+		s.sendChange(s.newChange(next), s.randomNode(), onAcked)
+		s.sendChange(s.newChange(next), node, onAcked)
+	case 1: // two operators send the same change
+		s.count("same change sent twice at once")
 		change := s.newChange(next)
-		s.sendChange(change, s.randomNode(), acked)
-		s.sendChange(change, node, acked)
+		s.sendChange(change, s.randomNode(), onAcked)
+		s.sendChange(change, node, onAcked)
 	case 2:
-		s.sendBurst(acked)
+		s.sendBurst(onAcked)
 	default:
-		s.sendChange(s.newChange(next), node, acked)
+		s.sendChange(s.newChange(next), node, onAcked)
 	}
 }
 
-// sendBurst sends eight changes at once, most often to nodes that don't lead.
-func (s *groupSim) sendBurst(acked func(*groupSimNode)) {
+// sendBurst sends eight changes at the same time, mostly to nodes that are not the leader.
+func (s *groupSim) sendBurst(onAcked func(*groupSimNode)) {
 	const burst = 8
-	s.count("eight at once")
+	s.count("burst of changes")
 	for i := range uint64(burst) {
 		node := s.randomNode()
 		if node == s.leader() {
@@ -175,13 +177,13 @@
 		if change == nil || s.random.IntN(4) > 0 {
 			change = s.newChange(s.knownVersion + 1 + i%3)
 		}
-		s.sendChange(change, node, acked)
+		s.sendChange(change, node, onAcked)
 	}
 }
 
-// sendChange sends a change to a node, which forwards it where another one leads. Where it is
-// acknowledged, acked gets the leader.
-func (s *groupSim) sendChange(change *groupChange, node *groupSimNode, acked func(*groupSimNode)) {
+// sendChange sends a change to a node, which forwards it to the leader if that is another node. onAcked, unless it is
+// nil, is called with the leader that acknowledged the change.
+func (s *groupSim) sendChange(change *groupChange, node *groupSimNode, onAcked func(*groupSimNode)) {
 	attempt := s.history.BeginAttempt(history.Change{Key: routingconfig.DocumentKey, Token: change.body, BaseVersion: change.baseVersion, NewVersion: change.newVersion, Body: change.body})
 	if change.attempts++; change.attempts > 1 {
 		s.count("retried")
@@ -198,7 +200,7 @@
 		return
 	}
 	if leader != node {
-		s.count("by a node that doesn't lead")
+		s.count("change forwarded to the leader")
 	}
 	request := putRequest(&wire.Put{Key: routingconfig.DocumentKey, Body: []byte(change.body), IfVersion: change.baseVersion, Token: change.body})
 	sentAt, wasAcked := s.now, change.ackedAt > 0
@@ -207,16 +209,16 @@
 			s.count("response lost")
 			return
 		}
-		s.checkIsolated(leader, sentAt, "answers "+string(response.Outcome)+" to a change")
-		s.handleAnswer(change, attempt, leader, response, wasAcked)
-		if response.Outcome == wire.OutcomeDone && acked != nil {
-			acked(leader)
+		s.checkIsolated(leader, sentAt, "responded "+string(response.Outcome)+" to a change")
+		s.handleChangeResponse(change, attempt, leader, response, wasAcked)
+		if response.Outcome == wire.OutcomeDone && onAcked != nil {
+			onAcked(leader)
 		}
 	})
 }
 
-// executeChange does what shard.change does, step by step: it confirms that the node leads, proposes,
-// and confirms once more before it rejects by a state that no committed entry has decided on.
+// executeChange performs the steps of shard.change: a quorum confirms the leader, the change is proposed, and an outcome
+// that was decided from the applied state without a committed entry is decided again after another confirmation.
 func (s *groupSim) executeChange(node *groupSimNode, request *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
 	s.readAt(node, func(uint64, string) {
 		s.proposeCommand(node, request, func(response *wire.ChangeResponse, committed bool) {
@@ -231,10 +233,10 @@
 	})
 }
 
-// forwardTarget is where a node sends a change: itself where it leads, else the leader that it knows.
-// Without all faults it forwards nothing.
+// forwardTarget returns the node to which a node forwards changes: itself if it is the leader or if allFaults is not set,
+// otherwise the leader that it knows of. It returns nil if there is none.
 func (s *groupSim) forwardTarget(node *groupSimNode) *groupSimNode {
-	if !s.isRunning(node) || s.isAbandoned(node) {
+	if !s.isRunning(node) || s.isSuperseded(node) {
 		return nil
 	}
 	view := node.shard.published.current()
@@ -244,13 +246,14 @@
 	return s.node(controlclient.MemberAddr(view.leader))
 }
 
-// handleAnswer records the answer that an operator got, and checks it.
-func (s *groupSim) handleAnswer(change *groupChange, attempt *history.Attempt, leader *groupSimNode, response *wire.ChangeResponse, wasAcked bool) {
+// handleChangeResponse records and checks the response to a change. wasAcked: the change had been acknowledged before
+// this attempt was sent.
+func (s *groupSim) handleChangeResponse(change *groupChange, attempt *history.Attempt, leader *groupSimNode, response *wire.ChangeResponse, wasAcked bool) {
 	switch response.Outcome {
 	case wire.OutcomeDone:
 		attempt.Complete(history.Acknowledged, response.Version)
 		if response.Version != change.newVersion {
-			s.violationf("version %d is acknowledged as %d", change.newVersion, response.Version)
+			s.violationf("change %s to version %d was acknowledged as version %d", change.name, change.newVersion, response.Version)
 		}
 		if change.ackedAt == 0 {
 			change.ackedAt = s.now
@@ -260,7 +263,7 @@
 			s.count("acknowledged again")
 		}
 		s.knownVersion = max(s.knownVersion, response.Version)
-		s.tracef("acked %s on %d as %d by %s", change.name, change.baseVersion, change.newVersion, leader.addr)
+		s.tracef("%s acknowledged change %s, based on version %d, as version %d", leader.addr, change.name, change.baseVersion, change.newVersion)
 		s.fireEvent(eventAcknowledged)
 	case wire.OutcomeConflict:
 		attempt.Complete(history.Rejected, response.Version)
@@ -274,35 +277,35 @@
 		s.count("not executed")
 	}
 	if wasAcked && (response.Outcome == wire.OutcomeConflict || response.Outcome == wire.OutcomeBadInput) {
-		s.violationf("%s was acknowledged, and is %s when it is retried", change.name, response.Outcome)
+		s.violationf("retry of acknowledged change %s got outcome %s, want it acknowledged again", change.name, response.Outcome)
 	}
 }
 
-// requestLease has a holder request the lease, most often from the leader.
+// requestLease sends a random client's request for the lease, usually to the leader.
 func (s *groupSim) requestLease() {
-	holder := s.nextLeaseRequest()
+	holder := s.drawLeaseHolder()
 	if holder == nil {
 		return
 	}
 	requestedAt, sentAt, grant := holder.clock.Now(), s.now, holder.lease.GrantRequest()
-	s.awaitLeaseAnswer(holder)
+	s.markRequestPending(holder)
 	node := s.leader()
 	if node == nil || s.random.IntN(8) == 0 {
 		node = s.randomNode()
 	}
 	s.sendCommand(node, grantRequest(grant), func(response *wire.ChangeResponse) {
-		s.handleLeaseAnswer(holder, requestedAt, response)
+		s.handleLeaseResponse(holder, requestedAt, response)
 		if response.Outcome == wire.OutcomeDone {
-			s.checkIsolated(node, sentAt, "grants a lease")
+			s.checkIsolated(node, sentAt, "granted a lease by a request")
 			s.checkFencingToken(response.Fence, grant.Holder)
 		}
 	})
 }
 
-// checkFencingToken checks that no two holders were granted the lease under one fencing token.
+// checkFencingToken checks that the lease is never granted to two clients under the same fencing token.
 func (s *groupSim) checkFencingToken(token uint64, holder string) {
 	if other := s.fencingTokenHolders[token]; other != "" && other != holder {
-		s.violationf("fencing token %d is of %s and of %s", token, other, holder)
+		s.violationf("lease was granted to both %s and %s under fencing token %d", other, holder, token)
 	}
 	s.fencingTokenHolders[token] = holder
 }
--- a/internal/control/controlstate/sim_group_edge_test.go
+++ b/internal/control/controlstate/sim_group_edge_test.go
@@ -8,51 +8,52 @@
 	"pebbleloom/internal/wire"
 )
 
-// simEdge follows all members by their responses, and derives from these until when its version was the
-// newest, as an edge does.
-type simEdge struct {
+// simAgent follows the routing configuration by long polls of all members. Like package agent, it derives from their
+// responses a proof of freshness: up to which time no version newer than its own can have been acknowledged.
+type simAgent struct {
 	version, membersIndex, membersTerm uint64
-	restoreGeneration                  uint64 // the newest that it has heard of
+	restoreGeneration                  uint64 // newest restore generation that it knows of
 	members                            []string
-	confirmedAt                        map[string]time.Duration // when the request was sent that a member answered with nothing newer
-	abandoned                          map[string]bool          // addresses whose poll isn't renewed (plantedLostPoll)
+	confirmedAt                        map[string]time.Duration // by member: when the newest poll was sent that the member answered with NothingNewer
+	notPolled                          map[string]bool          // addresses that are no longer polled (defectLostPoll)
 }
 
-// handleResponse takes in newer members and versions, and a confirmation that nothing is newer.
-func (e *simEdge) handleResponse(sentAt time.Duration, response *wire.FollowResponse) {
-	if response.RestoreGeneration < e.restoreGeneration {
+// handleResponse adopts newer members and versions from the response to a poll that was sent at sentAt, and records
+// whether the member confirmed that it holds nothing newer.
+func (a *simAgent) handleResponse(sentAt time.Duration, response *wire.FollowResponse) {
+	if response.RestoreGeneration < a.restoreGeneration {
 		return
 	}
-	if response.RestoreGeneration > e.restoreGeneration {
-		*e = simEdge{restoreGeneration: response.RestoreGeneration, confirmedAt: map[string]time.Duration{}, abandoned: e.abandoned}
+	if response.RestoreGeneration > a.restoreGeneration {
+		*a = simAgent{restoreGeneration: response.RestoreGeneration, confirmedAt: map[string]time.Duration{}, notPolled: a.notPolled}
 	}
-	if len(response.Members) > 0 && (response.MembersTerm > e.membersTerm || response.MembersTerm == e.membersTerm && response.MembersIndex > e.membersIndex) {
-		e.members, e.membersTerm, e.membersIndex = response.Members, response.MembersTerm, response.MembersIndex
+	if len(response.Members) > 0 && (response.MembersTerm > a.membersTerm || response.MembersTerm == a.membersTerm && response.MembersIndex > a.membersIndex) {
+		a.members, a.membersTerm, a.membersIndex = response.Members, response.MembersTerm, response.MembersIndex
 	}
 	for _, document := range response.Documents {
 		if document.Key == routingconfig.DocumentKey {
-			e.version = max(e.version, document.Version)
+			a.version = max(a.version, document.Version)
 		}
 	}
 	if response.NothingNewer {
-		e.confirmedAt[response.Member] = max(e.confirmedAt[response.Member], sentAt)
+		a.confirmedAt[response.Member] = max(a.confirmedAt[response.Member], sentAt)
 	}
 }
 
-// freshUntil is up to when nothing newer can have been acknowledged; zero: there is no proof.
-func (e *simEdge) freshUntil() time.Duration {
+// freshUntil returns the time up to which no version newer than the agent's can have been acknowledged; 0 without a proof.
+func (a *simAgent) freshUntil() time.Duration {
 	var times []time.Duration
-	for _, member := range e.members {
-		times = append(times, e.confirmedAt[member])
+	for _, member := range a.members {
+		times = append(times, a.confirmedAt[member])
 	}
 	if len(times) == 0 {
 		return 0
 	}
 	slices.Sort(times)
-	return times[len(times)-len(times)/2-1] // a majority was asked then, or later
+	return times[len(times)-len(times)/2-1] // a majority of the members was polled at this time or later
 }
 
-// newestAcknowledged returns the newest version that was acknowledged; 0: none.
+// newestAcknowledged returns the newest acknowledged version; 0 if there is none.
 func (s *groupSim) newestAcknowledged() (version uint64) {
 	for _, change := range s.changes {
 		if change.ackedAt > 0 {
@@ -62,28 +63,29 @@
 	return version
 }
 
-// edgeFollows reports whether the edge has a proof of freshness that is newer than a moment, and a version that had
-// been acknowledged by then, or a newer one.
-func (s *groupSim) edgeFollows(since time.Duration, version uint64) bool {
-	return s.edge.freshUntil() > since && s.edge.version >= version
+// agentIsUpToDate reports whether the agent has a proof of freshness for a time after since, and at least the given
+// version.
+func (s *groupSim) agentIsUpToDate(since time.Duration, version uint64) bool {
+	return s.agent.freshUntil() > since && s.agent.version >= version
 }
 
-// poll is the edge's long poll of one member, held open for a time, and the check of the edge's proof.
+// poll starts a long poll of one member by the agent, which waits at most maxWait for a newer version, and checks the
+// proof of freshness that results.
 func (s *groupSim) poll(node *groupSimNode, maxWait time.Duration) {
-	edge, sentAt, end, generation := s.edge, s.now, s.now+maxWait, node.generation
-	if edge.abandoned[node.addr] || s.isAbandoned(node) && edge.restoreGeneration < s.restoreGeneration {
-		return // an edge that hasn't heard of a restore believes members that were given up
+	agent, sentAt, end, generation := s.agent, s.now, s.now+maxWait, node.generation
+	if agent.notPolled[node.addr] || s.isSuperseded(node) && agent.restoreGeneration < s.restoreGeneration {
+		return // an agent that does not know of the restore would accept proofs from members that the restore has superseded
 	}
-	request := &wire.FollowRequest{RestoreGeneration: edge.restoreGeneration, Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: edge.version}}, ProofKey: routingconfig.DocumentKey}
+	request := &wire.FollowRequest{RestoreGeneration: agent.restoreGeneration, Known: []*wire.KnownVersion{{Key: routingconfig.DocumentKey, Version: agent.version}}, ProofKey: routingconfig.DocumentKey}
 	poll := func() bool {
-		if s.plantedFault == plantedLostPoll && node.generation != generation {
-			edge.abandoned[node.addr] = true
+		if s.defect == defectLostPoll && node.generation != generation {
+			agent.notPolled[node.addr] = true
 		}
 		if node.shard == nil || node.generation != generation || maxWait > 0 && s.now < node.frozenUntil {
 			return node.generation == generation && node.shard != nil
 		}
 		view := node.shard.published.current()
-		if s.plantedFault == plantedStaleView {
+		if s.defect == defectStaleView {
 			faulty := *view
 			faulty.unappliedVersions, view = nil, &faulty
 		}
@@ -94,11 +96,11 @@
 		if s.random.Float64() < s.lossRate {
 			return false
 		}
-		edge.handleResponse(sentAt, response)
-		freshUntil := edge.freshUntil()
+		agent.handleResponse(sentAt, response)
+		freshUntil := agent.freshUntil()
 		for _, change := range s.changes {
-			if change.ackedAt > 0 && change.ackedAt <= freshUntil && change.newVersion > edge.version {
-				s.violationf("the proof says that nothing newer than %d was acknowledged up to %v, yet %d was, at %v", edge.version, freshUntil, change.newVersion, change.ackedAt)
+			if change.ackedAt > 0 && change.ackedAt <= freshUntil && change.newVersion > agent.version {
+				s.violationf("freshness proof is wrong: it states that no version above %d was acknowledged up to %v, but version %d was acknowledged at %v", agent.version, freshUntil, change.newVersion, change.ackedAt)
 			}
 		}
 		if freshUntil > 0 {
--- a/internal/control/controlstate/sim_group_faults_test.go
+++ b/internal/control/controlstate/sim_group_faults_test.go
@@ -7,36 +7,35 @@
 	"pebbleloom/internal/wire"
 )
 
-// randomDuration draws a duration of at least a millisecond.
+// randomDuration draws a duration of at least 1 ms and less than the limit plus 1 ms.
 func (s *groupSim) randomDuration(limit time.Duration) time.Duration {
 	return s.randomBelow(limit) + time.Millisecond
 }
 
-// eventDelay draws how long after its event a fault comes: 5 to 400 ms.
+// eventDelay draws the delay between an event and the fault that it triggers, about 5 to 400 ms.
 func (s *groupSim) eventDelay() time.Duration {
 	return 5*time.Millisecond + s.randomBelow(396*time.Millisecond)
 }
 
-// simFault is a failure that may come at any moment, to any number of machines: nothing that was
-// acknowledged may be lost by it.
+// simFault is a fault that may occur at any time and affect any number of nodes without losing acknowledged changes.
 type simFault struct {
 	name   string
 	weight int
 	inject func(*groupSim, *groupSimNode)
 }
 
-// simFaults are drawn by weight.
+// simFaults are drawn with probabilities proportional to their weights.
 var simFaults = []simFault{
 	{"kill", 2, func(s *groupSim, node *groupSimNode) {
 		s.tracef("kill %s", node.addr)
 		s.kill(node, s.random.IntN(2) == 0, s.randomDuration(4*time.Second))
 	}},
 	{"all killed", 1, func(s *groupSim, _ *groupSimNode) { s.killAll(s.random.IntN(2) == 0) }},
-	{"leader first, then all", 1, func(s *groupSim, _ *groupSimNode) { s.powerOffInTurn() }},
+	{"power loss of the leader, then of all", 1, func(s *groupSim, _ *groupSimNode) { s.powerOffInTurn() }},
 	{"leader killed after a change", 1, func(s *groupSim, node *groupSimNode) {
 		s.eventHooks[eventChangeSent] = func() { s.schedule(s.eventDelay(), func() { s.killLeader(s.random.IntN(2) == 0) }) }
 	}},
-	{"all lose power after a change", 1, func(s *groupSim, _ *groupSimNode) {
+	{"power loss of all after a change", 1, func(s *groupSim, _ *groupSimNode) {
 		s.eventHooks[eventChangeSent] = func() { s.schedule(s.eventDelay(), func() { s.killAll(true) }) }
 	}},
 	{"leader isolated during a change", 2, func(s *groupSim, _ *groupSimNode) {
@@ -48,15 +47,15 @@
 		s.tracef("isolate %s", node.addr)
 		s.isolate(s.partitioned, node, true, true)
 	}},
-	{"core in halves", 1, func(s *groupSim, _ *groupSimNode) {
+	{"split in halves for seconds", 1, func(s *groupSim, _ *groupSimNode) {
 		s.splitInHalves(s.partitioned)
 		s.schedule(2*time.Second+s.randomDuration(6*time.Second), func() { clear(s.partitioned) })
 	}},
-	{"several out at once", 1, func(s *groupSim, _ *groupSimNode) { s.takeSeveralOut() }},
+	{"several nodes fail at once", 1, func(s *groupSim, _ *groupSimNode) { s.failSeveral() }},
 	{"partitions end", 2, func(s *groupSim, _ *groupSimNode) { clear(s.partitioned) }},
 	{"crash in a write", 1, func(s *groupSim, node *groupSimNode) { node.disk.writesUntilCrash = s.random.IntN(6) }},
 	{"full disk", 1, func(s *groupSim, node *groupSimNode) {
-		s.tracef("the disk of %s is full, or is no longer", node.addr)
+		s.tracef("disk of %s toggles between full and writable", node.addr)
 		node.disk.failWrites = !node.disk.failWrites
 	}},
 	{"slow disk", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 30 * time.Millisecond }},
@@ -67,7 +66,7 @@
 	{"messages lost", 1, func(s *groupSim, _ *groupSimNode) { s.lossRate = [...]float64{0, 0.05, 0.3}[s.random.IntN(3)] }},
 }
 
-// injectFault draws a fault by weight, and a node for it.
+// injectFault injects a fault that is drawn by weight into a random node.
 func (s *groupSim) injectFault() {
 	total := 0
 	for _, fault := range simFaults {
@@ -83,22 +82,23 @@
 	}
 }
 
-// killAll kills all machines; with power, each loses what its disk hasn't synced.
-func (s *groupSim) killAll(power bool) {
-	s.tracef("all are killed, power %v", power)
+// killAll kills all nodes. With losePower their disks also lose data that was not synced.
+func (s *groupSim) killAll(losePower bool) {
+	s.tracef("kill all nodes, power loss %v", losePower)
 	for _, node := range s.nodes {
-		s.kill(node, power, s.randomDuration(time.Second))
+		s.kill(node, losePower, s.randomDuration(time.Second))
 	}
 }
 
-func (s *groupSim) killLeader(power bool) {
+// killLeader kills the leader, if there is one.
+func (s *groupSim) killLeader(losePower bool) {
 	if leader := s.leader(); leader != nil {
-		s.tracef("kill the leader %s, power %v", leader.addr, power)
-		s.kill(leader, power, s.randomDuration(3*time.Second))
+		s.tracef("kill leader %s, power loss %v", leader.addr, losePower)
+		s.kill(leader, losePower, s.randomDuration(3*time.Second))
 	}
 }
 
-// powerOffInTurn cuts the power of all machines, one right after another, the leader's first.
+// powerOffInTurn makes all nodes lose power in close succession, the leader first.
 func (s *groupSim) powerOffInTurn() {
 	s.killLeader(true)
 	delay := time.Duration(0)
@@ -108,12 +108,13 @@
 	}
 }
 
+// freeze stops the process of a node for a duration.
 func (s *groupSim) freeze(node *groupSimNode, duration time.Duration) {
 	node.frozenUntil = s.now + duration
 	s.tracef("freeze %s until %v", node.addr, node.frozenUntil)
 }
 
-// isolate partitions the links from all others to a machine (inbound), from it to them, or both.
+// isolate partitions the links of a node from all other nodes (inbound), to them (outbound), or both.
 func (s *groupSim) isolate(links map[string]bool, node *groupSimNode, inbound, outbound bool) {
 	for _, peer := range s.nodes {
 		if peer == node {
@@ -128,7 +129,7 @@
 	}
 }
 
-// splitInHalves partitions the links between one half of the machines, drawn at random, and the other.
+// splitInHalves partitions the links between a random half of the nodes, which it returns, and the other half.
 func (s *groupSim) splitInHalves(links map[string]bool) (half []*groupSimNode) {
 	var nodes []*groupSimNode
 	for _, index := range s.random.Perm(len(s.nodes)) {
@@ -137,7 +138,7 @@
 		}
 	}
 	half, others := nodes[:len(nodes)/2], nodes[len(nodes)/2:]
-	s.tracef("the core is split: %d machines and %d", len(half), len(others))
+	s.tracef("partition between two halves of the site, of %d and %d nodes", len(half), len(others))
 	for _, node := range half {
 		for _, peer := range others {
 			links[node.addr+">"+peer.addr], links[peer.addr+">"+node.addr] = true, true
@@ -146,8 +147,8 @@
 	return half
 }
 
-// takeSeveralOut kills, freezes or isolates more machines at once than the site tolerates. No disk is lost.
-func (s *groupSim) takeSeveralOut() {
+// failSeveral kills, freezes or isolates several nodes at once, possibly more than the site tolerates. No disk is lost.
+func (s *groupSim) failSeveral() {
 	for _, node := range s.nodes {
 		switch s.random.IntN(5) {
 		case 0, 1:
@@ -161,16 +162,16 @@
 	s.schedule(s.randomDuration(4*time.Second), func() { clear(s.partitioned) })
 }
 
-// isolateLeader has the leader receive nothing for a few seconds; at times it can send.
+// isolateLeader partitions the links to the leader for a few seconds, and in half of the cases also those from it.
 func (s *groupSim) isolateLeader() {
 	if leader := s.leader(); leader != nil {
-		s.tracef("isolate the leader %s", leader.addr)
+		s.tracef("isolate leader %s", leader.addr)
 		s.isolate(s.partitioned, leader, true, s.random.IntN(2) == 0)
 		s.schedule(s.randomDuration(4*time.Second), func() { clear(s.partitioned) })
 	}
 }
 
-// transferLeadership has each node that leads transfer its leadership.
+// transferLeadership makes each node that considers itself the leader transfer the leadership.
 func (s *groupSim) transferLeadership() {
 	for _, node := range s.nodes {
 		if s.isHealthy(node) && node.shard.core.TransferLeadership() {
@@ -180,7 +181,8 @@
 	}
 }
 
-// terminate shuts a process down as Node.leave does: it stops as soon as it may, or after a time-out.
+// terminate shuts a process down like Node.leave: the process stops as soon as mayLeave permits it, or after a time-out.
+// It is started again after the downtime.
 func (s *groupSim) terminate(node *groupSimNode, downtime time.Duration) {
 	const timeout = 3 * time.Second
 	end, generation := s.now+timeout, node.generation
@@ -192,7 +194,7 @@
 		}
 		mayStop := s.isRunning(node) && (s.now >= end || s.mayLeave(node))
 		if node.shard == nil || node.generation != generation {
-			return // it crashed in a write
+			return // the process crashed during a write
 		}
 		if mayStop {
 			s.kill(node, false, downtime)
@@ -203,11 +205,11 @@
 	leave()
 }
 
-// leavePollInterval is the pause of Node.leave between two attempts.
+// leavePollInterval is the interval between attempts of Node.leave.
 const leavePollInterval = 50 * time.Millisecond
 
-// mayLeave is Node.tryLeave over the simulated network: it asks the member, and the leader that this
-// one knows, whether it may stop.
+// mayLeave performs Node.tryLeave over the simulated network: it asks the member, and then the leader that the member
+// knows of, whether the member may stop.
 func (s *groupSim) mayLeave(node *groupSimNode) bool {
 	progress := node.shard.prepareToLeave()
 	s.runStep(node)
@@ -223,12 +225,12 @@
 	return response.Outcome == wire.OutcomeDone
 }
 
-// secondFaults are those that may come during a repair or a replacement. None destroys a disk.
+// secondFaults are the faults that may occur during a repair or a replacement. None of them destroys a disk.
 var secondFaults = []simFault{
 	{"kill the leader", 1, func(s *groupSim, _ *groupSimNode) { s.killLeader(false) }},
-	{"the leader loses power", 1, func(s *groupSim, _ *groupSimNode) { s.killLeader(true) }},
-	{"all lose power", 1, func(s *groupSim, _ *groupSimNode) { s.killAll(true) }},
-	{"all lose power in turn", 1, func(s *groupSim, _ *groupSimNode) { s.powerOffInTurn() }},
+	{"power loss of the leader", 1, func(s *groupSim, _ *groupSimNode) { s.killLeader(true) }},
+	{"power loss of all nodes", 1, func(s *groupSim, _ *groupSimNode) { s.killAll(true) }},
+	{"power loss of all nodes in turn", 1, func(s *groupSim, _ *groupSimNode) { s.powerOffInTurn() }},
 	{"SIGTERM to the leader", 1, func(s *groupSim, _ *groupSimNode) {
 		if leader := s.leader(); leader != nil {
 			s.terminate(leader, s.randomDuration(time.Second))
@@ -240,18 +242,19 @@
 		}
 	}},
 	{"isolate the leader", 1, func(s *groupSim, _ *groupSimNode) { s.isolateLeader() }},
-	{"the leader's disk stalls", 1, func(s *groupSim, _ *groupSimNode) {
+	{"stalled disk of the leader", 1, func(s *groupSim, _ *groupSimNode) {
 		if leader := s.leader(); leader != nil {
 			leader.maxWriteTime = 2 * time.Second
 		}
 	}},
-	{"kill another", 1, func(s *groupSim, node *groupSimNode) { s.kill(node, false, s.randomDuration(3*time.Second)) }},
+	{"kill a random node", 1, func(s *groupSim, node *groupSimNode) { s.kill(node, false, s.randomDuration(3*time.Second)) }},
 }
 
-// secondFaultEvents are the events of a repair at which a second fault may come.
+// secondFaultEvents are the events of a repair that may trigger a second fault.
 var secondFaultEvents = []string{eventChangeSent, eventAcknowledged, eventJoined, eventMembersChanged, eventNewLeader}
 
-// armSecondFault has a second fault come at an event of the repair, or a moment after it.
+// armSecondFault makes the next occurrence of a random event of the repair trigger a second fault, immediately or after
+// a short delay.
 func (s *groupSim) armSecondFault() {
 	event, fault := secondFaultEvents[s.random.IntN(len(secondFaultEvents))], secondFaults[s.random.IntN(len(secondFaults))]
 	delay := time.Duration(0)
@@ -261,7 +264,7 @@
 	s.eventHooks[event] = func() {
 		s.secondFaultInjected = true
 		s.count("second fault: " + event)
-		s.tracef("second fault at %q: %s, after %v", event, fault.name, delay)
+		s.tracef("second fault, triggered by event %q: %s, in %v", event, fault.name, delay)
 		s.schedule(delay, func() { fault.inject(s, s.randomNode()) })
 	}
 }
--- a/internal/control/controlstate/sim_group_main_test.go
+++ b/internal/control/controlstate/sim_group_main_test.go
@@ -10,26 +10,27 @@
 	"testing"
 )
 
-// groupSimEvents must each happen often in thirty runs.
-var groupSimEvents = []string{"acked", "acknowledged again", "read", "proof", "granted", "rejected", "retried late", "retried very late", "response lost", "by a node that doesn't lead",
-	"one version, two contents", "one version, one content", "eight at once",
-	"kill", "all killed", "leader first, then all", "leader killed after a change", "all lose power after a change",
-	"leader isolated during a change", "freeze", "one-way partition", "isolated", "full disk", "slow disk", "stalled disk", "leadership transferred", "SIGTERM", "crashed in a write",
-	"core in halves", "several out at once", "split in halves",
-	"isolated for 20 s", "long isolation: the leader", "long isolation: both directions", "long isolation: can't receive", "long isolation: can't send",
-	"seeds name only the isolated", "isolated node restarted", "other nodes restarted",
-	"storm of changes", "planned replacements", "SIGTERM in turn", "changes of storms", "restart in a storm", "wiped after a storm",
-	"lost disk", "corrupted disk", "replaced", "joined", "members changed", "loss timed by a change",
+// groupSimEvents are the events that each have to occur at least minOccurrences times if 30 or more seeds are run.
+var groupSimEvents = []string{"acked", "acknowledged again", "read", "proof", "granted", "rejected", "retried late", "retried very late", "response lost", "change forwarded to the leader",
+	"two changes of one version", "same change sent twice at once", "burst of changes",
+	"kill", "all killed", "power loss of the leader, then of all", "leader killed after a change", "power loss of all after a change",
+	"leader isolated during a change", "freeze", "one-way partition", "isolated", "full disk", "slow disk", "stalled disk", "leadership transferred", "SIGTERM", "crashed during a write",
+	"split in halves for seconds", "several nodes fail at once", "split in halves",
+	"isolated for 20 s", "long isolation: leader", "long isolation: both directions", "long isolation: inbound", "long isolation: outbound",
+	"only seed is the isolated node", "isolated node restarted", "other nodes restarted",
+	"sustained write load", "planned replacements", "SIGTERM in turn", "changes of a write load", "restart during a write load", "disk lost after a write load",
+	"lost disk", "corrupted disk", "replaced", "joined", "members changed", "loss triggered by a change",
 	"second fault: change sent", "second fault: acknowledged", "second fault: joined", "second fault: members changed", "second fault: new leader"}
 
-// minOccurrences is how often each of groupSimEvents must happen in thirty runs.
+// minOccurrences is the number of times that each of groupSimEvents and restoreEvents has to occur.
 const minOccurrences = 3
 
-// wideSearchSeeds is the number of seeds from which on a search continues after a failure, to find all.
+// wideSearchSeeds is the number of seeds at and above which runGroupSims does not stop at the first failure.
 const wideSearchSeeds = 200
 
-// runGroupSims runs seeds in parallel. It returns the runs that failed, by seed, and the sums of all counts.
-func runGroupSims(from, count uint64, plantedFault string) (failed []*groupSim, sum map[string]int) {
+// runGroupSims runs simulations in parallel. It returns the failed ones, sorted by seed, and the total occurrences of each
+// event.
+func runGroupSims(from, count uint64, defect string) (failed []*groupSim, sum map[string]int) {
 	var next atomic.Uint64
 	var mu sync.Mutex
 	var workers sync.WaitGroup
@@ -37,7 +38,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for seed := from + next.Add(1) - 1; seed < from+count; seed = from + next.Add(1) - 1 {
-				s := newGroupSim(seed, plantedFault)
+				s := newGroupSim(seed, defect)
 				s.run(2)
 				mu.Lock()
 				enough := count < wideSearchSeeds && len(failed) > 0
@@ -59,9 +60,10 @@
 	return failed, sum
 }
 
-// Many seeded runs of a group with dynamic membership, with faults of all kinds.
-// `SIM_SEEDS=10000 go test -timeout 3h ./internal/control/controlstate -run 'TestSimGroup$' -v` runs
-// wide; `SIM_SEED=17 SIM_SEEDS=1` replays one.
+// In simulations of a group with dynamic membership and faults of all kinds, no acknowledged change may be lost, the
+// history must be linearizable, leases and proofs of freshness must be correct, and the group must recover within the
+// bounds. `SIM_SEEDS=10000 go test -timeout 3h ./internal/control/controlstate -run 'TestSimGroup$' -v` runs more seeds;
+// `SIM_SEED=17 SIM_SEEDS=1` replays one.
 func TestSimGroup(t *testing.T) {
 	from, count := seedsFromEnv(t, groupSeeds)
 	failed, sum := runGroupSims(from, count, "")
@@ -71,21 +73,21 @@
 			t.Errorf("replay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimGroup\n%s", s.seed, s.lastTrace(40))
 		}
 	}
-	t.Logf("%d seeds, %d failed: %v", count, len(failed), sum)
+	t.Logf("%d seeds, %d failed; occurrences of each event: %v", count, len(failed), sum)
 	for _, event := range groupSimEvents {
 		if count >= 30 && len(failed) == 0 && sum[event] < minOccurrences {
-			t.Errorf("%s happened only %d times: the simulator doesn't reach it", event, sum[event])
+			t.Errorf("event %q occurred %d times in %d seeds, want at least %d: the simulator does not cover it", event, sum[event], count, minOccurrences)
 		}
 	}
 }
 
-// The checks of the simulator find planted faults.
+// The checks of the group simulator must detect defects that are built into the simulated system on purpose.
 func TestSimGroupCatchesPlantedFaults(t *testing.T) {
 	const batch, maxSeeds = 3, 300
-	for planted, want := range map[string]string{plantedSameIncarnation: "", plantedStaleView: "the proof says", plantedDeadTimer: "no change is acknowledged within", plantedLostPoll: "the edge has version", plantedLateLease: "hold the lease"} {
+	for defect, want := range map[string]string{defectSameIncarnation: "", defectStaleView: "freshness proof is wrong", defectDeadTimer: "no change was acknowledged within", defectLostPoll: "the agent has version", defectLateLease: "hold the lease"} {
 		found := ""
 		for from := uint64(0); from < maxSeeds && found == ""; from += batch {
-			failed, _ := runGroupSims(from, batch, planted)
+			failed, _ := runGroupSims(from, batch, defect)
 			for _, s := range failed {
 				if strings.Contains(s.violations[0], want) && found == "" {
 					found = fmt.Sprintf("seed %d: %s", s.seed, s.violations[0])
@@ -93,8 +95,8 @@
 			}
 		}
 		if found == "" {
-			t.Errorf("%s: not found by %d seeds", planted, maxSeeds)
+			t.Errorf("deliberate defect %q was not detected in %d seeds", defect, maxSeeds)
 		}
-		t.Logf("%s: %s", planted, found)
+		t.Logf("deliberate defect %q was detected by %s", defect, found)
 	}
 }
--- a/internal/control/controlstate/sim_group_phases_test.go
+++ b/internal/control/controlstate/sim_group_phases_test.go
@@ -8,41 +8,41 @@
 	"pebbleloom/internal/control/controlclient"
 )
 
-// longPartitionTime is how long a member stays isolated in longPartitionPhase.
-const longPartitionTime = 20 * time.Second
+// longIsolationTime is the duration of the isolation in isolationPhase.
+const longIsolationTime = 20 * time.Second
 
-// groupSimPhases are long sequences of faults; a run has one in each round, between single faults. The
-// first is listed twice, so that all its forms come often enough.
+// groupSimPhases are longer scenarios, one of which is drawn for each round of a simulation. The first is listed twice, so
+// that each of its variants occurs often enough.
 var groupSimPhases = []struct {
 	name string
-	play func(*groupSim)
+	run  func(*groupSim)
 }{
-	{"isolated for 20 s", (*groupSim).longPartitionPhase},
-	{"isolated for 20 s", (*groupSim).longPartitionPhase},
-	{"split in halves", (*groupSim).halvesPhase},
-	{"storm of changes", (*groupSim).stormPhase},
+	{"isolated for 20 s", (*groupSim).isolationPhase},
+	{"isolated for 20 s", (*groupSim).isolationPhase},
+	{"split in halves", (*groupSim).splitPhase},
+	{"sustained write load", (*groupSim).writeLoadPhase},
 	{"planned replacements", (*groupSim).plannedReplacementPhase},
 	{"SIGTERM in turn", (*groupSim).rollingRestartPhase},
 }
 
-// longPartitionPhase isolates one member, most often the leader, in one direction or both, with
-// operators and readers on both sides. Members of either side may be restarted, with seeds that name
-// only the isolated one, and other faults may come.
-func (s *groupSim) longPartitionPhase() {
+// isolationPhase isolates one node, usually the leader, in one direction or both, while clients use the nodes on both
+// sides. In two of three cases other faults occur as well, and nodes on either side may be restarted, possibly with the
+// isolated node as the only seed. In the other case the remaining nodes have to serve within the bound.
+func (s *groupSim) isolationPhase() {
 	node := s.leader()
 	if s.random.IntN(3) > 0 && node != nil {
-		s.count("long isolation: the leader")
+		s.count("long isolation: leader")
 	} else {
 		node = s.randomNode()
 	}
 	direction := s.random.IntN(4)
-	s.isolate(s.longPartition, node, direction != 1, direction != 2)
-	s.tracef("%s is isolated for long, direction %d", node.addr, direction)
+	s.isolate(s.phasePartitions, node, direction != 1, direction != 2)
+	s.tracef("isolate %s for %v, inbound %v, outbound %v", node.addr, longIsolationTime, direction != 1, direction != 2)
 	switch direction {
-	case 1: // it can't send
-		s.count("long isolation: can't send")
-	case 2: // it can't receive
-		s.count("long isolation: can't receive")
+	case 1:
+		s.count("long isolation: outbound")
+	case 2:
+		s.count("long isolation: inbound")
 	default:
 		s.count("long isolation: both directions")
 		s.isolatedAddr, s.isolatedSince = node.addr, s.now
@@ -51,25 +51,25 @@
 	if !noOtherFaults {
 		s.scheduleRestarts(node)
 	}
-	served := s.timeToServe(longPartitionTime, !noOtherFaults)
+	served := s.timeToServe(longIsolationTime, !noOtherFaults)
 	const bound = 8 * time.Second
 	if noOtherFaults && (served == 0 || served > bound) {
 		s.traceStatus()
-		s.violationf("with %s isolated the others acknowledged after %v (0: never)", node.addr, served)
+		s.violationf("while %s was isolated, the other nodes acknowledged changes after %v (0: never), want within %v", node.addr, served, bound)
 	}
-	clear(s.longPartition)
+	clear(s.phasePartitions)
 	s.isolatedAddr = ""
 }
 
-// halvesPhase splits the core into halves for some seconds, whatever the site tolerates, with operators, readers and
-// lease holders on both sides. If no other fault comes, a half that holds a majority of the members serves.
-func (s *groupSim) halvesPhase() {
+// splitPhase splits the site into two halves for some seconds, with clients on both sides, even if the site does not
+// tolerate that. If no other fault occurs, a half with a majority of the members has to serve within the bound.
+func (s *groupSim) splitPhase() {
 	const splitTime, servesWithin = 10 * time.Second, 8 * time.Second
 	var members []string
 	if leader := s.leader(); leader != nil {
 		members, _, _ = leader.shard.core.Members()
 	}
-	half := s.splitInHalves(s.longPartition)
+	half := s.splitInHalves(s.phasePartitions)
 	inHalf := 0
 	for _, node := range half {
 		if slices.ContainsFunc(members, func(member string) bool { return controlclient.MemberAddr(member) == node.addr }) {
@@ -81,21 +81,22 @@
 	served := s.timeToServe(splitTime, !noOtherFaults)
 	if hasMajority && noOtherFaults && (served == 0 || served > servesWithin) {
 		s.traceStatus()
-		s.violationf("split in halves, the one with a majority acknowledged after %v (0: never)", served)
+		s.violationf("while the site was split in halves, the half with a majority acknowledged changes after %v (0: never), want within %v", served, servesWithin)
 	}
 	if !hasMajority && noOtherFaults {
-		s.count("halves without a majority")
+		s.count("split in halves without a majority")
 	}
-	clear(s.longPartition)
+	clear(s.phasePartitions)
 }
 
-// timeToServe lets time pass, perhaps with single faults, and returns after how long changes were acknowledged; 0: never.
+// timeToServe simulates clients for a duration, optionally with random faults. It returns the time after which three
+// changes had been acknowledged; 0 if they were not.
 func (s *groupSim) timeToServe(duration time.Duration, withFaults bool) (served time.Duration) {
-	begun, acked := s.now, s.ackedCount
-	for s.now-begun < duration && len(s.violations) == 0 {
-		s.actOnce(nil)
+	startedAt, acked := s.now, s.ackedCount
+	for s.now-startedAt < duration && len(s.violations) == 0 {
+		s.stepWithClients(nil)
 		if served == 0 && s.ackedCount > acked+2 {
-			served = s.now - begun
+			served = s.now - startedAt
 		}
 		if withFaults && s.random.IntN(500) == 0 {
 			s.injectFault()
@@ -104,20 +105,21 @@
 	return served
 }
 
-// scheduleRestarts has the isolated node, or some of the others, restart during the partition.
+// scheduleRestarts makes the isolated node or some of the others restart during the isolation, possibly with the isolated
+// node as the only seed.
 func (s *groupSim) scheduleRestarts(node *groupSimNode) {
 	if s.random.IntN(2) == 0 {
-		s.count("seeds name only the isolated")
+		s.count("only seed is the isolated node")
 		s.seeds = []string{node.addr}
 	}
 	if s.random.IntN(2) == 0 {
-		s.schedule(s.randomDuration(longPartitionTime), func() {
+		s.schedule(s.randomDuration(longIsolationTime), func() {
 			s.count("isolated node restarted")
 			s.kill(node, s.random.IntN(2) == 0, s.randomDuration(time.Second))
 		})
 	}
 	if s.random.IntN(2) == 0 {
-		s.schedule(s.randomDuration(longPartitionTime), func() {
+		s.schedule(s.randomDuration(longIsolationTime), func() {
 			s.count("other nodes restarted")
 			for _, peer := range s.nodes {
 				if peer != node && s.random.IntN(2) == 0 {
@@ -128,62 +130,63 @@
 	}
 }
 
-// changeStorm is a sequence of changes, each sent as soon as the one before is acknowledged.
-type changeStorm struct {
-	remaining int
+// simWriteLoad is a sequence of changes, each of which is sent as soon as the previous one is acknowledged.
+type simWriteLoad struct {
+	remaining int // changes yet to be sent
 	change    *groupChange
 	sentAt    time.Duration
 }
 
-// continueStorm sends the storm's next change; one that isn't acknowledged is retried a few times.
-func (s *groupSim) continueStorm() {
+// continueWriteLoad sends the next change of the write load, or retries the current one a few times until it is
+// acknowledged.
+func (s *groupSim) continueWriteLoad() {
 	const retryAfter, maxAttempts = 300 * time.Millisecond, 3
-	storm := s.storm
+	load := s.writeLoad
 	leader := s.leader()
-	if storm == nil || leader == nil || storm.change != nil && storm.change.ackedAt == 0 && s.now-storm.sentAt < retryAfter {
+	if load == nil || leader == nil || load.change != nil && load.change.ackedAt == 0 && s.now-load.sentAt < retryAfter {
 		return
 	}
-	if storm.change == nil || storm.change.ackedAt > 0 || storm.change.baseVersion != s.knownVersion || storm.change.attempts > maxAttempts {
-		if storm.remaining--; storm.remaining < 0 {
-			s.storm = nil
+	if load.change == nil || load.change.ackedAt > 0 || load.change.baseVersion != s.knownVersion || load.change.attempts > maxAttempts {
+		if load.remaining--; load.remaining < 0 {
+			s.writeLoad = nil
 			return
 		}
-		s.count("changes of storms")
-		storm.change = s.newChange(s.knownVersion + 1)
+		s.count("changes of a write load")
+		load.change = s.newChange(s.knownVersion + 1)
 	}
-	storm.sentAt = s.now
-	s.sendChange(storm.change, leader, nil)
+	load.sentAt = s.now
+	s.sendChange(load.change, leader, nil)
 }
 
-// stormPhase makes some hundred changes, with logs that are compacted often, while members restart;
-// then one loses its disk and must catch up.
-func (s *groupSim) stormPhase() {
+// writeLoadPhase makes more than a hundred changes, during which logs are compacted and nodes restart. Then a node loses
+// its disk and has to catch up.
+func (s *groupSim) writeLoadPhase() {
 	const minChanges, maxChanges, timeout = 100, 160, 25 * time.Second
 	s.bodyPadding = strings.Repeat("x", s.random.IntN(200))
-	s.storm = &changeStorm{remaining: minChanges + s.random.IntN(maxChanges-minChanges)}
-	for end := s.now + timeout; s.storm != nil && s.now < end && len(s.violations) == 0; {
-		s.actOnce(nil)
+	s.writeLoad = &simWriteLoad{remaining: minChanges + s.random.IntN(maxChanges-minChanges)}
+	for end := s.now + timeout; s.writeLoad != nil && s.now < end && len(s.violations) == 0; {
+		s.stepWithClients(nil)
 		switch s.random.IntN(400) {
 		case 0:
-			s.count("restart in a storm")
+			s.count("restart during a write load")
 			s.kill(s.randomNode(), s.random.IntN(2) == 0, s.randomDuration(time.Second))
 		case 1:
-			s.count("stall in a storm")
+			s.count("slow disk during a write load")
 			s.randomNode().maxWriteTime = [...]time.Duration{0, 30 * time.Millisecond}[s.random.IntN(2)]
 		}
 	}
-	s.storm, s.bodyPadding = nil, ""
-	s.awaitRecovery("after a storm")
+	s.writeLoad, s.bodyPadding = nil, ""
+	s.awaitRecovery("after a write load")
 	if len(s.violations) == 0 && s.isComplete() {
 		node := s.randomNode()
-		s.count("wiped after a storm")
+		s.count("disk lost after a write load")
 		s.kill(node, false, s.randomDuration(time.Second))
 		s.loseDisk(node)
 	}
 }
 
-// plannedReplacementPhase replaces a machine as planned: a new one starts first, then the old one is
-// shut down for good. The next one follows as soon as the group is complete again.
+// plannedReplacementPhase performs one or two planned replacements of a node: a new node starts, then the old one is shut
+// down permanently. The second replacement starts as soon as the group is complete again.
 func (s *groupSim) plannedReplacementPhase() {
 	for range 1 + s.random.IntN(2) {
 		if len(s.violations) > 0 || !s.isComplete() {
@@ -198,7 +201,7 @@
 		}
 		s.start(s.addNode())
 		s.count("planned replacement")
-		s.tracef("%s is to be replaced", old.addr)
+		s.tracef("planned replacement of %s", old.addr)
 		s.runFor(s.randomDuration(2 * time.Second))
 		s.secondFaultInjected = false
 		if s.random.IntN(2) == 0 {
@@ -206,19 +209,19 @@
 		}
 		s.terminate(old, time.Hour)
 		s.runFor(3 * time.Second)
-		if old.shard != nil { // it is still leaving, or frozen: the platform kills it after its grace time
+		if old.shard != nil { // the shutdown is not finished: the platform kills the process at the end of its grace period
 			s.kill(old, true, time.Hour)
 		}
 		old.isRemoved = !s.secondFaultInjected
-		if s.secondFaultInjected { // with both it would be two losses at once, and a site tolerates one
-			s.count("planned replacement called off")
+		if s.secondFaultInjected { // the fault and the removal together could be one loss more than the site tolerates
+			s.count("planned replacement canceled")
 		}
 		s.updateSeeds()
 		s.awaitRecovery("after a planned replacement")
 	}
 }
 
-// rollingRestartPhase shuts all machines down, one after the other, and starts each again.
+// rollingRestartPhase restarts all nodes gracefully, one after the other.
 func (s *groupSim) rollingRestartPhase() {
 	for _, node := range s.nodes {
 		if node.isRemoved || node.shard == nil {
@@ -233,8 +236,9 @@
 	}
 }
 
-// updateSeeds draws new seeds among the machines that aren't removed. Running processes learn of them, too
-// (daemon.Process.OnSettingsChanged): otherwise machines that start with seeds among themselves would never hear of the rest.
+// updateSeeds draws new seeds among the nodes that are not permanently removed. Running processes get them as well, by
+// daemon.Process.OnSettingsChanged. Otherwise nodes that start with only each other as seeds would never learn the
+// addresses of the others.
 func (s *groupSim) updateSeeds() {
 	s.seeds = nil
 	for _, index := range s.random.Perm(len(s.nodes)) {
@@ -251,12 +255,12 @@
 	}
 }
 
-// loseMachines destroys as many machines or disks of a complete group as a site tolerates at once: as
-// soon as a change is acknowledged, or a moment after one was sent. The machines come back empty, or are
-// replaced by others. A second fault, which destroys no disk, may come at some event of the repair.
+// loseMachines destroys as many nodes or disks of a complete group as the site tolerates at once, either as soon as a
+// change is acknowledged or shortly after one was sent. The nodes return with empty or corrupted disks, or are replaced by
+// others. A second fault, which destroys no disk, may be triggered by an event of the repair.
 func (s *groupSim) loseMachines() {
 	lost := false
-	s.slowAddr = s.randomNode().addr // it gets the newest change a little later than a majority
+	s.slowAddr = s.randomNode().addr // this node gets the newest change later than a majority
 	defer func() { s.slowAddr = "" }()
 	lose := func(node *groupSimNode) {
 		if lost {
@@ -268,22 +272,22 @@
 			s.armSecondFault()
 		}
 	}
-	acked := lose
+	onAcked := lose
 	if s.random.IntN(3) == 0 {
-		s.count("loss timed by a change")
-		acked = nil
+		s.count("loss triggered by a change")
+		onAcked = nil
 		s.eventHooks[eventChangeSent] = func() { s.schedule(s.eventDelay(), func() { lose(s.randomNode()) }) }
 	}
 	for end := s.now + 5*time.Second; !lost && s.now < end && len(s.violations) == 0; {
-		s.actOnce(acked)
+		s.stepWithClients(onAcked)
 	}
 	s.runFor(s.randomDuration(6 * time.Second))
 }
 
-// destroyDisks destroys the disks of as many machines as a site tolerates, preferred perhaps among
-// them. At times all machines lose power at the same moment.
+// destroyDisks destroys the disks of as many nodes as the site tolerates to lose. The preferred node is the first of them
+// in half of the cases. In half of the cases all nodes lose power at the same time.
 func (s *groupSim) destroyDisks(preferred *groupSimNode) {
-	power, replace := s.random.IntN(2) == 0, s.random.IntN(3) == 0
+	losePower, replace := s.random.IntN(2) == 0, s.random.IntN(3) == 0
 	var victims []*groupSimNode
 	for range s.toleratedLosses {
 		node := s.randomNode()
@@ -293,7 +297,7 @@
 		victims = append(victims, node)
 	}
 	for _, node := range s.nodes {
-		if power {
+		if losePower {
 			s.kill(node, true, s.randomDuration(time.Second))
 		}
 	}
@@ -303,14 +307,14 @@
 		}
 		s.kill(node, true, s.randomDuration(3*time.Second))
 		if replace {
-			s.tracef("%s is lost for good, power %v", node.addr, power)
+			s.tracef("%s is permanently lost, power loss of all nodes %v", node.addr, losePower)
 			s.count("replaced")
 			node.isRemoved = true
 			s.updateSeeds()
 			s.start(s.addNode())
 			continue
 		}
-		s.tracef("%s loses its disk, power %v", node.addr, power)
+		s.tracef("disk of %s is lost, power loss of all nodes %v", node.addr, losePower)
 		s.count("lost disk")
 		s.loseDisk(node)
 	}
--- a/internal/control/controlstate/sim_group_restore_test.go
+++ b/internal/control/controlstate/sim_group_restore_test.go
@@ -10,29 +10,29 @@
 	"pebbleloom/internal/sim/history"
 )
 
-// restoreSimRounds is how often a run loses a majority and is restored.
+// restoreSimRounds is the number of times that a simulation loses a majority and is restored.
 const restoreSimRounds = 2
 
-// restoreEvents must each happen in the runs of CI.
+// restoreEvents are the events that each have to occur at least minOccurrences times in a test run.
 var restoreEvents = []string{"group restored", "disk lost with the majority", "old member returns", "acked", "proof", "granted"}
 
-// isAbandoned reports whether a machine's member belongs to a group that was given up by a restore. Operators don't use
-// it: what it acknowledges is lost.
-func (s *groupSim) isAbandoned(node *groupSimNode) bool {
+// isSuperseded reports whether the member of a node belongs to a group that a restore has superseded. The clients of the
+// simulation do not use such a node, since the changes that it acknowledges are lost.
+func (s *groupSim) isSuperseded(node *groupSimNode) bool {
 	return node != nil && node.shard != nil && node.shard.core.Status().RestoreGeneration < s.restoreGeneration
 }
 
-// loseMajority takes all machines down and destroys disks, so that no majority of the members comes back with what they
-// held. It returns the member that survives, and the machines that come back later with their disks.
+// loseMajority kills all nodes and destroys disks so that the group has to be restored. It returns the node of the member
+// to restore it from, and the nodes of other members whose disks are intact but which return only after the restore.
 func (s *groupSim) loseMajority() (survivor *groupSimNode, returning []*groupSimNode) {
 	members, _, _ := s.leader().shard.core.Members()
 	survivor = s.node(controlclient.MemberAddr(members[s.random.IntN(len(members))]))
-	power := s.random.IntN(2) == 0
+	losePower := s.random.IntN(2) == 0
 	for _, node := range s.nodes {
 		if node.isRemoved {
 			continue
 		}
-		s.kill(node, power, time.Hour)
+		s.kill(node, losePower, time.Hour)
 		isMember := slices.ContainsFunc(members, func(member string) bool { return controlclient.MemberAddr(member) == node.addr })
 		switch {
 		case node == survivor:
@@ -46,19 +46,19 @@
 	return survivor, returning
 }
 
-// restoreFrom has the group go on from one machine alone, and forgets what operators, readers and the edge's check
-// expect of the group before.
+// restoreFrom restores the group from one node alone, and resets the record of the simulation to the restored document,
+// since changes that only the lost members held may be gone.
 func (s *groupSim) restoreFrom(survivor *groupSimNode) {
 	s.start(survivor)
 	name := newIncarnation(survivor.addr, s.random.Uint64)
 	if err := survivor.shard.restore(name, s.random.Uint64()); err != nil {
-		s.violationf("restore from %s: %v", survivor.addr, err)
+		s.violationf("restoring the group from %s: %v", survivor.addr, err)
 		return
 	}
 	s.runStep(survivor)
 	s.restoreGeneration = survivor.shard.core.Status().RestoreGeneration
 	s.count("group restored")
-	s.tracef("the group is restored from %s as %s, generation %d", survivor.addr, name, s.restoreGeneration)
+	s.tracef("group restored from %s as member %s, restore generation %d", survivor.addr, name, s.restoreGeneration)
 	document := survivor.shard.state.documents[routingconfig.DocumentKey]
 	s.inProgress, s.changes, s.reads, s.history, s.knownVersion = nil, nil, nil, history.History{}, document.GetVersion()
 	restored := history.Change{Key: routingconfig.DocumentKey, Token: "restored", NewVersion: document.GetVersion(), Body: string(document.GetBody())}
@@ -67,8 +67,8 @@
 	}
 }
 
-// restorePhase loses a majority, restores the group, and has the other machines come back at any time: with new disks, or
-// with those of members that were given up.
+// restorePhase loses a majority and restores the group. The other nodes return at random times, either with empty disks or
+// with the disks of superseded members.
 func (s *groupSim) restorePhase() {
 	s.checkHistory()
 	survivor, returning := s.loseMajority()
@@ -90,29 +90,30 @@
 		s.runWithFaults(10 * time.Second)
 	}
 	s.awaitRecovery("after a restore")
-	s.awaitOneGeneration()
+	s.awaitAllInRestoredGroup()
 }
 
-// awaitOneGeneration checks that every machine joins the restored group in time.
-func (s *groupSim) awaitOneGeneration() {
+// awaitAllInRestoredGroup checks that all nodes join the restored group within the bound.
+func (s *groupSim) awaitAllInRestoredGroup() {
 	const joinsWithin = 30 * time.Second
-	for end := s.now + joinsWithin; s.now < end && len(s.violations) == 0; s.actOnce(nil) {
-		if !slices.ContainsFunc(s.nodes, func(node *groupSimNode) bool { return !node.isRemoved && (!s.isHealthy(node) || s.isAbandoned(node)) }) {
+	for end := s.now + joinsWithin; s.now < end && len(s.violations) == 0; s.stepWithClients(nil) {
+		if !slices.ContainsFunc(s.nodes, func(node *groupSimNode) bool { return !node.isRemoved && (!s.isHealthy(node) || s.isSuperseded(node)) }) {
 			return
 		}
 	}
 	if len(s.violations) == 0 {
 		s.traceStatus()
-		s.violationf("a machine isn't part of the restored group after %v", joinsWithin)
+		s.violationf("a node has not joined the restored group within %v", joinsWithin)
 	}
 }
 
-// playRestores plays a run: faults, then a lost majority and a restore, twice.
-func (s *groupSim) playRestores() {
-	s.awaitRecovery("at the start")
+// runRestores simulates the rounds: each consists of faults, the loss of a majority and a restore. It then checks the
+// history.
+func (s *groupSim) runRestores() {
+	s.awaitRecovery("after the first start")
 	for range restoreSimRounds {
 		s.runWithFaults(5 * time.Second)
-		s.awaitRecovery("after faults")
+		s.awaitRecovery("after random faults")
 		if len(s.violations) > 0 {
 			return
 		}
@@ -121,15 +122,16 @@
 	s.checkHistory()
 }
 
-// A group loses a majority of its disks and is restored from one, twice, in many seeded runs: what the restored group
-// acknowledges is linearizable, its fencing tokens and proofs of freshness hold, and every machine becomes part of it, whatever
-// disk it comes back with. `SIM_SEEDS=1000 go test ./internal/control/controlstate -run TestSimGroupRestore` runs wide.
+// In simulations in which a group repeatedly loses a majority of its disks and is restored from one of them, the history
+// of the restored group must be linearizable, its fencing tokens and proofs of freshness must be correct, and every node
+// must join it, with whatever disk the node returns.
+// `SIM_SEEDS=1000 go test ./internal/control/controlstate -run TestSimGroupRestore` runs more seeds.
 func TestSimGroupRestore(t *testing.T) {
 	from, count := seedsFromEnv(t, groupSeeds/4+1)
 	sum := map[string]int{}
 	for seed := from; seed < from+count; seed++ {
 		s := newGroupSim(seed, "")
-		s.playRestores()
+		s.runRestores()
 		for event, occurrences := range s.counts {
 			sum[event] += occurrences
 		}
@@ -137,10 +139,10 @@
 			t.Fatalf("seed %d: %s\n%s", seed, s.violations[0], s.lastTrace(40))
 		}
 	}
-	t.Logf("%d seeds: %v", count, sum)
+	t.Logf("%d seeds; occurrences of each event: %v", count, sum)
 	for _, event := range restoreEvents {
 		if sum[event] < minOccurrences {
-			t.Errorf("%s happened only %d times", event, sum[event])
+			t.Errorf("event %q occurred %d times in %d seeds, want at least %d", event, sum[event], count, minOccurrences)
 		}
 	}
 }
--- a/internal/control/controlstate/sim_group_run_test.go
+++ b/internal/control/controlstate/sim_group_run_test.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// historyCheckTimeout is how long the checker may take for one history.
+// historyCheckTimeout limits the time that the linearizability checker spends on one history.
 const historyCheckTimeout = 20 * time.Second
 
-// actOnce moves virtual time on by a step, in which an operator, a reader, the edge or a lease holder may
-// act.
-func (s *groupSim) actOnce(acked func(*groupSimNode)) {
+// stepWithClients advances virtual time by one step, in which at random an operator, a reader, the agent or a lease holder
+// sends a request. onAcked, unless it is nil, is called with the leader that acknowledged the operator's change.
+func (s *groupSim) stepWithClients(onAcked func(*groupSimNode)) {
 	s.step()
-	s.continueStorm()
+	s.continueWriteLoad()
 	switch s.random.IntN(100) {
 	case 0, 1, 2, 3, 4:
-		s.writeChange(acked)
+		s.writeChange(onAcked)
 	case 5, 6, 7:
 		s.read(s.randomNode())
 	case 8, 9, 10, 11, 12, 13, 14, 15:
@@ -22,14 +22,14 @@
 	}
 }
 
-// awaitRecovery ends all faults; the group must acknowledge changes and be complete, and the edge must follow it,
-// within the bounds.
-func (s *groupSim) awaitRecovery(why string) {
+// awaitRecovery ends all faults and checks that within the bounds the group acknowledges changes and is complete, and that
+// the agent is up to date. when describes the preceding part of the simulation.
+func (s *groupSim) awaitRecovery(when string) {
 	clear(s.partitioned)
-	clear(s.longPartition)
+	clear(s.phasePartitions)
 	clear(s.eventHooks)
 	s.lossRate, s.isolatedAddr, s.timers = 0, "", nil
-	for _, node := range s.nodes { // a process that is shutting down still ends, though its timers were dropped
+	for _, node := range s.nodes { // the timers that would end these shutdowns were dropped above
 		if node.shard != nil && node.shard.stopping {
 			s.kill(node, false, 0)
 		}
@@ -42,17 +42,17 @@
 		}
 	}
 	const servesWithin, repairedWithin = 12 * time.Second, 20 * time.Second
-	acked, served, begun, version := s.counts["acked"], time.Duration(0), s.now, s.newestAcknowledged()
-	for s.now-begun < repairedWithin && len(s.violations) == 0 {
-		s.actOnce(nil)
+	acked, served, startedAt, version := s.counts["acked"], time.Duration(0), s.now, s.newestAcknowledged()
+	for s.now-startedAt < repairedWithin && len(s.violations) == 0 {
+		s.stepWithClients(nil)
 		if served == 0 && s.counts["acked"] > acked+2 {
-			served = s.now - begun
+			served = s.now - startedAt
 		}
-		if served == 0 && s.now-begun > servesWithin {
+		if served == 0 && s.now-startedAt > servesWithin {
 			s.traceStatus()
-			s.violationf("%s: no change is acknowledged within %v", why, servesWithin)
+			s.violationf("%s: no change was acknowledged within %v", when, servesWithin)
 		}
-		if served > 0 && s.isComplete() && s.edgeFollows(begun, version) {
+		if served > 0 && s.isComplete() && s.agentIsUpToDate(startedAt, version) {
 			return
 		}
 	}
@@ -61,45 +61,46 @@
 	}
 	s.traceStatus()
 	if s.isComplete() {
-		s.violationf("%s: the edge has version %d of %d, proved up to %v of %v", why, s.edge.version, version, s.edge.freshUntil(), begun)
+		s.violationf("%s: the agent has version %d, want at least %d, and a freshness proof up to %v, want later than %v", when, s.agent.version, version, s.agent.freshUntil(), startedAt)
 		return
 	}
-	s.violationf("%s: the group isn't complete within %v", why, repairedWithin)
+	s.violationf("%s: the group was not complete within %v", when, repairedWithin)
 }
 
-// runFor lets time pass without new faults.
+// runFor simulates clients for a duration without new faults, or until a check fails.
 func (s *groupSim) runFor(duration time.Duration) {
 	for end := s.now + duration; s.now < end && len(s.violations) == 0; {
-		s.actOnce(nil)
+		s.stepWithClients(nil)
 	}
 }
 
-// runWithFaults lets time pass with single faults.
+// runWithFaults simulates clients and random faults for a duration, or until a check fails.
 func (s *groupSim) runWithFaults(duration time.Duration) {
 	for end := s.now + duration; s.now < end && len(s.violations) == 0; {
-		s.actOnce(nil)
+		s.stepWithClients(nil)
 		if s.random.IntN(150) == 0 {
 			s.injectFault()
 		}
 	}
 }
 
-// run plays some rounds, each of single faults, a phase, and losses of disks.
+// run simulates a number of rounds, each with random faults, one of groupSimPhases and the loss of nodes or disks. It then
+// checks the history.
 func (s *groupSim) run(rounds int) {
-	s.awaitRecovery("at the start")
+	s.awaitRecovery("after the first start")
 	for range rounds {
 		s.runWithFaults(10 * time.Second)
-		s.awaitRecovery("after faults")
+		s.awaitRecovery("after random faults")
 		phase := groupSimPhases[s.random.IntN(len(groupSimPhases))]
 		s.count(phase.name)
 		s.tracef("phase: %s", phase.name)
-		phase.play(s)
+		phase.run(s)
 		s.awaitRecovery("after " + phase.name)
-		s.runFor(4 * time.Second) // a machine that returned counts as lost until it has caught up
+		s.runFor(4 * time.Second) // a node that has returned still counts as lost until it has caught up
 		for range 2 {
 			if len(s.violations) == 0 && s.isComplete() {
 				s.loseMachines()
-				s.awaitRecovery("after a loss") // the next one may come as soon as the group is complete
+				s.awaitRecovery("after a loss") // the next loss may occur as soon as the group is complete
 			}
 		}
 		s.runFor(time.Second)
@@ -110,8 +111,8 @@
 	s.checkHistory()
 }
 
-// checkHistory checks that changes were acknowledged on different bases and as different versions, and
-// that all that operators and readers saw is linearizable.
+// checkHistory checks that no two changes were acknowledged on the same base version or as the same version, and that the
+// responses to operators and readers are linearizable.
 func (s *groupSim) checkHistory() {
 	byBase, byVersion := map[uint64]string{}, map[uint64]string{}
 	for _, change := range s.changes {
@@ -119,10 +120,10 @@
 			continue
 		}
 		if other := byBase[change.baseVersion]; other != "" && other != change.name {
-			s.violationf("%s and %s were both acknowledged on version %d", other, change.name, change.baseVersion)
+			s.violationf("changes %s and %s were both acknowledged on base version %d", other, change.name, change.baseVersion)
 		}
 		if other := byVersion[change.newVersion]; other != "" && other != change.name {
-			s.violationf("%s and %s were both acknowledged as version %d", other, change.name, change.newVersion)
+			s.violationf("changes %s and %s were both acknowledged as version %d", other, change.name, change.newVersion)
 		}
 		byBase[change.baseVersion], byVersion[change.newVersion] = change.name, change.name
 	}
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -12,11 +12,11 @@
 	"pebbleloom/internal/wire"
 )
 
-// send puts a message on its way: it may be lost, late, doubled or overtaken.
+// send puts a message in flight. The message may be lost, delayed, duplicated or reordered.
 func (s *groupSim) send(message *wire.Message) {
 	from, to := controlclient.MemberAddr(message.From), controlclient.MemberAddr(message.To)
 	if s.isPartitioned(from, to) || s.random.Float64() < s.lossRate {
-		s.reportLost(s.node(from), message)
+		s.scheduleSendFailure(s.node(from), message)
 		return
 	}
 	delay := s.randomBelow(4 * time.Millisecond)
@@ -36,8 +36,9 @@
 	}
 }
 
-// reportLost has the sender's transport give a message up after its time-out, most often.
-func (s *groupSim) reportLost(node *groupSimNode, message *wire.Message) {
+// scheduleSendFailure makes the transport of the sender report, in three of four cases and after its time-out, that a
+// message could not be delivered.
+func (s *groupSim) scheduleSendFailure(node *groupSimNode, message *wire.Message) {
 	const sendTimeout = 500 * time.Millisecond
 	generation, lost := node.generation, proto.Clone(message).(*wire.Message)
 	if !s.allFaults || s.random.IntN(4) == 0 {
@@ -45,28 +46,28 @@
 	}
 	s.schedule(sendTimeout, func() {
 		if node.generation == generation && s.isHealthy(node) {
-			s.count("message reported lost")
+			s.count("send failure reported")
 			node.shard.core.ReportSendFailure(lost)
 			s.runStep(node)
 		}
 	})
 }
 
-// runStep lets a node act on its input; the process dies where its disk crashes in a write.
+// runStep processes the output of a node's member. If a simulated crash occurs during a write, it kills the process.
 func (s *groupSim) runStep(node *groupSimNode) {
 	if node.shard.handleReady(); node.disk.crashed {
-		s.tracef("%s crashes in a write", node.addr)
-		s.count("crashed in a write")
+		s.tracef("%s crashes during a write", node.addr)
+		s.count("crashed during a write")
 		s.kill(node, s.random.IntN(2) == 0, s.randomBelow(2*time.Second))
 	}
 }
 
-// schedule runs an action after a delay.
+// schedule makes an action run after a delay.
 func (s *groupSim) schedule(delay time.Duration, run func()) {
 	s.timers = append(s.timers, simTimer{s.now + delay, run})
 }
 
-// fireEvent runs what waits for the next event of that name.
+// fireEvent runs and removes the hook for an event, if there is one.
 func (s *groupSim) fireEvent(name string) {
 	if hook := s.eventHooks[name]; hook != nil {
 		delete(s.eventHooks, name)
@@ -74,7 +75,8 @@
 	}
 }
 
-// step moves virtual time on and lets timers, messages, nodes and calls act.
+// step advances virtual time by one step, runs the timers that are due, delivers messages, ticks the nodes and runs
+// pending calls.
 func (s *groupSim) step() {
 	s.now += groupSimStep
 	for _, node := range s.nodes {
@@ -87,7 +89,7 @@
 	for _, node := range s.nodes {
 		s.tick(node)
 	}
-	s.continueCalls()
+	s.runPendingCalls()
 	if leader := s.leader(); leader != nil {
 		if leadership := fmt.Sprint(leader.addr, leader.shard.core.Status().Term); leadership != s.lastLeader {
 			s.lastLeader = leadership
@@ -96,6 +98,7 @@
 	}
 }
 
+// runTimers runs and removes the timers that are due.
 func (s *groupSim) runTimers() {
 	due := s.timers
 	s.timers = nil
@@ -108,7 +111,7 @@
 	}
 }
 
-// deliver hands over the messages that are due. Those to a frozen machine wait.
+// deliver delivers the messages that are due. Messages to a frozen node wait until it runs again.
 func (s *groupSim) deliver() {
 	var waiting []simMessage
 	for _, sent := range s.takeInFlight() {
@@ -123,7 +126,7 @@
 	s.inFlight = append(waiting, s.inFlight...)
 }
 
-// tick starts a node when that is due, and ticks it once a groupSimTick.
+// tick starts a node whose restart is due, and runs the periodic work of a running node when its next tick is due.
 func (s *groupSim) tick(node *groupSimNode) {
 	if node.shard == nil && !node.isRemoved && node.restartAt > 0 && s.now >= node.restartAt {
 		s.tracef("start %s", node.addr)
@@ -142,7 +145,7 @@
 	changed := !slices.Equal(before, after)
 	if changed {
 		s.count(eventMembersChanged)
-		s.tracef("%s changes members %v to %v", node.addr, before, after)
+		s.tracef("%s changes its newest membership from %v to %v", node.addr, before, after)
 	}
 	s.runStep(node)
 	if changed {
@@ -161,13 +164,13 @@
 	}
 }
 
-// hasDeadTimer reports whether a node's timer is one that never fires again (plantedDeadTimer).
+// hasDeadTimer reports whether a node's election timer has stopped because of defectDeadTimer.
 func (s *groupSim) hasDeadTimer(node *groupSimNode) bool {
 	status := node.shard.core.Status()
-	return s.plantedFault == plantedDeadTimer && status.Leader != "" && !status.IsLeader
+	return s.defect == defectDeadTimer && status.Leader != "" && !status.IsLeader
 }
 
-// gossip has a node and one that it knows exchange the addresses that they know.
+// gossip makes a node and a random one of the nodes that it knows exchange the addresses that they know.
 func (s *groupSim) gossip(node *groupSimNode) {
 	addrs := maputil.SortedKeys(node.knownAddrs)
 	peer := s.node(addrs[s.random.IntN(len(addrs))])
@@ -183,8 +186,8 @@
 	}
 }
 
-// confirmReplacement has a node replace its disk, if that is corrupted or of a group that was given up, once a read is
-// confirmed at the leader that another node names.
+// confirmReplacement lets a node replace its corrupted or superseded disk once the leader that another node names has
+// served a read, which proves that the group serves without this disk.
 func (s *groupSim) confirmReplacement(node *groupSimNode) {
 	generation := node.generation
 	peer := s.randomNode()
@@ -202,7 +205,7 @@
 	})
 }
 
-// join requests to join from a node that this one knows of, then from the leader that it names.
+// join sends a join request to a random node that this one knows, and then to the leader that the response names.
 func (s *groupSim) join(node *groupSimNode) {
 	addrs := maputil.SortedKeys(node.knownAddrs)
 	members, _, _ := node.shard.core.Members()
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -16,21 +16,21 @@
 	"pebbleloom/internal/wire"
 )
 
-// The simulator of a group drives the real members (consensus core, state, storage, membership
-// planner, joins) on virtual time: a seeded network, seeded disks, clocks that drift. Machines are
-// killed, isolated, frozen, lose power and disks, and are replaced by empty ones at other addresses.
-// What operators and readers see is recorded and checked for linearizability.
+// The group simulator runs the production code of a group's members (consensus core, state, storage, membership planner,
+// join requests) on virtual time. A seed determines the network, the disks, the drift of the clocks and all faults: nodes
+// are killed, frozen and isolated, lose power or their disks, and are replaced by nodes with empty disks at other
+// addresses. The responses to operators and readers are recorded and checked for linearizability.
 
-// Virtual time passes in steps; a member ticks once a groupSimTick of its own clock.
+// Timing of the group simulator.
 const (
-	groupSimStep = 5 * time.Millisecond
-	groupSimTick = 100 * time.Millisecond
+	groupSimStep = 5 * time.Millisecond   // step of virtual time
+	groupSimTick = 100 * time.Millisecond // tick interval of a member, by its node's own clock
 )
 
-// defaultCompactAt is the size in bytes above which a log is compacted, where a run sets none.
-const defaultCompactAt = 3000
+// defaultCompactThreshold is the log size in bytes above which a log is compacted, unless a simulation sets another.
+const defaultCompactThreshold = 3000
 
-// Events of a run by which faults are timed.
+// Events at which a simulation can inject a fault (groupSim.eventHooks).
 const (
 	eventChangeSent     = "change sent"
 	eventAcknowledged   = "acknowledged"
@@ -39,84 +39,86 @@
 	eventNewLeader      = "new leader"
 )
 
-// groupSimNode is one control machine.
+// groupSimNode is a simulated control node.
 type groupSimNode struct {
 	addr         string
 	disk         *cacheDisk
-	shard        *shard // nil: it is down
+	shard        *shard // nil while the node is down
 	clock        *clock.Manual
 	clockRate    float64
 	frozenUntil  time.Duration
 	nextTick     time.Duration
-	nextJoin     time.Duration   // when it may next request to join
-	knownAddrs   map[string]bool // addresses that it has heard of: the seeds, and by gossip
-	generation   int             // counts its starts and kills
-	maxWriteTime time.Duration   // up to which a write may take
-	isRemoved    bool            // for good
-	restartAt    time.Duration   // when it starts again
+	nextJoin     time.Duration   // earliest time of the next join request or attempt to replace the disk
+	knownAddrs   map[string]bool // addresses of other control nodes that the node knows: the seeds and those learned by gossip
+	generation   int             // incremented at each start and kill, so that it identifies the process
+	maxWriteTime time.Duration   // maximum duration of a simulated disk write
+	isRemoved    bool            // the node was removed permanently
+	restartAt    time.Duration   // when the process starts again; 0: not scheduled
 }
 
-// simTimer is an action that is due at a time.
+// simTimer is an action to be run at a time.
 type simTimer struct {
 	at  time.Duration
 	run func()
 }
 
-// groupSim is one seeded run.
+// groupSim is a simulation of a site with one group.
 type groupSim struct {
-	simBase             // its partitions last until some fault ends them
-	founding            bool
-	restoreGeneration   uint64 // of the group that operators use
-	toleratedLosses     int
-	seeds               []string
-	nodes               []*groupSimNode
-	longPartition       map[string]bool // links that carry nothing for the whole of a phase, by "from>to"
-	isolatedAddr        string          // the machine that neither receives nor reaches anything; empty: none
-	isolatedSince       time.Duration
-	slowAddr            string // messages to this machine are delayed
-	compactAt           int
-	tailBytes           int
-	bodyPadding         string // makes the content of every change longer
-	changes             []*groupChange
-	knownVersion        uint64 // the newest version that operators have heard of
-	ackedCount          int
+	simBase                             // its partitioned links stay partitioned until a fault or awaitRecovery clears them
+	bootstrapping       bool            // the site starts for the first time
+	restoreGeneration   uint64          // restore generation of the group that clients use
+	toleratedLosses     int             // number of simultaneous node losses that the site has to tolerate
+	seeds               []string        // addresses of the seeds in the settings
+	nodes               []*groupSimNode // including nodes that are down or permanently removed
+	phasePartitions     map[string]bool // links that drop all messages for the duration of a phase, by "from>to"
+	isolatedAddr        string          // node whose links are partitioned in both directions by isolationPhase; empty: none
+	isolatedSince       time.Duration   // when that isolation started
+	slowAddr            string          // node whose incoming messages are delayed; empty: none
+	compactAt           int             // log size in bytes above which logs are compacted; 0: defaultCompactThreshold
+	trailingLogBytes    int             // compacted entries that members keep for lagging peers, in bytes
+	bodyPadding         string          // appended to the body of every new change
+	changes             []*groupChange  // all changes that operators made
+	knownVersion        uint64          // newest version that operators know of
+	ackedCount          int             // number of acknowledged changes
 	timers              []simTimer
-	eventHooks          map[string]func() // run once at the next event of a name
-	secondFaultInjected bool
-	lastLeader          string
-	storm               *changeStorm
-	history             history.History
-	edge                *simEdge
-	fencingTokenHolders map[uint64]string
-	// With all faults operators race, send bursts and retry very old changes, nodes gossip, and
-	// transports report what they lost; without them one operator after the other sends a change.
+	eventHooks          map[string]func() // by event: called once at the next occurrence
+	secondFaultInjected bool              // a fault armed by armSecondFault has been injected
+	lastLeader          string            // address and term of the newest leader
+	writeLoad           *simWriteLoad     // sustained write load in progress; nil: none
+	history             history.History   // operations of operators and readers
+	agent               *simAgent
+	fencingTokenHolders map[uint64]string // by fencing token: the client that was granted the lease
+	// With allFaults, operators make concurrent changes, send bursts and retry very old changes, nodes exchange
+	// addresses by gossip and forward changes to the leader, and transports report messages that they could not
+	// deliver. Without it, each change is sent separately.
 	allFaults bool
 }
 
-// newGroupSim starts a site of three to seven control machines; the seed says how many.
-func newGroupSim(seed uint64, plantedFault string) *groupSim {
-	s := emptyGroupSim(newSimBase(seed, 2, plantedFault))
+// newGroupSim starts a site of three to seven control nodes, as determined by the seed. defect is one of the defect
+// constants; empty: none.
+func newGroupSim(seed uint64, defect string) *groupSim {
+	s := emptyGroupSim(newSimBase(seed, 2, defect))
 	s.allFaults = true
-	machines := 3 + s.random.IntN(3)
+	nodes := 3 + s.random.IntN(3)
 	if s.random.IntN(4) == 0 {
-		s.toleratedLosses, machines = 2, 6+s.random.IntN(2)
+		s.toleratedLosses, nodes = 2, 6+s.random.IntN(2)
 	}
-	s.compactAt = [...]int{1500, defaultCompactAt, 20000}[s.random.IntN(3)]
-	s.tailBytes = [...]int{0, 2000}[s.random.IntN(2)]
-	s.startSite(machines)
+	s.compactAt = [...]int{1500, defaultCompactThreshold, 20000}[s.random.IntN(3)]
+	s.trailingLogBytes = [...]int{0, 2000}[s.random.IntN(2)]
+	s.startSite(nodes)
 	s.addLeaseHolders(2)
 	return s
 }
 
-// emptyGroupSim is a site without machines that tolerates one loss.
+// emptyGroupSim returns a site without nodes, which is to tolerate the loss of one node.
 func emptyGroupSim(base simBase) *groupSim {
-	return &groupSim{simBase: base, founding: true, toleratedLosses: 1, longPartition: map[string]bool{}, fencingTokenHolders: map[uint64]string{},
-		edge: &simEdge{confirmedAt: map[string]time.Duration{}, abandoned: map[string]bool{}}, eventHooks: map[string]func(){}}
+	return &groupSim{simBase: base, bootstrapping: true, toleratedLosses: 1, phasePartitions: map[string]bool{}, fencingTokenHolders: map[uint64]string{},
+		agent: &simAgent{confirmedAt: map[string]time.Duration{}, notPolled: map[string]bool{}}, eventHooks: map[string]func(){}}
 }
 
-// startSite founds a site; the first three machines are the seeds.
-func (s *groupSim) startSite(machines int) {
-	for i := range machines {
+// startSite starts a site of control nodes for the first time. The first three nodes are the seeds.
+func (s *groupSim) startSite(nodes int) {
+	for i := range nodes {
 		node := s.addNode()
 		if i < 3 {
 			s.seeds = append(s.seeds, node.addr)
@@ -125,10 +127,10 @@
 	for _, node := range s.nodes {
 		s.start(node)
 	}
-	s.founding = false
+	s.bootstrapping = false
 }
 
-// addNode adds a machine with an empty disk, which isn't started yet.
+// addNode adds a node with an empty disk, without starting it.
 func (s *groupSim) addNode() *groupSimNode {
 	node := &groupSimNode{addr: fmt.Sprintf("m%d:1", len(s.nodes)+1), clock: &clock.Manual{}, clockRate: s.randomClockRate()}
 	s.wipeDisk(node)
@@ -136,10 +138,10 @@
 	return node
 }
 
-// wipeDisk gives a machine an empty disk.
+// wipeDisk replaces the disk of a node by an empty one.
 func (s *groupSim) wipeDisk(node *groupSimNode) {
 	disk := newCacheDisk(s.random)
-	disk.beforeWrite = func() { // the shard's goroutine does nothing else meanwhile; the published view still answers
+	disk.beforeWrite = func() { // the write blocks the shard's goroutine, but the published view still serves long polls
 		if node.maxWriteTime > 0 && node.shard != nil {
 			s.poll(node, 0)
 			node.frozenUntil = max(node.frozenUntil, s.now+s.randomBelow(node.maxWriteTime))
@@ -148,18 +150,18 @@
 	node.disk = disk
 }
 
-// loseDisk empties the disk of a machine that is down, or makes what it holds unreadable.
+// loseDisk empties or corrupts the disk of a node that is down.
 func (s *groupSim) loseDisk(node *groupSimNode) {
 	if s.random.IntN(2) == 0 {
 		s.wipeDisk(node)
 		return
 	}
 	s.count("corrupted disk")
-	s.tracef("the disk of %s is corrupted", node.addr)
+	s.tracef("disk of %s is corrupted", node.addr)
 	node.disk.corrupt()
 }
 
-// start starts a machine from its disk; its clock begins at any time.
+// start starts the process of a node, which recovers the member from the disk. The local clock starts at a random time.
 func (s *groupSim) start(node *groupSimNode) {
 	node.generation++
 	generation := node.generation
@@ -175,15 +177,15 @@
 		}
 	})
 	if replica.compactThreshold = s.compactAt; replica.compactThreshold == 0 {
-		replica.compactThreshold = defaultCompactAt
+		replica.compactThreshold = defaultCompactThreshold
 	}
 	node.shard = nil
 	random := rand.New(rand.NewPCG(s.seed, uint64(generation)*1000+uint64(node.addr[1])))
 	config := newTestGroup(node.disk, random, func(lost bool) *wire.Snapshot {
-		if s.plantedFault == plantedSameIncarnation && !s.founding {
+		if s.defect == defectSameIncarnation && !s.bootstrapping {
 			return consensus.LearnerSnapshot(node.addr + "/0")
 		}
-		return initialGroupSnapshot(s.founding && !lost, node.addr, s.seeds, s.random.Uint64)
+		return initialGroupSnapshot(s.bootstrapping && !lost, node.addr, s.seeds, s.random.Uint64)
 	})
 	config.controlNodes = func() (addrs []string) {
 		for _, peer := range s.nodes {
@@ -193,26 +195,27 @@
 	}
 	config.targetSize = 2*s.toleratedLosses + 1
 	config.reopenTicks = int(reopenIntervalRatio / groupTick)
-	config.consensusConfig.TrailingLogBytes = s.tailBytes
+	config.consensusConfig.TrailingLogBytes = s.trailingLogBytes
 	openGroupShard(replica, config)
 	node.shard, node.nextTick, node.restartAt = replica, s.now, 0
 }
 
-// kill ends a machine's process, which starts again after a while; with power, what its disk hasn't
-// synced is lost, too.
-func (s *groupSim) kill(node *groupSimNode, power bool, downtime time.Duration) {
+// kill ends the process of a node, to be started again after the downtime. With losePower the disk also loses data that
+// was not synced.
+func (s *groupSim) kill(node *groupSimNode, losePower bool, downtime time.Duration) {
 	if node.isRemoved {
 		return
 	}
 	node.shard, node.generation, node.restartAt = nil, node.generation+1, s.now+downtime
-	if power {
+	if losePower {
 		node.disk.losePower()
 	}
-	if s.random.IntN(2) == 0 { // what it has just sent never left the machine
+	if s.random.IntN(2) == 0 { // the messages in flight from the node are lost
 		s.inFlight = slices.DeleteFunc(s.inFlight, func(sent simMessage) bool { return controlclient.MemberAddr(sent.message.From) == node.addr })
 	}
 }
 
+// node returns the node at an address, or nil.
 func (s *groupSim) node(addr string) *groupSimNode {
 	for _, node := range s.nodes {
 		if node.addr == addr {
@@ -222,40 +225,41 @@
 	return nil
 }
 
+// randomNode draws a node, which may be down.
 func (s *groupSim) randomNode() *groupSimNode { return s.nodes[s.random.IntN(len(s.nodes))] }
 
-// isRunning reports whether a machine's process runs and isn't frozen.
+// isRunning reports whether the process of a node is running and not frozen.
 func (s *groupSim) isRunning(node *groupSimNode) bool {
 	return node != nil && node.shard != nil && s.now >= node.frozenUntil
 }
 
-// isHealthy reports whether a machine runs and its shard has not failed.
+// isHealthy reports whether a node is running and its member has not failed.
 func (s *groupSim) isHealthy(node *groupSimNode) bool {
 	return s.isRunning(node) && node.shard.failure == nil
 }
 
-// isPartitioned reports whether nothing gets from one address to another.
+// isPartitioned reports whether the link from one address to another drops all messages.
 func (s *groupSim) isPartitioned(from, to string) bool {
-	return s.partitioned[from+">"+to] || s.longPartition[from+">"+to]
+	return s.partitioned[from+">"+to] || s.phasePartitions[from+">"+to]
 }
 
-// callFails draws whether a call between two addresses fails.
+// callFails reports whether a remote call between two addresses fails, because of a partition or of random loss.
 func (s *groupSim) callFails(a, b string) bool {
 	return s.isPartitioned(a, b) || s.isPartitioned(b, a) || s.random.Float64() < s.lossRate
 }
 
-// leader is the member that leads in the highest term; nil: there is none.
+// leader returns the healthy node that leads in the highest term, or nil.
 func (s *groupSim) leader() *groupSimNode {
 	var leader *groupSimNode
 	for _, node := range s.nodes {
-		if s.isHealthy(node) && !s.isAbandoned(node) && node.shard.core.Status().IsLeader && (leader == nil || node.shard.core.Status().Term > leader.shard.core.Status().Term) {
+		if s.isHealthy(node) && !s.isSuperseded(node) && node.shard.core.Status().IsLeader && (leader == nil || node.shard.core.Status().Term > leader.shard.core.Status().Term) {
 			leader = node
 		}
 	}
 	return leader
 }
 
-// isComplete reports whether the group has as many members as it wants, and all have caught up.
+// isComplete reports whether the group has the desired number of voters, and all of them are healthy and have caught up.
 func (s *groupSim) isComplete() bool {
 	leader := s.leader()
 	if leader == nil || !leader.shard.core.CanChangeMembership() {
@@ -277,14 +281,14 @@
 	return len(members) >= min(2*s.toleratedLosses+1, alive)
 }
 
-// traceStatus traces the status of all machines.
+// traceStatus traces the status of all nodes.
 func (s *groupSim) traceStatus() {
 	for _, node := range s.nodes {
 		if node.shard == nil {
-			s.tracef("%s is down, removed %v", node.addr, node.isRemoved)
+			s.tracef("status of %s: down, permanently removed %v", node.addr, node.isRemoved)
 			continue
 		}
 		members, term, index := node.shard.core.Members()
-		s.tracef("%s is %s, failure %v, %+v, members %v of %d/%d, sees %+v", node.addr, node.shard.core.Self(), node.shard.failure, node.shard.core.Status(), members, term, index, node.shard.core.PeerStatuses())
+		s.tracef("status of %s: member %s, failure %v, core %+v, voters %v as of term %d index %d, peers %+v", node.addr, node.shard.core.Self(), node.shard.failure, node.shard.core.Status(), members, term, index, node.shard.core.PeerStatuses())
 	}
 }
--- a/internal/control/controlstate/sim_shard_faults_test.go
+++ b/internal/control/controlstate/sim_shard_faults_test.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// shardSimFault is a fault, or the end of faults, that may come at any time.
+// shardSimFault is a fault, or the end of earlier faults, that may occur at any time.
 type shardSimFault struct {
 	name   string
 	inject func(*shardSim, *shardSimNode)
 }
 
-// shardSimFaults are drawn with equal odds.
+// shardSimFaults are drawn with equal probability.
 var shardSimFaults = []shardSimFault{
 	{"kill", (*shardSim).kill},
 	{"freeze", (*shardSim).freeze},
@@ -16,49 +16,52 @@
 	{"isolation", (*shardSim).isolate},
 	{"partitions end", func(s *shardSim, _ *shardSimNode) { clear(s.partitioned) }},
 	{"partitions end", func(s *shardSim, _ *shardSimNode) { clear(s.partitioned) }},
-	{"loss of power", func(s *shardSim, node *shardSimNode) {
+	{"power loss", func(s *shardSim, node *shardSimNode) {
 		node.disk.powerBudget = s.random.IntN(3000)
-		s.count("power")
+		s.count("scheduled power loss")
 	}},
 	{"full disk", func(s *shardSim, node *shardSimNode) {
 		node.disk.failWrites = true
-		s.count("full")
+		s.count("full disk")
 	}},
 	{"message loss", func(s *shardSim, _ *shardSimNode) { s.lossRate = [...]float64{0, 0, 0.05, 0.3}[s.random.IntN(4)] }},
 	{"leadership transfer", (*shardSim).transferLeadership},
-	{"stalled disk", func(s *shardSim, node *shardSimNode) {
+	{"slow disk", func(s *shardSim, node *shardSimNode) {
 		node.maxWriteTime = [...]time.Duration{0, 30 * time.Millisecond, 2 * time.Second}[s.random.IntN(3)]
-		s.count("stall")
+		s.count("slow disk changed")
 	}},
-	{"replaced machine", (*shardSim).replaceIfSafe},
+	{"replaced node", (*shardSim).replaceIfSafe},
 }
 
-// injectFault draws a node and a fault.
+// injectFault injects a random fault into a random node.
 func (s *shardSim) injectFault() {
 	node := s.nodes[s.random.IntN(len(s.nodes))]
 	fault := shardSimFaults[s.random.IntN(len(shardSimFaults))]
 	fault.inject(s, node)
 }
 
+// kill ends the process of a node.
 func (s *shardSim) kill(node *shardSimNode) {
 	s.tracef("kill %s", node.name)
 	s.count("kill")
 	node.shard, node.generation = nil, node.generation+1
 }
 
+// freeze stops the process of a node for up to 4 s.
 func (s *shardSim) freeze(node *shardSimNode) {
 	node.frozenUntil = s.now + s.randomBelow(4*time.Second)
 	s.tracef("freeze %s", node.name)
 	s.count("freeze")
 }
 
+// partitionLink partitions a random link in one direction.
 func (s *shardSim) partitionLink() {
 	from, to := s.nodes[s.random.IntN(len(s.nodes))], s.nodes[s.random.IntN(len(s.nodes))]
 	s.partitioned[from.name+">"+to.name] = true
 	s.count("partition")
 }
 
-// isolate partitions a node from both others, in both directions.
+// isolate partitions a node from both other nodes, in both directions.
 func (s *shardSim) isolate(node *shardSimNode) {
 	for _, peer := range s.nodes {
 		if peer != node {
@@ -69,6 +72,7 @@
 	s.count("partition")
 }
 
+// transferLeadership makes a node transfer the leadership if it is the leader.
 func (s *shardSim) transferLeadership(node *shardSimNode) {
 	if s.isRunning(node) && node.shard.failure == nil && node.shard.core.TransferLeadership() {
 		node.shard.handleReady()
@@ -76,18 +80,19 @@
 	}
 }
 
-// replaceIfSafe replaces a machine that has caught up, unless the others haven't or one is replaced already.
+// replaceIfSafe replaces a node by one with an empty disk, provided that all members have caught up and that no other
+// replaced node is still running.
 func (s *shardSim) replaceIfSafe(node *shardSimNode) {
-	if s.isRunning(node) && node.shard.failure == nil && !node.isBlank && s.othersCaughtUp(node) && len(s.zombies) == 0 && s.counts["acked"] > 0 {
+	if s.isRunning(node) && node.shard.failure == nil && !node.isBlank && s.othersCaughtUp(node) && len(s.staleNodes) == 0 && s.counts["acked"] > 0 {
 		s.replace(node)
 	}
 }
 
-// restartNodes restarts all machines that are down, or some of them. One at a time may come back with
-// an empty disk, and only when both others have caught up.
+// restartNodes restarts all nodes that are down or have failed, or a random part of them. Unless all are restarted, a
+// node may come back with an empty disk, but only if both other members have caught up since they last lost a disk.
 func (s *shardSim) restartNodes(all bool) {
 	if all || s.random.IntN(4) == 0 {
-		s.zombies = nil // an operator has stopped it
+		s.staleNodes = nil // an operator stops the replaced node
 	}
 	for _, node := range s.nodes {
 		isDown := node.shard == nil || node.shard.failure != nil
@@ -97,14 +102,14 @@
 		if s.othersCaughtUp(node) && s.random.IntN(3) == 0 && s.counts["acked"] > 0 && !all {
 			node.disk = newSimDisk()
 			s.count("lost disk")
-			s.tracef("%s loses its disk", node.name)
+			s.tracef("disk of %s is lost", node.name)
 		}
 		s.tracef("start %s", node.name)
 		s.start(node)
 	}
 }
 
-// othersCaughtUp reports whether both others have caught up since they lost a disk, if they did.
+// othersCaughtUp reports whether both other members have caught up since they last lost a disk, if they ever did.
 func (s *shardSim) othersCaughtUp(node *shardSimNode) bool {
 	for _, peer := range s.nodes {
 		if peer != node && peer.isBlank {
--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -9,8 +9,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// sendCommand sends a command to a node and waits for its answer. The request or the answer may be
-// lost.
+// sendCommand sends a command to a node and calls done with the response. The request or the response may be lost, in
+// which case done is not called.
 func (s *shardSim) sendCommand(node *shardSimNode, request *wire.ChangeRequest, done func(*wire.ChangeResponse)) {
 	if !s.isRunning(node) || s.random.Float64() < s.lossRate {
 		return
@@ -27,7 +27,8 @@
 	})
 }
 
-// write is an operator's compare-and-set on the newest version that operators know of.
+// write changes the document, based on the newest version that operators know from acknowledgements and reads, or in one
+// of four cases on whatever version is current.
 func (s *shardSim) write() {
 	node := s.randomNode()
 	var base uint64
@@ -49,7 +50,7 @@
 		if response.Outcome == wire.OutcomeDone {
 			write.version, write.ackedAt = response.Version, s.now
 			s.count("acked")
-			s.tracef("acked %s version %d by %s", write.body, write.version, node.name)
+			s.tracef("%s acknowledged write %s as version %d", node.name, write.body, write.version)
 			if s.random.IntN(12) == 0 {
 				s.killAfterAck(node)
 			}
@@ -57,26 +58,26 @@
 	})
 }
 
-// killAfterAck kills a leader right after it acknowledged a change, and polls the others.
+// killAfterAck kills the leader right after it has acknowledged a change, and then polls the other members.
 func (s *shardSim) killAfterAck(node *shardSimNode) {
-	s.tracef("kill %s right after", node.name)
+	s.tracef("kill %s right after its acknowledgement", node.name)
 	s.count("kill after ack")
 	node.shard, node.generation = nil, node.generation+1
-	if s.random.IntN(2) == 0 { // what it has just sent never left the machine
+	if s.random.IntN(2) == 0 { // the messages in flight from the node are lost
 		s.inFlight = slices.DeleteFunc(s.inFlight, func(sent simMessage) bool { return sent.message.From == node.name })
 	}
 	for _, peer := range s.nodes {
-		s.poll(peer, s.plantedFault == plantedStaleConfirm || s.plantedFault == plantedKillConfirm)
+		s.poll(peer, s.defect == defectStaleWatchResponse || s.defect == defectStaleWatchAfterKill)
 	}
 }
 
-// read is a reader's request to any node, and the check of what it returns.
+// read sends a read to a random node and checks the result.
 func (s *shardSim) read() {
 	node := s.randomNode()
 	if !s.isRunning(node) {
 		return
 	}
-	begun, generation := s.now, node.generation
+	startedAt, generation := s.now, node.generation
 	confirmed := make(chan bool, 1)
 	node.shard.beginRead(confirmed)
 	node.shard.handleReady()
@@ -85,53 +86,53 @@
 		case ok := <-confirmed:
 			if ok && node.generation == generation && s.isRunning(node) {
 				documents, _ := node.shard.selectDocuments(&wire.ReadRequest{Key: "doc"})
-				read := &simRead{sentAt: begun, answeredAt: s.now}
+				read := &simRead{sentAt: startedAt, answeredAt: s.now}
 				if len(documents) > 0 {
 					read.version, read.body = documents[0].Version, string(documents[0].Body)
 				}
 				s.reads = append(s.reads, read)
 				s.count("read")
 				if s.debug {
-					s.tracef("read version %d by %s begun %v", read.version, node.name, begun)
+					s.tracef("read of version %d by %s, started at %v", read.version, node.name, startedAt)
 				}
 				s.checkRead(read)
 			}
 			return false
 		default:
-			return node.generation == generation && s.now-begun < answerTimeout
+			return node.generation == generation && s.now-startedAt < answerTimeout
 		}
 	})
 }
 
-// poll is the watcher's long poll of one member, and the check of its proof of freshness. With overlooksLog the
-// member overlooks what its log holds and it hasn't applied.
-func (s *shardSim) poll(node *shardSimNode, overlooksLog bool) {
+// poll starts a long poll of one member by the watcher and checks the proof of freshness that results. With
+// ignoreUnapplied the member responds as if its log contained no unapplied entries, which is a deliberate defect.
+func (s *shardSim) poll(node *shardSimNode, ignoreUnapplied bool) {
 	if !s.isRunning(node) {
 		return
 	}
 	proof := s.watcher.freshness
-	have, polledAt := proof.LatestVersion(), s.now
+	knownVersion, polledAt := proof.LatestVersion(), s.now
 	pollUntil := s.now + pollTime
 	generation := node.generation
 	s.inProgress = append(s.inProgress, func() bool {
 		if node.generation != generation || !s.isRunning(node) {
 			return node.generation == generation
 		}
-		response := node.shard.watchResponse(&wire.WatchRequest{Key: "doc", KnownVersion: have}, node.name, s.now >= pollUntil)
-		if overlooksLog && s.now >= pollUntil && node.shard.state.documents["doc"].GetVersion() == have {
+		response := node.shard.watchResponse(&wire.WatchRequest{Key: "doc", KnownVersion: knownVersion}, node.name, s.now >= pollUntil)
+		if ignoreUnapplied && s.now >= pollUntil && node.shard.state.documents["doc"].GetVersion() == knownVersion {
 			response = &wire.WatchResponse{Outcome: wire.OutcomeUnchanged}
 		}
 		if response == nil {
 			return true
 		}
-		if overlooksLog {
+		if ignoreUnapplied {
 			response.NothingNewer = true
 		}
-		proof.HandleResponse(node.name, have, polledAt, response)
+		proof.HandleResponse(node.name, knownVersion, polledAt, response)
 		freshUntil := proof.FreshUntil()
 		for _, write := range s.writes {
 			if write.ackedAt > 0 && write.ackedAt <= freshUntil && write.version > proof.Document().GetVersion() {
-				s.violationf("the proof says nothing newer than %d was acknowledged up to %v, yet %d was, at %v", proof.Document().GetVersion(), freshUntil, write.version, write.ackedAt)
+				s.violationf("freshness proof is wrong: it states that no version above %d was acknowledged up to %v, but version %d was acknowledged at %v", proof.Document().GetVersion(), freshUntil, write.version, write.ackedAt)
 			}
 		}
 		if freshUntil > 0 {
@@ -141,7 +142,7 @@
 	})
 }
 
-// claim claims a request id, sometimes again under the same nonce, as after a lost answer.
+// claim claims one of 40 request IDs under one of 3 nonces, so that claims are repeated and compete.
 func (s *shardSim) claim() {
 	id := make([]byte, 16)
 	id[0] = byte(s.random.IntN(40))
@@ -153,44 +154,44 @@
 		}
 		s.count("claimed")
 		if earlier := s.grantedNonces[id[0]]; earlier != 0 && earlier != nonce {
-			s.violationf("id %d was granted to %d and to %d", id[0], earlier, nonce)
+			s.violationf("claim of request ID %d was granted to two callers, with nonces %d and %d", id[0], earlier, nonce)
 		}
 		s.grantedNonces[id[0]] = nonce
 	})
 }
 
-// requestLease has a holder request the lease from any member.
+// requestLease sends a random client's request for the lease to a random node.
 func (s *shardSim) requestLease() {
-	holder := s.nextLeaseRequest()
+	holder := s.drawLeaseHolder()
 	if holder == nil {
 		return
 	}
 	requestedAt, grant := holder.clock.Now(), holder.lease.GrantRequest()
-	s.awaitLeaseAnswer(holder)
+	s.markRequestPending(holder)
 	s.sendCommand(s.randomNode(), grantRequest(grant), func(response *wire.ChangeResponse) {
-		s.handleLeaseAnswer(holder, requestedAt, response)
+		s.handleLeaseResponse(holder, requestedAt, response)
 	})
 }
 
-// checkRead checks that a read is linearizable with the writes and reads before it.
+// checkRead checks that a read is linearizable with the earlier writes and reads.
 func (s *shardSim) checkRead(read *simRead) {
 	for _, write := range s.writes {
 		if write.ackedAt > 0 && write.ackedAt < read.sentAt && write.version > read.version {
-			s.violationf("read version %d after version %d was acknowledged", read.version, write.version)
+			s.violationf("read returned version %d, although version %d had been acknowledged before the read started", read.version, write.version)
 		}
 		if write.ackedAt > 0 && write.version == read.version && write.body != read.body {
-			s.violationf("read another body under version %d", read.version)
+			s.violationf("read of version %d returned body %q, want the acknowledged body %q", read.version, read.body, write.body)
 		}
 	}
 	for _, earlier := range s.reads {
 		if earlier.answeredAt < read.sentAt && earlier.version > read.version || earlier.version == read.version && earlier.body != read.body {
-			s.violationf("read version %d %q after a read of version %d %q", read.version, read.body, earlier.version, earlier.body)
+			s.violationf("read returned version %d with body %q after an earlier read returned version %d with body %q", read.version, read.body, earlier.version, earlier.body)
 		}
 	}
 }
 
-// run plays some rounds: ten virtual seconds with faults, then none until the shard serves again,
-// which it must within the bound.
+// run simulates a number of rounds. Each consists of 10 s of virtual time with faults and of a recovery without faults,
+// within which the shard has to serve again. It then checks the history.
 func (s *shardSim) run(rounds int) {
 	for range rounds {
 		s.runWithFaults(10 * time.Second)
@@ -205,7 +206,7 @@
 	s.checkHistory()
 }
 
-// runWithFaults lets clients act and faults happen for a while, or until a check fails.
+// runWithFaults simulates clients and faults for a duration, or until a check fails.
 func (s *shardSim) runWithFaults(duration time.Duration) {
 	for end := s.now + duration; s.now < end && len(s.violations) == 0; {
 		s.step()
@@ -217,21 +218,21 @@
 	}
 }
 
-// shardSimActions are what may happen in each step, once in so many steps.
+// shardSimActions are what clients and faults may do in each step.
 var shardSimActions = []struct {
-	odds int
+	odds int // one in this many steps runs the action, on average
 	do   func(*shardSim)
 }{
 	{20, (*shardSim).write},
 	{30, (*shardSim).read},
-	{20, func(s *shardSim) { s.poll(s.randomNode(), s.plantedFault == plantedStaleConfirm) }},
+	{20, func(s *shardSim) { s.poll(s.randomNode(), s.defect == defectStaleWatchResponse) }},
 	{40, (*shardSim).requestLease},
 	{40, (*shardSim).claim},
 	{120, (*shardSim).injectFault},
 	{200, func(s *shardSim) { s.restartNodes(false) }},
 }
 
-// awaitRecovery ends all faults; then changes must be acknowledged again within the bound.
+// awaitRecovery ends all faults and checks that writes are acknowledged again within the bound.
 func (s *shardSim) awaitRecovery(bound time.Duration) {
 	clear(s.partitioned)
 	s.lossRate = 0
@@ -248,18 +249,18 @@
 		}
 		for _, node := range s.nodes {
 			if node.shard == nil || node.shard.failure != nil {
-				s.restartNodes(true) // a loss of power that was set before may come once more
+				s.restartNodes(true) // a power loss that was scheduled earlier may still have occurred
 			}
 		}
 		recovered = s.counts["acked"] > acked+2
 	}
 	if !recovered {
-		s.violationf("no write is acknowledged within %v of the last fault's end", bound)
+		s.violationf("no write was acknowledged within %v after the end of all faults", bound)
 	}
 }
 
-// checkHistory checks that no two acknowledged writes have one version, and that versions follow the
-// order of the writes.
+// checkHistory checks that no two writes were acknowledged under the same version, and that a write that started after
+// another one was acknowledged has a higher version.
 func (s *shardSim) checkHistory() {
 	acked := []*simWrite{}
 	for _, write := range s.writes {
@@ -270,13 +271,13 @@
 	sort.Slice(acked, func(i, j int) bool { return acked[i].version < acked[j].version })
 	for i := 1; i < len(acked); i++ {
 		if acked[i].version == acked[i-1].version {
-			s.violationf("two writes were acknowledged under version %d", acked[i].version)
+			s.violationf("writes %s and %s were both acknowledged as version %d", acked[i-1].body, acked[i].body, acked[i].version)
 		}
 	}
 	for i, write := range acked {
 		for _, later := range acked[i+1:] {
 			if later.ackedAt < write.sentAt {
-				s.violationf("version %d was acknowledged before version %d began", later.version, write.version)
+				s.violationf("version %d was acknowledged before the write of the lower version %d started", later.version, write.version)
 			}
 		}
 	}
--- a/internal/control/controlstate/sim_shard_test.go
+++ b/internal/control/controlstate/sim_shard_test.go
@@ -15,58 +15,59 @@
 	"pebbleloom/internal/wire"
 )
 
-// The simulator of a shard drives the real code (consensus core, state, storage) on virtual time: a
-// seeded network, seeded disks, clocks that drift, freezes, kills and lost disks.
+// The shard simulator runs the production consensus core, state and storage of a shard with three fixed members, on
+// virtual time. A seed determines the message delays and losses, the drift of the clocks and all faults: frozen and
+// killed processes, partitions, and failing, slow and lost disks.
 
-// shardSimNode is one machine with a member of the shard.
+// shardSimNode is a simulated control node with a member of the shard.
 type shardSimNode struct {
 	name         string
 	disk         *simDisk
-	shard        *shard // nil: it is down
+	shard        *shard // nil while the node is down
 	clock        *clock.Manual
 	clockRate    float64
 	frozenUntil  time.Duration
 	nextTick     time.Duration
-	generation   int           // counts its starts and kills
-	incarnation  string        // of its disk
-	maxWriteTime time.Duration // up to which a write may take
-	isBlank      bool          // it has lost its disk and hasn't caught up yet
+	generation   int           // incremented at each start and kill, so that it identifies the process
+	incarnation  string        // incarnation of the disk
+	maxWriteTime time.Duration // maximum duration of a simulated disk write
+	isBlank      bool          // the member lost its disk and has not caught up yet
 }
 
-// simWrite is an operator's change of the document.
+// simWrite is a change of the document by an operator.
 type simWrite struct {
 	version         uint64
 	body            string
-	sentAt, ackedAt time.Duration // ackedAt zero: it was never acknowledged
+	sentAt, ackedAt time.Duration // ackedAt is zero until the change is acknowledged
 }
 
-// shardSim is one seeded run of a shard with three fixed members.
+// shardSim is a simulation of a shard with three fixed members.
 type shardSim struct {
 	simBase
 	nodes         []*shardSimNode
-	zombies       []*shardSimNode // machines whose name another one has taken; they run on for a while
+	staleNodes    []*shardSimNode // nodes that were replaced by another node of the same name but still run for a while
 	writes        []*simWrite
 	watcher       *simWatcher
-	grantedNonces map[byte]uint64
-	lastStatus    map[string]string // by member, with debug
-	debug         bool              // trace each change of a member's status, and each read
+	grantedNonces map[byte]uint64   // by first byte of the request ID: nonce of the caller whose claim was granted
+	lastStatus    map[string]string // by node; used only with debug
+	debug         bool              // trace each read and each change of a member's status
 }
 
-// simWatcher polls all members for a newer document, as a node agent does.
+// simWatcher polls all members for newer versions of the document and derives proofs of freshness, as a node agent does.
 type simWatcher struct {
 	freshness *nodeagent.FreshnessProof
 	clock     *clock.Manual
 }
 
-// Virtual time passes in steps; a member ticks once a shardSimTick of its own clock.
+// Timing of the shard simulator.
 const (
-	shardSimStep = 5 * time.Millisecond
-	shardSimTick = 50 * time.Millisecond
+	shardSimStep = 5 * time.Millisecond  // step of virtual time
+	shardSimTick = 50 * time.Millisecond // tick interval of the consensus core, by each node's own clock
 )
 
-// newShardSim starts three members.
-func newShardSim(seed uint64, plantedFault string) *shardSim {
-	s := &shardSim{simBase: newSimBase(seed, 1, plantedFault), grantedNonces: map[byte]uint64{}}
+// newShardSim starts a simulation with a seed. defect is one of the defect constants; empty: none.
+func newShardSim(seed uint64, defect string) *shardSim {
+	s := &shardSim{simBase: newSimBase(seed, 1, defect), grantedNonces: map[byte]uint64{}}
 	for i := range 3 {
 		node := &shardSimNode{name: fmt.Sprintf("core-%d", i+1), disk: newSimDisk(), clock: &clock.Manual{}, clockRate: s.randomClockRate()}
 		s.nodes = append(s.nodes, node)
@@ -79,14 +80,14 @@
 	return s
 }
 
-// start starts a member from its disk; its clock begins at any time.
+// start starts the process of a node, which recovers the member from the disk. The local clock starts at a random time.
 func (s *shardSim) start(node *shardSimNode) {
 	node.generation++
 	if len(node.disk.files) == 0 {
 		node.incarnation = fmt.Sprintf("%s/%d", node.name, node.generation)
 	}
 	node.disk.powerBudget, node.disk.failWrites = -1, false
-	node.disk.beforeWrite = func() { // the member does nothing else while a write takes its time
+	node.disk.beforeWrite = func() { // the shard's goroutine is blocked during a write
 		if node.maxWriteTime > 0 {
 			node.frozenUntil = max(node.frozenUntil, s.now+s.randomBelow(node.maxWriteTime))
 		}
@@ -96,29 +97,29 @@
 	for _, peer := range s.nodes {
 		members = append(members, peer.name)
 	}
-	cfg := consensus.Config{Self: node.name, Members: members, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(s.seed, uint64(node.generation*10)))}
+	config := consensus.Config{Self: node.name, Members: members, HeartbeatTicks: 2, ElectionTicks: 12, MaxBatchBytes: 4096, Rand: rand.New(rand.NewPCG(s.seed, uint64(node.generation*10)))}
 	generation := node.generation
-	replica, err := openShard(context.Background(), cfg, node.disk, func() string { return node.incarnation }, node.clock, hclog.NewNullLogger(), func(message *wire.Message) {
+	replica, err := openShard(context.Background(), config, node.disk, func() string { return node.incarnation }, node.clock, hclog.NewNullLogger(), func(message *wire.Message) {
 		if node.generation == generation {
 			s.send(message)
 		}
 	})
 	if err != nil {
-		s.violationf("%s doesn't open: %v", node.name, err)
+		s.violationf("opening the shard on the disk of %s: %v", node.name, err)
 		return
 	}
-	replica.compactThreshold = 2000 // bytes: snapshots are written often
+	replica.compactThreshold = 2000 // in bytes; low, so that snapshots are written often
 	node.shard, node.nextTick = replica, s.now
 	node.isBlank = replica.core.Status().Blank
-	if s.plantedFault == plantedBlankVote && replica.core.Status().Blank {
-		// A lost disk is taken for a first start.
+	if s.defect == defectBlankVote && replica.core.Status().Blank {
+		// Treat the lost disk as a first start.
 		snapshot := consensus.BlankSnapshot(node.incarnation)
 		snapshot.HardState.DiskState = wire.DiskState_DISK_FOUNDED
-		replica.core = consensus.New(cfg, snapshot, nil)
+		replica.core = consensus.New(config, snapshot, nil)
 	}
 }
 
-// send puts a message on its way: it may be lost, late, doubled or overtaken.
+// send puts a message in flight. The message may be lost, delayed, duplicated or reordered.
 func (s *shardSim) send(message *wire.Message) {
 	if s.partitioned[message.From+">"+message.To] || s.random.Float64() < s.lossRate {
 		return
@@ -128,7 +129,7 @@
 		delay += s.randomBelow(time.Second)
 	}
 	if node := s.node(message.From); node.frozenUntil > s.now {
-		delay += node.frozenUntil - s.now // it is sent once the write has ended
+		delay += node.frozenUntil - s.now // the message is sent once the write has finished
 	}
 	s.sentMessages++
 	s.inFlight = append(s.inFlight, simMessage{s.now + time.Millisecond + delay, s.sentMessages, message})
@@ -138,12 +139,12 @@
 	}
 }
 
-// isRunning reports whether a machine's process runs and isn't frozen.
+// isRunning reports whether the process of a node is running and not frozen.
 func (s *shardSim) isRunning(node *shardSimNode) bool {
 	return node.shard != nil && s.now >= node.frozenUntil
 }
 
-// step moves virtual time on, delivers what is due and lets every member and call act.
+// step advances virtual time by one step, delivers the messages that are due, ticks the members and runs pending calls.
 func (s *shardSim) step() {
 	s.now += shardSimStep
 	for _, node := range s.allNodes() {
@@ -156,11 +157,11 @@
 	if s.debug {
 		s.traceStatus()
 	}
-	s.continueCalls()
+	s.runPendingCalls()
 	s.checkLeaseHolders()
 }
 
-// deliver hands over the messages that are due. Those to a frozen machine wait.
+// deliver delivers the messages that are due. Messages to a frozen node wait until it runs again.
 func (s *shardSim) deliver() {
 	var waiting []simMessage
 	for _, sent := range s.takeInFlight() {
@@ -168,7 +169,7 @@
 			waiting = append(waiting, sent)
 			continue
 		}
-		for _, node := range s.allNodes() { // a name that two machines have reaches both
+		for _, node := range s.allNodes() { // a replaced node may still run under the same name; then both get the message
 			if node.name == sent.message.To && s.isRunning(node) && node.shard.failure == nil {
 				node.shard.core.Step(proto.Clone(sent.message).(*wire.Message))
 				node.shard.handleReady()
@@ -193,7 +194,7 @@
 	}
 }
 
-// traceStatus traces each member's status where it has changed.
+// traceStatus traces the status of each member if it has changed.
 func (s *shardSim) traceStatus() {
 	if s.lastStatus == nil {
 		s.lastStatus = map[string]string{}
@@ -203,7 +204,7 @@
 			continue
 		}
 		status := node.shard.core.Status()
-		text := fmt.Sprintf("%s leads %v term %d leader %s applied %d last %d blank %v", node.name, status.IsLeader, status.Term, status.Leader, status.Applied, status.LastIndex, status.Blank)
+		text := fmt.Sprintf("status of %s: is leader %v, term %d, leader %q, applied index %d, last index %d, blank %v", node.name, status.IsLeader, status.Term, status.Leader, status.Applied, status.LastIndex, status.Blank)
 		if s.lastStatus[node.name] != text {
 			s.lastStatus[node.name] = text
 			s.tracef("%s", text)
@@ -211,36 +212,38 @@
 	}
 }
 
-// allNodes are the nodes and the zombies.
+// allNodes returns the current nodes and the replaced nodes that still run.
 func (s *shardSim) allNodes() []*shardSimNode {
-	return append(append([]*shardSimNode(nil), s.nodes...), s.zombies...)
+	return append(append([]*shardSimNode(nil), s.nodes...), s.staleNodes...)
 }
 
-// randomNode draws a machine to send to, the replaced ones among them.
+// randomNode draws a node to send a request to, including replaced nodes that still run.
 func (s *shardSim) randomNode() *shardSimNode {
 	nodes := s.allNodes()
 	return nodes[s.random.IntN(len(nodes))]
 }
 
-// replace starts an empty machine under the name of a frozen one, which will wake as a zombie.
+// replace freezes a node and starts another one with an empty disk under the same name. The replaced node later resumes
+// with its old disk.
 func (s *shardSim) replace(node *shardSimNode) {
-	zombie := *node
-	zombie.generation = 1 << 20
-	zombie.frozenUntil = s.now + s.randomBelow(4*time.Second)
+	stale := *node
+	stale.generation = 1 << 20
+	stale.frozenUntil = s.now + s.randomBelow(4*time.Second)
 	disk := *node.disk
-	zombie.disk = &disk
-	zombie.disk.beforeWrite = nil
-	zombieClock := *node.clock
-	zombie.clock = &zombieClock
-	zombie.shard.clock = zombie.clock
-	zombie.shard.send = s.send
-	s.zombies = append(s.zombies, &zombie)
+	stale.disk = &disk
+	stale.disk.beforeWrite = nil
+	staleClock := *node.clock
+	stale.clock = &staleClock
+	stale.shard.clock = stale.clock
+	stale.shard.send = s.send
+	s.staleNodes = append(s.staleNodes, &stale)
 	node.disk = newSimDisk()
-	s.tracef("%s is replaced by an empty machine while it is frozen", node.name)
+	s.tracef("replace %s by a node with an empty disk; the replaced node is frozen for a while and then resumes", node.name)
 	s.counts["replaced"]++
 	s.start(node)
 }
 
+// node returns the current node with a name, or nil.
 func (s *shardSim) node(name string) *shardSimNode {
 	for _, node := range s.nodes {
 		if node.name == name {
