--- a/internal/control/controlstate/forgotten_change_test.go
+++ b/internal/control/controlstate/forgotten_change_test.go
@@ -38,12 +38,12 @@
 			for _, test := range []struct {
 				base uint64
 				text string
-				kind *errs.Kind // expected kind of error; nil: acknowledged
+				kind *errs.Kind // expected kind of error; nil if the change has to be acknowledged
 			}{{0, "x", errs.OutcomeUnknown}, {2, "x", errs.OutcomeUnknown}, {2, "y", errs.OutcomeUnknown}, {3, "x", nil}, {4, "x", nil}, {3, "y", errs.Conflict}, {4, "y", errs.Conflict}} {
 				startedAt := time.Now()
 				_, err := node.PutRoutingConfig(ctx, test.base, body(test.base+1, test.text), false)
 				if (err != nil) != (test.kind != nil) || err != nil && errs.KindOf(err) != test.kind {
-					t.Errorf("node %d: change %q based on version %d: error %v, want kind %v (nil: acknowledged)", i+1, test.text, test.base, err, test.kind)
+					t.Errorf("node %d: change %q based on version %d: error %v, want kind %+v (nil: acknowledged)", i+1, test.text, test.base, err, test.kind)
 				}
 				if waited := time.Since(startedAt); waited > answerWithin {
 					t.Errorf("node %d: change %q based on version %d: response after %v, want within %v", i+1, test.text, test.base, waited, answerWithin)
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -36,7 +36,7 @@
 	}
 	for _, file := range files {
 		if disk.files[filepath.Base(file)], err = os.ReadFile(file); err != nil {
-			t.Fatal(err)
+			t.Fatalf("reading a file of the first release: %v", err)
 		}
 	}
 	replica, err := openTestShard(t, disk)
@@ -67,7 +67,7 @@
 func TestLaterFormatsAreRejected(t *testing.T) {
 	state, err := proto.Marshal(&wire.ShardState{Format: 2})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encoding a state of format 2: %v", err)
 	}
 	for name, snapshot := range map[string]*wire.Snapshot{
 		"snapshot in a later format": {Format: 2, HardState: &wire.HardState{Incarnation: "x"}},
@@ -76,10 +76,10 @@
 		disk := newSimDisk()
 		store, _, err := storage.Open(disk)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("opening the storage on an empty disk: %v", err)
 		}
 		if err := store.SaveSnapshot(snapshot, nil); err != nil {
-			t.Fatal(err)
+			t.Fatalf("storing a %s: %v", name, err)
 		}
 		if _, err := openTestShard(t, disk); errs.KindOf(err) != errs.DiskFailure {
 			t.Errorf("opening a disk with a %s: error %v, want kind %s", name, err, errs.DiskFailure.Name)
--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -29,8 +29,8 @@
 
 // Time-outs of simulated clients.
 const (
-	answerTimeout = 10 * time.Second       // for the response to a request
-	pollTime      = 300 * time.Millisecond // for a long poll without a newer version
+	answerTimeout = 10 * time.Second       // maximum wait for the response to a request
+	pollTime      = 300 * time.Millisecond // duration of a long poll if there is no newer version
 )
 
 // simBase is the common part of the simulators of a shard (shardSim) and of a group (groupSim): virtual time,
@@ -48,7 +48,7 @@
 	leaseHolders []*simLeaseHolder
 	trace        []string       // log of the run, printed if a check fails
 	violations   []string       // failed checks, oldest first
-	counts       map[string]int // number of occurrences by event
+	counts       map[string]int // number of occurrences of each event
 	defect       string         // one of the defect constants, or empty
 }
 
@@ -79,7 +79,7 @@
 	clock          *clock.Manual
 	clockRate      float64
 	requestPending bool
-	pausedUntil    time.Duration // sends no request before this time
+	pausedUntil    time.Duration // the client sends no request before this time
 }
 
 // Clocks and leases of a simulation.
@@ -95,7 +95,7 @@
 
 // violationf records a failed check.
 func (s *simBase) violationf(format string, a ...any) {
-	s.tracef("VIOLATION "+format, a...)
+	s.tracef("failed check: "+format, a...)
 	s.violations = append(s.violations, fmt.Sprintf(format, a...))
 }
 
@@ -182,7 +182,7 @@
 	}
 	holder.lease.HandleResponse(requestedAt, response)
 	if response.Outcome == wire.OutcomeDone {
-		s.count("granted")
+		s.count("lease granted")
 	}
 }
 
--- a/internal/control/controlstate/sim_disk_test.go
+++ b/internal/control/controlstate/sim_disk_test.go
@@ -78,7 +78,7 @@
 // Linux, a failed sync is reported only once: later syncs of the file succeed without syncing the data.
 type cacheDisk struct {
 	cached, synced   map[string][]byte
-	syncFailed       map[string]bool // by file: a sync has failed since the file was last created
+	syncFailed       map[string]bool // files of which a sync has failed since they were last written anew
 	random           *rand.Rand
 	failWrites       bool
 	writesUntilCrash int // writes until the process crashes during one; negative: it does not crash
@@ -115,7 +115,7 @@
 	case d.failWrites:
 		d.cached[name], d.syncFailed[name] = content[:len(old)+len(appended)/2], true
 		if d.random.IntN(2) == 0 {
-			d.cached[name] = content // completely written, but the sync failed
+			d.cached[name] = content // the data was written completely, but its sync failed
 		}
 		return errDiskFull
 	}
@@ -158,7 +158,7 @@
 
 // losePower simulates a loss of power: each file loses all, a part or none of its data that was not synced.
 func (d *cacheDisk) losePower() {
-	dropAll := d.random.IntN(4) == 0 // all files lose all data that was not synced
+	dropAll := d.random.IntN(4) == 0 // in a quarter of the cases all files lose all data that was not synced
 	var names []string
 	for name := range d.cached {
 		names = append(names, name)
--- a/internal/control/controlstate/sim_group_clients_test.go
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -18,7 +18,7 @@
 	name                    string
 	baseVersion, newVersion uint64
 	body                    string
-	ackedAt                 time.Duration // time of the first acknowledgement; 0: not acknowledged
+	ackedAt                 time.Duration // time at which the change was first acknowledged; 0: never
 	ackedBefore             int           // number of changes that had been acknowledged when this one was created
 	attempts                int
 	createdAt               time.Duration
@@ -83,7 +83,7 @@
 		return
 	}
 	if members, _, _ := node.shard.core.Members(); len(members) > 1 { // a group of one member may serve in isolation
-		s.violationf("%s %s that was sent at %v, although the node has been isolated since %v", node.addr, action, sentAt, s.isolatedSince)
+		s.violationf("node %s %s that was sent at %v, although the node has been isolated since %v", node.addr, action, sentAt, s.isolatedSince)
 	}
 }
 
@@ -148,8 +148,8 @@
 		return
 	}
 	switch s.random.IntN(12) {
-	case 0: // two operators make different changes to the same version
-		s.count("two changes of one version")
+	case 0: // two operators make different changes on the same base version
+		s.count("two changes on one base version")
 		s.sendChange(s.newChange(next), s.randomNode(), onAcked)
 		s.sendChange(s.newChange(next), node, onAcked)
 	case 1: // two operators send the same change
@@ -263,7 +263,7 @@
 			s.count("acknowledged again")
 		}
 		s.knownVersion = max(s.knownVersion, response.Version)
-		s.tracef("%s acknowledged change %s, based on version %d, as version %d", leader.addr, change.name, change.baseVersion, change.newVersion)
+		s.tracef("node %s acknowledged change %s, based on version %d, as version %d", leader.addr, change.name, change.baseVersion, change.newVersion)
 		s.fireEvent(eventAcknowledged)
 	case wire.OutcomeConflict:
 		attempt.Complete(history.Rejected, response.Version)
--- a/internal/control/controlstate/sim_group_edge_test.go
+++ b/internal/control/controlstate/sim_group_edge_test.go
@@ -12,9 +12,9 @@
 // responses a proof of freshness: up to which time no version newer than its own can have been acknowledged.
 type simAgent struct {
 	version, membersIndex, membersTerm uint64
-	restoreGeneration                  uint64 // newest restore generation that it knows of
+	restoreGeneration                  uint64 // newest restore generation that the agent knows of
 	members                            []string
-	confirmedAt                        map[string]time.Duration // by member: when the newest poll was sent that the member answered with NothingNewer
+	confirmedAt                        map[string]time.Duration // by member: start of the newest poll to which the member responded that it holds nothing newer
 	notPolled                          map[string]bool          // addresses that are no longer polled (defectLostPoll)
 }
 
@@ -104,7 +104,7 @@
 			}
 		}
 		if freshUntil > 0 {
-			s.count("proof")
+			s.count("freshness proof")
 		}
 		return false
 	}
--- a/internal/control/controlstate/sim_group_faults_test.go
+++ b/internal/control/controlstate/sim_group_faults_test.go
@@ -26,11 +26,11 @@
 
 // simFaults are drawn with probabilities proportional to their weights.
 var simFaults = []simFault{
-	{"kill", 2, func(s *groupSim, node *groupSimNode) {
-		s.tracef("kill %s", node.addr)
+	{"node killed", 2, func(s *groupSim, node *groupSimNode) {
+		s.tracef("kill node %s", node.addr)
 		s.kill(node, s.random.IntN(2) == 0, s.randomDuration(4*time.Second))
 	}},
-	{"all killed", 1, func(s *groupSim, _ *groupSimNode) { s.killAll(s.random.IntN(2) == 0) }},
+	{"all nodes killed", 1, func(s *groupSim, _ *groupSimNode) { s.killAll(s.random.IntN(2) == 0) }},
 	{"power loss of the leader, then of all", 1, func(s *groupSim, _ *groupSimNode) { s.powerOffInTurn() }},
 	{"leader killed after a change", 1, func(s *groupSim, node *groupSimNode) {
 		s.eventHooks[eventChangeSent] = func() { s.schedule(s.eventDelay(), func() { s.killLeader(s.random.IntN(2) == 0) }) }
@@ -41,10 +41,10 @@
 	{"leader isolated during a change", 2, func(s *groupSim, _ *groupSimNode) {
 		s.eventHooks[eventChangeSent] = func() { s.schedule(s.randomDuration(20*time.Millisecond), s.isolateLeader) }
 	}},
-	{"freeze", 1, func(s *groupSim, node *groupSimNode) { s.freeze(node, s.randomDuration(5*time.Second)) }},
+	{"node frozen", 1, func(s *groupSim, node *groupSimNode) { s.freeze(node, s.randomDuration(5*time.Second)) }},
 	{"one-way partition", 1, func(s *groupSim, node *groupSimNode) { s.partitioned[node.addr+">"+s.randomNode().addr] = true }},
-	{"isolated", 1, func(s *groupSim, node *groupSimNode) {
-		s.tracef("isolate %s", node.addr)
+	{"node isolated", 1, func(s *groupSim, node *groupSimNode) {
+		s.tracef("isolate node %s", node.addr)
 		s.isolate(s.partitioned, node, true, true)
 	}},
 	{"split in halves for seconds", 1, func(s *groupSim, _ *groupSimNode) {
@@ -53,17 +53,17 @@
 	}},
 	{"several nodes fail at once", 1, func(s *groupSim, _ *groupSimNode) { s.failSeveral() }},
 	{"partitions end", 2, func(s *groupSim, _ *groupSimNode) { clear(s.partitioned) }},
-	{"crash in a write", 1, func(s *groupSim, node *groupSimNode) { node.disk.writesUntilCrash = s.random.IntN(6) }},
+	{"scheduled crash during a write", 1, func(s *groupSim, node *groupSimNode) { node.disk.writesUntilCrash = s.random.IntN(6) }},
 	{"full disk", 1, func(s *groupSim, node *groupSimNode) {
-		s.tracef("disk of %s toggles between full and writable", node.addr)
+		s.tracef("disk of node %s becomes full, or writable again if it was full", node.addr)
 		node.disk.failWrites = !node.disk.failWrites
 	}},
 	{"slow disk", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 30 * time.Millisecond }},
 	{"stalled disk", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 2 * time.Second }},
-	{"disks are healthy", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 0 }},
+	{"slow or stalled disk recovers", 1, func(s *groupSim, node *groupSimNode) { node.maxWriteTime = 0 }},
 	{"leadership transfer", 1, func(s *groupSim, _ *groupSimNode) { s.transferLeadership() }},
 	{"SIGTERM", 1, func(s *groupSim, node *groupSimNode) { s.terminate(node, s.randomDuration(time.Second)) }},
-	{"messages lost", 1, func(s *groupSim, _ *groupSimNode) { s.lossRate = [...]float64{0, 0.05, 0.3}[s.random.IntN(3)] }},
+	{"message loss rate changed", 1, func(s *groupSim, _ *groupSimNode) { s.lossRate = [...]float64{0, 0.05, 0.3}[s.random.IntN(3)] }},
 }
 
 // injectFault injects a fault that is drawn by weight into a random node.
@@ -111,7 +111,7 @@
 // freeze stops the process of a node for a duration.
 func (s *groupSim) freeze(node *groupSimNode, duration time.Duration) {
 	node.frozenUntil = s.now + duration
-	s.tracef("freeze %s until %v", node.addr, node.frozenUntil)
+	s.tracef("freeze node %s until %v", node.addr, node.frozenUntil)
 }
 
 // isolate partitions the links of a node from all other nodes (inbound), to them (outbound), or both.
@@ -186,7 +186,7 @@
 func (s *groupSim) terminate(node *groupSimNode, downtime time.Duration) {
 	const timeout = 3 * time.Second
 	end, generation := s.now+timeout, node.generation
-	s.tracef("SIGTERM to %s", node.addr)
+	s.tracef("send SIGTERM to node %s", node.addr)
 	var leave func()
 	leave = func() {
 		if node.shard == nil || node.generation != generation {
--- a/internal/control/controlstate/sim_group_main_test.go
+++ b/internal/control/controlstate/sim_group_main_test.go
@@ -11,21 +11,21 @@
 )
 
 // groupSimEvents are the events that each have to occur at least minOccurrences times if 30 or more seeds are run.
-var groupSimEvents = []string{"acked", "acknowledged again", "read", "proof", "granted", "rejected", "retried late", "retried very late", "response lost", "change forwarded to the leader",
-	"two changes of one version", "same change sent twice at once", "burst of changes",
-	"kill", "all killed", "power loss of the leader, then of all", "leader killed after a change", "power loss of all after a change",
-	"leader isolated during a change", "freeze", "one-way partition", "isolated", "full disk", "slow disk", "stalled disk", "leadership transferred", "SIGTERM", "crashed during a write",
+var groupSimEvents = []string{"acked", "acknowledged again", "read", "freshness proof", "lease granted", "rejected", "retried late", "retried very late", "response lost", "change forwarded to the leader",
+	"two changes on one base version", "same change sent twice at once", "burst of changes",
+	"node killed", "all nodes killed", "power loss of the leader, then of all", "leader killed after a change", "power loss of all after a change",
+	"leader isolated during a change", "node frozen", "one-way partition", "node isolated", "full disk", "slow disk", "stalled disk", "leadership transferred", "SIGTERM", "crashed during a write",
 	"split in halves for seconds", "several nodes fail at once", "split in halves",
 	"isolated for 20 s", "long isolation: leader", "long isolation: both directions", "long isolation: inbound", "long isolation: outbound",
 	"only seed is the isolated node", "isolated node restarted", "other nodes restarted",
 	"sustained write load", "planned replacements", "SIGTERM in turn", "changes of a write load", "restart during a write load", "disk lost after a write load",
-	"lost disk", "corrupted disk", "replaced", "joined", "members changed", "loss triggered by a change",
-	"second fault: change sent", "second fault: acknowledged", "second fault: joined", "second fault: members changed", "second fault: new leader"}
+	"lost disk", "corrupted disk", "node replaced", "member joined", "membership changed", "loss triggered by a change",
+	"second fault: change sent", "second fault: change acknowledged", "second fault: member joined", "second fault: membership changed", "second fault: new leader"}
 
-// minOccurrences is the number of times that each of groupSimEvents and restoreEvents has to occur.
+// minOccurrences is the minimum number of times that each of groupSimEvents and restoreEvents has to occur.
 const minOccurrences = 3
 
-// wideSearchSeeds is the number of seeds at and above which runGroupSims does not stop at the first failure.
+// wideSearchSeeds is the number of seeds from which on a search continues after a failure, to find all failures.
 const wideSearchSeeds = 200
 
 // runGroupSims runs simulations in parallel. It returns the failed ones, sorted by seed, and the total occurrences of each
@@ -68,7 +68,7 @@
 	from, count := seedsFromEnv(t, groupSeeds)
 	failed, sum := runGroupSims(from, count, "")
 	for index, s := range failed {
-		t.Errorf("seed %d: %s", s.seed, s.violations[0])
+		t.Errorf("simulation with seed %d failed: %s", s.seed, s.violations[0])
 		if index == 0 {
 			t.Errorf("replay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimGroup\n%s", s.seed, s.lastTrace(40))
 		}
--- a/internal/control/controlstate/sim_group_phases_test.go
+++ b/internal/control/controlstate/sim_group_phases_test.go
@@ -37,7 +37,7 @@
 	}
 	direction := s.random.IntN(4)
 	s.isolate(s.phasePartitions, node, direction != 1, direction != 2)
-	s.tracef("isolate %s for %v, inbound %v, outbound %v", node.addr, longIsolationTime, direction != 1, direction != 2)
+	s.tracef("isolate node %s for %v, inbound %v, outbound %v", node.addr, longIsolationTime, direction != 1, direction != 2)
 	switch direction {
 	case 1:
 		s.count("long isolation: outbound")
@@ -55,7 +55,7 @@
 	const bound = 8 * time.Second
 	if noOtherFaults && (served == 0 || served > bound) {
 		s.traceStatus()
-		s.violationf("while %s was isolated, the other nodes acknowledged changes after %v (0: never), want within %v", node.addr, served, bound)
+		s.violationf("while node %s was isolated, the other nodes acknowledged changes after %v (0: never), want within %v", node.addr, served, bound)
 	}
 	clear(s.phasePartitions)
 	s.isolatedAddr = ""
@@ -132,7 +132,7 @@
 
 // simWriteLoad is a sequence of changes, each of which is sent as soon as the previous one is acknowledged.
 type simWriteLoad struct {
-	remaining int // changes yet to be sent
+	remaining int // number of new changes that are still to be created
 	change    *groupChange
 	sentAt    time.Duration
 }
@@ -201,7 +201,7 @@
 		}
 		s.start(s.addNode())
 		s.count("planned replacement")
-		s.tracef("planned replacement of %s", old.addr)
+		s.tracef("start planned replacement of node %s", old.addr)
 		s.runFor(s.randomDuration(2 * time.Second))
 		s.secondFaultInjected = false
 		if s.random.IntN(2) == 0 {
@@ -307,14 +307,14 @@
 		}
 		s.kill(node, true, s.randomDuration(3*time.Second))
 		if replace {
-			s.tracef("%s is permanently lost, power loss of all nodes %v", node.addr, losePower)
-			s.count("replaced")
+			s.tracef("node %s is permanently lost, power loss of all nodes %v", node.addr, losePower)
+			s.count("node replaced")
 			node.isRemoved = true
 			s.updateSeeds()
 			s.start(s.addNode())
 			continue
 		}
-		s.tracef("disk of %s is lost, power loss of all nodes %v", node.addr, losePower)
+		s.tracef("disk of node %s is lost, power loss of all nodes %v", node.addr, losePower)
 		s.count("lost disk")
 		s.loseDisk(node)
 	}
--- a/internal/control/controlstate/sim_group_restore_test.go
+++ b/internal/control/controlstate/sim_group_restore_test.go
@@ -14,7 +14,7 @@
 const restoreSimRounds = 2
 
 // restoreEvents are the events that each have to occur at least minOccurrences times in a test run.
-var restoreEvents = []string{"group restored", "disk lost with the majority", "old member returns", "acked", "proof", "granted"}
+var restoreEvents = []string{"group restored", "disk lost with the majority", "member returns with its old disk", "acked", "freshness proof", "lease granted"}
 
 // isSuperseded reports whether the member of a node belongs to a group that a restore has superseded. The clients of the
 // simulation do not use such a node, since the changes that it acknowledges are lost.
@@ -52,13 +52,13 @@
 	s.start(survivor)
 	name := newIncarnation(survivor.addr, s.random.Uint64)
 	if err := survivor.shard.restore(name, s.random.Uint64()); err != nil {
-		s.violationf("restoring the group from %s: %v", survivor.addr, err)
+		s.violationf("restoring the group from node %s: %v", survivor.addr, err)
 		return
 	}
 	s.runStep(survivor)
 	s.restoreGeneration = survivor.shard.core.Status().RestoreGeneration
 	s.count("group restored")
-	s.tracef("group restored from %s as member %s, restore generation %d", survivor.addr, name, s.restoreGeneration)
+	s.tracef("group restored from node %s as member %s, restore generation %d", survivor.addr, name, s.restoreGeneration)
 	document := survivor.shard.state.documents[routingconfig.DocumentKey]
 	s.inProgress, s.changes, s.reads, s.history, s.knownVersion = nil, nil, nil, history.History{}, document.GetVersion()
 	restored := history.Change{Key: routingconfig.DocumentKey, Token: "restored", NewVersion: document.GetVersion(), Body: string(document.GetBody())}
@@ -79,7 +79,7 @@
 		}
 		delay := s.randomDuration(8 * time.Second)
 		if slices.Contains(returning, node) {
-			s.count("old member returns")
+			s.count("member returns with its old disk")
 			delay = s.randomDuration(20 * time.Second)
 		}
 		node.restartAt = s.now + delay
@@ -136,7 +136,7 @@
 			sum[event] += occurrences
 		}
 		if len(s.violations) > 0 {
-			t.Fatalf("seed %d: %s\n%s", seed, s.violations[0], s.lastTrace(40))
+			t.Fatalf("simulation with seed %d failed: %s\n%s", seed, s.violations[0], s.lastTrace(40))
 		}
 	}
 	t.Logf("%d seeds; occurrences of each event: %v", count, sum)
--- a/internal/control/controlstate/sim_group_run_test.go
+++ b/internal/control/controlstate/sim_group_run_test.go
@@ -64,7 +64,7 @@
 		s.violationf("%s: the agent has version %d, want at least %d, and a freshness proof up to %v, want later than %v", when, s.agent.version, version, s.agent.freshUntil(), startedAt)
 		return
 	}
-	s.violationf("%s: the group was not complete within %v", when, repairedWithin)
+	s.violationf("%s: the group did not have all of its voters healthy and caught up within %v", when, repairedWithin)
 }
 
 // runFor simulates clients for a duration without new faults, or until a check fails.
@@ -93,7 +93,7 @@
 		s.awaitRecovery("after random faults")
 		phase := groupSimPhases[s.random.IntN(len(groupSimPhases))]
 		s.count(phase.name)
-		s.tracef("phase: %s", phase.name)
+		s.tracef("start phase %q", phase.name)
 		phase.run(s)
 		s.awaitRecovery("after " + phase.name)
 		s.runFor(4 * time.Second) // a node that has returned still counts as lost until it has caught up
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -56,7 +56,7 @@
 // runStep processes the output of a node's member. If a simulated crash occurs during a write, it kills the process.
 func (s *groupSim) runStep(node *groupSimNode) {
 	if node.shard.handleReady(); node.disk.crashed {
-		s.tracef("%s crashes during a write", node.addr)
+		s.tracef("node %s crashes during a disk write", node.addr)
 		s.count("crashed during a write")
 		s.kill(node, s.random.IntN(2) == 0, s.randomBelow(2*time.Second))
 	}
@@ -129,7 +129,7 @@
 // tick starts a node whose restart is due, and runs the periodic work of a running node when its next tick is due.
 func (s *groupSim) tick(node *groupSimNode) {
 	if node.shard == nil && !node.isRemoved && node.restartAt > 0 && s.now >= node.restartAt {
-		s.tracef("start %s", node.addr)
+		s.tracef("start node %s", node.addr)
 		s.start(node)
 	}
 	if !s.isRunning(node) || s.now < node.nextTick {
@@ -145,7 +145,7 @@
 	changed := !slices.Equal(before, after)
 	if changed {
 		s.count(eventMembersChanged)
-		s.tracef("%s changes its newest membership from %v to %v", node.addr, before, after)
+		s.tracef("node %s changes its newest membership from %v to %v", node.addr, before, after)
 	}
 	s.runStep(node)
 	if changed {
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -33,9 +33,9 @@
 // Events at which a simulation can inject a fault (groupSim.eventHooks).
 const (
 	eventChangeSent     = "change sent"
-	eventAcknowledged   = "acknowledged"
-	eventJoined         = "joined"
-	eventMembersChanged = "members changed"
+	eventAcknowledged   = "change acknowledged"
+	eventJoined         = "member joined"
+	eventMembersChanged = "membership changed"
 	eventNewLeader      = "new leader"
 )
 
@@ -43,17 +43,17 @@
 type groupSimNode struct {
 	addr         string
 	disk         *cacheDisk
-	shard        *shard // nil while the node is down
+	shard        *shard // member of the group; nil while the node is down
 	clock        *clock.Manual
 	clockRate    float64
 	frozenUntil  time.Duration
 	nextTick     time.Duration
 	nextJoin     time.Duration   // earliest time of the next join request or attempt to replace the disk
 	knownAddrs   map[string]bool // addresses of other control nodes that the node knows: the seeds and those learned by gossip
-	generation   int             // incremented at each start and kill, so that it identifies the process
+	generation   int             // incremented at each start and kill, to recognize a later process
 	maxWriteTime time.Duration   // maximum duration of a simulated disk write
 	isRemoved    bool            // the node was removed permanently
-	restartAt    time.Duration   // when the process starts again; 0: not scheduled
+	restartAt    time.Duration   // time at which the process is started again; 0: not scheduled
 }
 
 // simTimer is an action to be run at a time.
@@ -64,15 +64,15 @@
 
 // groupSim is a simulation of a site with one group.
 type groupSim struct {
-	simBase                             // its partitioned links stay partitioned until a fault or awaitRecovery clears them
-	bootstrapping       bool            // the site starts for the first time
+	simBase                             // the links in partitioned stay partitioned until a fault or awaitRecovery clears them
+	bootstrapping       bool            // set during the first start of the site
 	restoreGeneration   uint64          // restore generation of the group that clients use
 	toleratedLosses     int             // number of simultaneous node losses that the site has to tolerate
 	seeds               []string        // addresses of the seeds in the settings
-	nodes               []*groupSimNode // including nodes that are down or permanently removed
+	nodes               []*groupSimNode // all nodes, including those that are down or permanently removed
 	phasePartitions     map[string]bool // links that drop all messages for the duration of a phase, by "from>to"
 	isolatedAddr        string          // node whose links are partitioned in both directions by isolationPhase; empty: none
-	isolatedSince       time.Duration   // when that isolation started
+	isolatedSince       time.Duration   // start of the isolation of isolatedAddr
 	slowAddr            string          // node whose incoming messages are delayed; empty: none
 	compactAt           int             // log size in bytes above which logs are compacted; 0: defaultCompactThreshold
 	trailingLogBytes    int             // compacted entries that members keep for lagging peers, in bytes
@@ -81,13 +81,13 @@
 	knownVersion        uint64          // newest version that operators know of
 	ackedCount          int             // number of acknowledged changes
 	timers              []simTimer
-	eventHooks          map[string]func() // by event: called once at the next occurrence
+	eventHooks          map[string]func() // functions to be called at the next occurrence of an event
 	secondFaultInjected bool              // a fault armed by armSecondFault has been injected
 	lastLeader          string            // address and term of the newest leader
 	writeLoad           *simWriteLoad     // sustained write load in progress; nil: none
 	history             history.History   // operations of operators and readers
 	agent               *simAgent
-	fencingTokenHolders map[uint64]string // by fencing token: the client that was granted the lease
+	fencingTokenHolders map[uint64]string // clients that were granted the lease, by fencing token
 	// With allFaults, operators make concurrent changes, send bursts and retry very old changes, nodes exchange
 	// addresses by gossip and forward changes to the leader, and transports report messages that they could not
 	// deliver. Without it, each change is sent separately.
@@ -157,7 +157,7 @@
 		return
 	}
 	s.count("corrupted disk")
-	s.tracef("disk of %s is corrupted", node.addr)
+	s.tracef("disk of node %s is corrupted", node.addr)
 	node.disk.corrupt()
 }
 
@@ -210,7 +210,7 @@
 	if losePower {
 		node.disk.losePower()
 	}
-	if s.random.IntN(2) == 0 { // the messages in flight from the node are lost
+	if s.random.IntN(2) == 0 { // messages that the node has just sent are lost with it
 		s.inFlight = slices.DeleteFunc(s.inFlight, func(sent simMessage) bool { return controlclient.MemberAddr(sent.message.From) == node.addr })
 	}
 }
@@ -285,10 +285,10 @@
 func (s *groupSim) traceStatus() {
 	for _, node := range s.nodes {
 		if node.shard == nil {
-			s.tracef("status of %s: down, permanently removed %v", node.addr, node.isRemoved)
+			s.tracef("status of node %s: down, permanently removed %v", node.addr, node.isRemoved)
 			continue
 		}
 		members, term, index := node.shard.core.Members()
-		s.tracef("status of %s: member %s, failure %v, core %+v, voters %v as of term %d index %d, peers %+v", node.addr, node.shard.core.Self(), node.shard.failure, node.shard.core.Status(), members, term, index, node.shard.core.PeerStatuses())
+		s.tracef("status of node %s: member %s, failure %v, core %+v, voters %v as of term %d index %d, peers %+v", node.addr, node.shard.core.Self(), node.shard.failure, node.shard.core.Status(), members, term, index, node.shard.core.PeerStatuses())
 	}
 }
--- a/internal/control/controlstate/sim_network_test.go
+++ b/internal/control/controlstate/sim_network_test.go
@@ -15,7 +15,7 @@
 // partition has ended, neither end gets an error, and a connection can be established only if both directions are open.
 type simNetwork struct {
 	mu          sync.Mutex
-	partitioned map[[2]string]bool // by sender and receiver
+	partitioned map[[2]string]bool // partitioned links, by sender and receiver
 	changed     chan struct{}      // closed whenever a partition begins or ends
 }
 
@@ -87,10 +87,10 @@
 	network        *simNetwork
 	from, to       string
 	mu             sync.Mutex
-	buffer         []byte // sent and not yet read
+	buffer         []byte // data that was sent and not yet read
 	senderClosed   bool
 	receiverClosed bool
-	deadline       time.Time     // read deadline
+	deadline       time.Time     // deadline for reads
 	changed        chan struct{} // closed at the next change of the fields above
 }
 
--- a/internal/control/controlstate/sim_shard_faults_test.go
+++ b/internal/control/controlstate/sim_shard_faults_test.go
@@ -10,10 +10,10 @@
 
 // shardSimFaults are drawn with equal probability.
 var shardSimFaults = []shardSimFault{
-	{"kill", (*shardSim).kill},
-	{"freeze", (*shardSim).freeze},
+	{"node killed", (*shardSim).kill},
+	{"node frozen", (*shardSim).freeze},
 	{"one-way partition", func(s *shardSim, _ *shardSimNode) { s.partitionLink() }},
-	{"isolation", (*shardSim).isolate},
+	{"node isolated", (*shardSim).isolate},
 	{"partitions end", func(s *shardSim, _ *shardSimNode) { clear(s.partitioned) }},
 	{"partitions end", func(s *shardSim, _ *shardSimNode) { clear(s.partitioned) }},
 	{"power loss", func(s *shardSim, node *shardSimNode) {
@@ -24,7 +24,7 @@
 		node.disk.failWrites = true
 		s.count("full disk")
 	}},
-	{"message loss", func(s *shardSim, _ *shardSimNode) { s.lossRate = [...]float64{0, 0, 0.05, 0.3}[s.random.IntN(4)] }},
+	{"message loss rate changed", func(s *shardSim, _ *shardSimNode) { s.lossRate = [...]float64{0, 0, 0.05, 0.3}[s.random.IntN(4)] }},
 	{"leadership transfer", (*shardSim).transferLeadership},
 	{"slow disk", func(s *shardSim, node *shardSimNode) {
 		node.maxWriteTime = [...]time.Duration{0, 30 * time.Millisecond, 2 * time.Second}[s.random.IntN(3)]
@@ -42,23 +42,23 @@
 
 // kill ends the process of a node.
 func (s *shardSim) kill(node *shardSimNode) {
-	s.tracef("kill %s", node.name)
-	s.count("kill")
+	s.tracef("kill node %s", node.name)
+	s.count("node killed")
 	node.shard, node.generation = nil, node.generation+1
 }
 
 // freeze stops the process of a node for up to 4 s.
 func (s *shardSim) freeze(node *shardSimNode) {
 	node.frozenUntil = s.now + s.randomBelow(4*time.Second)
-	s.tracef("freeze %s", node.name)
-	s.count("freeze")
+	s.tracef("freeze node %s", node.name)
+	s.count("node frozen")
 }
 
 // partitionLink partitions a random link in one direction.
 func (s *shardSim) partitionLink() {
 	from, to := s.nodes[s.random.IntN(len(s.nodes))], s.nodes[s.random.IntN(len(s.nodes))]
 	s.partitioned[from.name+">"+to.name] = true
-	s.count("partition")
+	s.count("link partitioned")
 }
 
 // isolate partitions a node from both other nodes, in both directions.
@@ -68,8 +68,8 @@
 			s.partitioned[peer.name+">"+node.name], s.partitioned[node.name+">"+peer.name] = true, true
 		}
 	}
-	s.tracef("isolate %s", node.name)
-	s.count("partition")
+	s.tracef("isolate node %s", node.name)
+	s.count("link partitioned")
 }
 
 // transferLeadership makes a node transfer the leadership if it is the leader.
@@ -102,9 +102,9 @@
 		if s.othersCaughtUp(node) && s.random.IntN(3) == 0 && s.counts["acked"] > 0 && !all {
 			node.disk = newSimDisk()
 			s.count("lost disk")
-			s.tracef("disk of %s is lost", node.name)
+			s.tracef("disk of node %s is lost", node.name)
 		}
-		s.tracef("start %s", node.name)
+		s.tracef("start node %s", node.name)
 		s.start(node)
 	}
 }
--- a/internal/control/controlstate/sim_shard_main_test.go
+++ b/internal/control/controlstate/sim_shard_main_test.go
@@ -43,7 +43,7 @@
 		s := newShardSim(seed, "")
 		s.run(3)
 		if len(s.violations) > 0 {
-			t.Fatalf("seed %d: %s\nreplay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimShard\n%s", seed,
+			t.Fatalf("simulation with seed %d failed: %s\nreplay: SIM_SEED=%d SIM_SEEDS=1 go test ./internal/control/controlstate -run TestSimShard\n%s", seed,
 				s.violations[0], seed, s.lastTrace(25))
 		}
 		for event, occurrences := range s.counts {
@@ -51,7 +51,7 @@
 		}
 	}
 	t.Logf("%d seeds; occurrences of each event: %v", count, sum)
-	for _, event := range []string{"acked", "read", "proof", "granted", "claimed", "kill", "freeze", "partition", "scheduled power loss", "full disk", "lost disk", "kill after ack", "leadership transfer", "slow disk changed", "replaced"} {
+	for _, event := range []string{"acked", "read", "freshness proof", "lease granted", "claim granted", "node killed", "node frozen", "link partitioned", "scheduled power loss", "full disk", "lost disk", "leader killed after an acknowledgement", "leadership transfer", "slow disk changed", "node replaced"} {
 		if count >= 60 && sum[event] < 20 {
 			t.Errorf("event %q occurred %d times in %d seeds, want at least 20: the simulator does not cover it", event, sum[event], count)
 		}
--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -50,7 +50,7 @@
 		if response.Outcome == wire.OutcomeDone {
 			write.version, write.ackedAt = response.Version, s.now
 			s.count("acked")
-			s.tracef("%s acknowledged write %s as version %d", node.name, write.body, write.version)
+			s.tracef("node %s acknowledged write %s as version %d", node.name, write.body, write.version)
 			if s.random.IntN(12) == 0 {
 				s.killAfterAck(node)
 			}
@@ -60,10 +60,10 @@
 
 // killAfterAck kills the leader right after it has acknowledged a change, and then polls the other members.
 func (s *shardSim) killAfterAck(node *shardSimNode) {
-	s.tracef("kill %s right after its acknowledgement", node.name)
-	s.count("kill after ack")
+	s.tracef("kill node %s right after it acknowledged a write", node.name)
+	s.count("leader killed after an acknowledgement")
 	node.shard, node.generation = nil, node.generation+1
-	if s.random.IntN(2) == 0 { // the messages in flight from the node are lost
+	if s.random.IntN(2) == 0 { // messages that the node has just sent are lost with it
 		s.inFlight = slices.DeleteFunc(s.inFlight, func(sent simMessage) bool { return sent.message.From == node.name })
 	}
 	for _, peer := range s.nodes {
@@ -93,7 +93,7 @@
 				s.reads = append(s.reads, read)
 				s.count("read")
 				if s.debug {
-					s.tracef("read of version %d by %s, started at %v", read.version, node.name, startedAt)
+					s.tracef("read of version %d from node %s, started at %v", read.version, node.name, startedAt)
 				}
 				s.checkRead(read)
 			}
@@ -136,7 +136,7 @@
 			}
 		}
 		if freshUntil > 0 {
-			s.count("proof")
+			s.count("freshness proof")
 		}
 		return false
 	})
@@ -152,7 +152,7 @@
 		if response.Outcome != wire.OutcomeDone || !response.Granted[0] {
 			return
 		}
-		s.count("claimed")
+		s.count("claim granted")
 		if earlier := s.grantedNonces[id[0]]; earlier != 0 && earlier != nonce {
 			s.violationf("claim of request ID %d was granted to two callers, with nonces %d and %d", id[0], earlier, nonce)
 		}
@@ -220,7 +220,7 @@
 
 // shardSimActions are what clients and faults may do in each step.
 var shardSimActions = []struct {
-	odds int // one in this many steps runs the action, on average
+	odds int // average number of steps between two runs of the action
 	do   func(*shardSim)
 }{
 	{20, (*shardSim).write},
--- a/internal/control/controlstate/sim_shard_test.go
+++ b/internal/control/controlstate/sim_shard_test.go
@@ -23,12 +23,12 @@
 type shardSimNode struct {
 	name         string
 	disk         *simDisk
-	shard        *shard // nil while the node is down
+	shard        *shard // member of the shard; nil while the node is down
 	clock        *clock.Manual
 	clockRate    float64
 	frozenUntil  time.Duration
 	nextTick     time.Duration
-	generation   int           // incremented at each start and kill, so that it identifies the process
+	generation   int           // incremented at each start and kill, to recognize a later process
 	incarnation  string        // incarnation of the disk
 	maxWriteTime time.Duration // maximum duration of a simulated disk write
 	isBlank      bool          // the member lost its disk and has not caught up yet
@@ -38,7 +38,7 @@
 type simWrite struct {
 	version         uint64
 	body            string
-	sentAt, ackedAt time.Duration // ackedAt is zero until the change is acknowledged
+	sentAt, ackedAt time.Duration // time of sending, and of the acknowledgement; ackedAt is 0 until then
 }
 
 // shardSim is a simulation of a shard with three fixed members.
@@ -48,8 +48,8 @@
 	staleNodes    []*shardSimNode // nodes that were replaced by another node of the same name but still run for a while
 	writes        []*simWrite
 	watcher       *simWatcher
-	grantedNonces map[byte]uint64   // by first byte of the request ID: nonce of the caller whose claim was granted
-	lastStatus    map[string]string // by node; used only with debug
+	grantedNonces map[byte]uint64   // nonces of granted claims, by first byte of the request ID
+	lastStatus    map[string]string // newest traced status by node; used only if debug is set
 	debug         bool              // trace each read and each change of a member's status
 }
 
@@ -105,10 +105,10 @@
 		}
 	})
 	if err != nil {
-		s.violationf("opening the shard on the disk of %s: %v", node.name, err)
+		s.violationf("opening the shard on the disk of node %s: %v", node.name, err)
 		return
 	}
-	replica.compactThreshold = 2000 // in bytes; low, so that snapshots are written often
+	replica.compactThreshold = 2000 // a small log size in bytes, so that snapshots are written often
 	node.shard, node.nextTick = replica, s.now
 	node.isBlank = replica.core.Status().Blank
 	if s.defect == defectBlankVote && replica.core.Status().Blank {
@@ -204,7 +204,7 @@
 			continue
 		}
 		status := node.shard.core.Status()
-		text := fmt.Sprintf("status of %s: is leader %v, term %d, leader %q, applied index %d, last index %d, blank %v", node.name, status.IsLeader, status.Term, status.Leader, status.Applied, status.LastIndex, status.Blank)
+		text := fmt.Sprintf("status of node %s: is leader %v, term %d, leader %q, applied index %d, last index %d, blank %v", node.name, status.IsLeader, status.Term, status.Leader, status.Applied, status.LastIndex, status.Blank)
 		if s.lastStatus[node.name] != text {
 			s.lastStatus[node.name] = text
 			s.tracef("%s", text)
@@ -238,8 +238,8 @@
 	stale.shard.send = s.send
 	s.staleNodes = append(s.staleNodes, &stale)
 	node.disk = newSimDisk()
-	s.tracef("replace %s by a node with an empty disk; the replaced node is frozen for a while and then resumes", node.name)
-	s.counts["replaced"]++
+	s.tracef("replace node %s by a node with an empty disk; the replaced node is frozen for a while and then resumes", node.name)
+	s.counts["node replaced"]++
 	s.start(node)
 }
 
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -69,7 +69,7 @@
 	count := permutations(len(commands), func(order []int) {
 		stateMachine := newState()
 		stateMachine.apply(putCommand("k", "first", "t0", 0), 0)
-		acknowledged, bodies := map[int]uint64{}, map[uint64]string{} // version by operator, body by version
+		acknowledged, bodies := map[int]uint64{}, map[uint64]string{} // acknowledged versions by operator, and bodies by version
 		for _, index := range order {
 			response := stateMachine.apply(proto.Clone(commands[index]).(*wire.Command), 0)
 			if response.Outcome != wire.OutcomeDone {
@@ -140,11 +140,11 @@
 	}
 	saved, err := stateMachine.save()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("saving the state: %v", err)
 	}
 	restarted := newState()
 	if err := restarted.load(saved, 100*time.Second); err != nil {
-		t.Fatal(err)
+		t.Fatalf("loading the saved state: %v", err)
 	}
 	if restarted.isGrantable(grantTo("b"), 108*time.Second) {
 		t.Error("lease of 8 s that was loaded from a snapshot at 100 s is grantable to another holder at 108 s, want only after a further safety margin")
@@ -212,7 +212,7 @@
 	}
 	restored := newState()
 	if err := restored.load(saved, 0); err != nil {
-		t.Fatal(err)
+		t.Fatalf("loading the state with a full claim table: %v", err)
 	}
 	checkReleases(t, stateMachine)
 	checkReleases(t, restored)
