--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -164,8 +164,8 @@
 	return holder
 }
 
-// markRequestPending prevents further requests of a client until it gives up on the current one.
-func (s *simBase) markRequestPending(holder *simLeaseHolder) {
+// setRequestPending prevents further requests of a client until it gives up on the current one.
+func (s *simBase) setRequestPending(holder *simLeaseHolder) {
 	const giveUpAfter = simLeaseTTL / 2
 	startedAt := s.now
 	holder.requestPending = true
--- a/internal/control/controlstate/sim_group_clients_test.go
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -288,7 +288,7 @@
 		return
 	}
 	requestedAt, sentAt, grant := holder.clock.Now(), s.now, holder.lease.GrantRequest()
-	s.markRequestPending(holder)
+	s.setRequestPending(holder)
 	node := s.leader()
 	if node == nil || s.random.IntN(8) == 0 {
 		node = s.randomNode()
--- a/internal/control/controlstate/sim_group_faults_test.go
+++ b/internal/control/controlstate/sim_group_faults_test.go
@@ -82,19 +82,19 @@
 	}
 }
 
-// killAll kills all nodes. With losePower their disks also lose data that was not synced.
-func (s *groupSim) killAll(losePower bool) {
-	s.tracef("kill all nodes, power loss %v", losePower)
+// killAll kills all nodes. With powerLoss their disks also lose data that was not synced.
+func (s *groupSim) killAll(powerLoss bool) {
+	s.tracef("kill all nodes, power loss %v", powerLoss)
 	for _, node := range s.nodes {
-		s.kill(node, losePower, s.randomDuration(time.Second))
+		s.kill(node, powerLoss, s.randomDuration(time.Second))
 	}
 }
 
 // killLeader kills the leader, if there is one.
-func (s *groupSim) killLeader(losePower bool) {
+func (s *groupSim) killLeader(powerLoss bool) {
 	if leader := s.leader(); leader != nil {
-		s.tracef("kill leader %s, power loss %v", leader.addr, losePower)
-		s.kill(leader, losePower, s.randomDuration(3*time.Second))
+		s.tracef("kill leader %s, power loss %v", leader.addr, powerLoss)
+		s.kill(leader, powerLoss, s.randomDuration(3*time.Second))
 	}
 }
 
--- a/internal/control/controlstate/sim_group_phases_test.go
+++ b/internal/control/controlstate/sim_group_phases_test.go
@@ -14,8 +14,8 @@
 // groupSimPhases are longer scenarios, one of which is drawn for each round of a simulation. The first is listed twice, so
 // that each of its variants occurs often enough.
 var groupSimPhases = []struct {
-	name string
-	run  func(*groupSim)
+	name     string
+	simulate func(*groupSim)
 }{
 	{"isolated for 20 s", (*groupSim).isolationPhase},
 	{"isolated for 20 s", (*groupSim).isolationPhase},
@@ -141,21 +141,21 @@
 // acknowledged.
 func (s *groupSim) continueWriteLoad() {
 	const retryAfter, maxAttempts = 300 * time.Millisecond, 3
-	load := s.writeLoad
+	writeLoad := s.writeLoad
 	leader := s.leader()
-	if load == nil || leader == nil || load.change != nil && load.change.ackedAt == 0 && s.now-load.sentAt < retryAfter {
+	if writeLoad == nil || leader == nil || writeLoad.change != nil && writeLoad.change.ackedAt == 0 && s.now-writeLoad.sentAt < retryAfter {
 		return
 	}
-	if load.change == nil || load.change.ackedAt > 0 || load.change.baseVersion != s.knownVersion || load.change.attempts > maxAttempts {
-		if load.remaining--; load.remaining < 0 {
+	if writeLoad.change == nil || writeLoad.change.ackedAt > 0 || writeLoad.change.baseVersion != s.knownVersion || writeLoad.change.attempts > maxAttempts {
+		if writeLoad.remaining--; writeLoad.remaining < 0 {
 			s.writeLoad = nil
 			return
 		}
 		s.count("changes of a write load")
-		load.change = s.newChange(s.knownVersion + 1)
+		writeLoad.change = s.newChange(s.knownVersion + 1)
 	}
-	load.sentAt = s.now
-	s.sendChange(load.change, leader, nil)
+	writeLoad.sentAt = s.now
+	s.sendChange(writeLoad.change, leader, nil)
 }
 
 // writeLoadPhase makes more than a hundred changes, during which logs are compacted and nodes restart. Then a node loses
@@ -287,7 +287,7 @@
 // destroyDisks destroys the disks of as many nodes as the site tolerates to lose. The preferred node is the first of them
 // in half of the cases. In half of the cases all nodes lose power at the same time.
 func (s *groupSim) destroyDisks(preferred *groupSimNode) {
-	losePower, replace := s.random.IntN(2) == 0, s.random.IntN(3) == 0
+	powerLoss, replace := s.random.IntN(2) == 0, s.random.IntN(3) == 0
 	var victims []*groupSimNode
 	for range s.toleratedLosses {
 		node := s.randomNode()
@@ -297,7 +297,7 @@
 		victims = append(victims, node)
 	}
 	for _, node := range s.nodes {
-		if losePower {
+		if powerLoss {
 			s.kill(node, true, s.randomDuration(time.Second))
 		}
 	}
@@ -307,14 +307,14 @@
 		}
 		s.kill(node, true, s.randomDuration(3*time.Second))
 		if replace {
-			s.tracef("node %s is permanently lost, power loss of all nodes %v", node.addr, losePower)
+			s.tracef("node %s is permanently lost, power loss of all nodes %v", node.addr, powerLoss)
 			s.count("node replaced")
 			node.isRemoved = true
 			s.updateSeeds()
 			s.start(s.addNode())
 			continue
 		}
-		s.tracef("disk of node %s is lost, power loss of all nodes %v", node.addr, losePower)
+		s.tracef("disk of node %s is lost, power loss of all nodes %v", node.addr, powerLoss)
 		s.count("lost disk")
 		s.loseDisk(node)
 	}
--- a/internal/control/controlstate/sim_group_restore_test.go
+++ b/internal/control/controlstate/sim_group_restore_test.go
@@ -27,12 +27,12 @@
 func (s *groupSim) loseMajority() (survivor *groupSimNode, returning []*groupSimNode) {
 	members, _, _ := s.leader().shard.core.Members()
 	survivor = s.node(controlclient.MemberAddr(members[s.random.IntN(len(members))]))
-	losePower := s.random.IntN(2) == 0
+	powerLoss := s.random.IntN(2) == 0
 	for _, node := range s.nodes {
 		if node.isRemoved {
 			continue
 		}
-		s.kill(node, losePower, time.Hour)
+		s.kill(node, powerLoss, time.Hour)
 		isMember := slices.ContainsFunc(members, func(member string) bool { return controlclient.MemberAddr(member) == node.addr })
 		switch {
 		case node == survivor:
--- a/internal/control/controlstate/sim_group_run_test.go
+++ b/internal/control/controlstate/sim_group_run_test.go
@@ -94,7 +94,7 @@
 		phase := groupSimPhases[s.random.IntN(len(groupSimPhases))]
 		s.count(phase.name)
 		s.tracef("start phase %q", phase.name)
-		phase.run(s)
+		phase.simulate(s)
 		s.awaitRecovery("after " + phase.name)
 		s.runFor(4 * time.Second) // a node that has returned still counts as lost until it has caught up
 		for range 2 {
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -99,13 +99,13 @@
 func newGroupSim(seed uint64, defect string) *groupSim {
 	s := emptyGroupSim(newSimBase(seed, 2, defect))
 	s.allFaults = true
-	nodes := 3 + s.random.IntN(3)
+	nodeCount := 3 + s.random.IntN(3)
 	if s.random.IntN(4) == 0 {
-		s.toleratedLosses, nodes = 2, 6+s.random.IntN(2)
+		s.toleratedLosses, nodeCount = 2, 6+s.random.IntN(2)
 	}
 	s.compactAt = [...]int{1500, defaultCompactThreshold, 20000}[s.random.IntN(3)]
 	s.trailingLogBytes = [...]int{0, 2000}[s.random.IntN(2)]
-	s.startSite(nodes)
+	s.startSite(nodeCount)
 	s.addLeaseHolders(2)
 	return s
 }
@@ -117,8 +117,8 @@
 }
 
 // startSite starts a site of control nodes for the first time. The first three nodes are the seeds.
-func (s *groupSim) startSite(nodes int) {
-	for i := range nodes {
+func (s *groupSim) startSite(nodeCount int) {
+	for i := range nodeCount {
 		node := s.addNode()
 		if i < 3 {
 			s.seeds = append(s.seeds, node.addr)
@@ -200,14 +200,14 @@
 	node.shard, node.nextTick, node.restartAt = replica, s.now, 0
 }
 
-// kill ends the process of a node, to be started again after the downtime. With losePower the disk also loses data that
+// kill ends the process of a node, to be started again after the downtime. With powerLoss the disk also loses data that
 // was not synced.
-func (s *groupSim) kill(node *groupSimNode, losePower bool, downtime time.Duration) {
+func (s *groupSim) kill(node *groupSimNode, powerLoss bool, downtime time.Duration) {
 	if node.isRemoved {
 		return
 	}
 	node.shard, node.generation, node.restartAt = nil, node.generation+1, s.now+downtime
-	if losePower {
+	if powerLoss {
 		node.disk.losePower()
 	}
 	if s.random.IntN(2) == 0 { // messages that the node has just sent are lost with it
--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -167,7 +167,7 @@
 		return
 	}
 	requestedAt, grant := holder.clock.Now(), holder.lease.GrantRequest()
-	s.markRequestPending(holder)
+	s.setRequestPending(holder)
 	s.sendCommand(s.randomNode(), grantRequest(grant), func(response *wire.ChangeResponse) {
 		s.handleLeaseResponse(holder, requestedAt, response)
 	})
