--- a/internal/control/controlstate/sim_group_clients_test.go
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -118,15 +118,16 @@
 	return change
 }
 
-// earlierChange draws one of the changes created so far, either of the last few or of all. It returns nil if there is none.
+// earlierChange draws one of the changes created so far, either from the most recent ones or from all. It returns nil if
+// there is none.
 func (s *groupSim) earlierChange() *groupChange {
-	const few = 8
+	const recentChanges = 8
 	count := len(s.changes)
 	if count == 0 {
 		return nil
 	}
 	if !s.allFaults || s.random.IntN(2) == 0 {
-		return s.changes[max(0, count-1-s.random.IntN(few))]
+		return s.changes[max(0, count-1-s.random.IntN(recentChanges))]
 	}
 	return s.changes[s.random.IntN(count)]
 }
@@ -166,9 +167,9 @@
 
 // sendBurst sends eight changes at the same time, mostly to nodes that are not the leader.
 func (s *groupSim) sendBurst(onAcked func(*groupSimNode)) {
-	const burst = 8
+	const burstSize = 8
 	s.count("burst of changes")
-	for i := range uint64(burst) {
+	for i := range uint64(burstSize) {
 		node := s.randomNode()
 		if node == s.leader() {
 			node = s.randomNode()
