--- a/internal/control/controlclient/addresses.go
+++ b/internal/control/controlclient/addresses.go
@@ -9,27 +9,30 @@
 	"pebbleloom/internal/control/clustermembership"
 )
 
-// maxUnresponsive is the maximum number of unresponsive addresses that are tracked.
+// maxUnresponsive is the maximum number of unresponsive addresses that a client tracks. When it is reached, the
+// client forgets all of them.
 const maxUnresponsive = 256
 
-// groupAddresses tracks the addresses of a Raft group whose membership is stored in its replicated log.
+// groupAddresses tracks the addresses at which a client may reach the members of the Raft group that replicates the
+// control state. The group's membership is stored in its replicated log and may change.
 type groupAddresses struct {
-	seeds   atomic.Pointer[[]string]
-	members atomic.Pointer[[]string] // member addresses in the newest membership known to this process
-	leader  atomic.Pointer[string]   // address of the last known leader
-	self    atomic.Pointer[string]   // this process's own address, if it is a member
+	seeds   atomic.Pointer[[]string] // configured addresses at which to look for group members
+	members atomic.Pointer[[]string] // addresses of the members in the newest group membership that this process knows
+	leader  atomic.Pointer[string]   // address of the last known leader of the group
+	self    atomic.Pointer[string]   // this process's own address if it is a member of the group, else nil
 
 	mu           sync.Mutex
-	unresponsive map[string]bool // addresses that did not respond to the last attempt
+	unresponsive map[string]bool // addresses that did not respond to the last request sent to them
 }
 
-// SetSeeds replaces the seed addresses, which are used to find members.
+// SetSeeds replaces the seed addresses, at which the client looks for group members.
 //
 // Example: c.SetSeeds(process.Settings.Seeds)
 func (c *Client) SetSeeds(seeds []string) { c.group.seeds.Store(&seeds) }
 
-// SetMembers sets the newest group membership known to this process, and its own member name. After a
-// restart, a member knows its peers from its log even if the seeds cannot be reached.
+// SetMembers sets the member name of this process and the names of all members in the newest group membership that
+// it knows. A restarted member takes them from its replicated log, so that it finds its peers even if no seed can be
+// reached.
 //
 // Example: c.SetMembers("10.1.0.17:7360/8f3a", []string{"10.1.0.17:7360/8f3a", "10.2.0.24:7360/0"})
 func (c *Client) SetMembers(self string, members []string) {
@@ -50,8 +53,8 @@
 	return addr
 }
 
-// HintLeader records the member name of the current or last known leader, whose address is then tried first.
-// An empty name has no effect.
+// HintLeader records the member name of the current or last known leader, so that the next request is sent to its
+// address first. An empty name has no effect.
 //
 // Example: c.HintLeader("10.1.0.17:7360/8f3a")
 func (c *Client) HintLeader(leader string) {
@@ -62,8 +65,8 @@
 
 // Addresses returns the addresses at which to try group members, in this order: the last known leader, the
 // control nodes of the cluster membership, the members of the newest known group membership, and the seeds.
-// Addresses that did not respond to the last attempt come after all others. This process's own address comes
-// last, since a member checks its own state without a network call before it uses the client.
+// Addresses that did not respond to the last request sent to them come after all others. This process's own address
+// comes last, since a member checks its own state without a network call before it uses the client.
 //
 // Example: for _, addr := range c.Addresses() { ask(addr) }
 func (c *Client) Addresses() []string {
@@ -90,7 +93,8 @@
 	return c.group.unresponsiveLast(addresses)
 }
 
-// unresponsiveLast moves unresponsive addresses behind the others, and this process's own address to the end.
+// unresponsiveLast moves the addresses that did not respond to the last request sent to them behind the others,
+// and this process's own address to the end.
 func (g *groupAddresses) unresponsiveLast(addresses []string) []string {
 	others := slices.DeleteFunc(slices.Clone(addresses), g.isSelf)
 	self := slices.DeleteFunc(addresses, func(addr string) bool { return !g.isSelf(addr) })
@@ -98,8 +102,8 @@
 	return slices.Concat(responsive, unresponsive, self)
 }
 
-// SplitByResponsiveness separates the addresses that did not respond to the last attempt from the others. Both
-// results keep the given order.
+// SplitByResponsiveness separates the addresses for which isUnresponsive returns true from the others. Both results
+// keep the given order.
 //
 // Example: responsive, unresponsive := controlclient.SplitByResponsiveness(addresses, c.IsUnresponsive)
 func SplitByResponsiveness(addresses []string, isUnresponsive func(addr string) bool) (responsive, unresponsive []string) {
@@ -118,12 +122,12 @@
 	return self != nil && *self == addr
 }
 
-// RecordResponse records whether an address responded to a call that was not made through this client.
+// RecordResponse records whether an address responded to a call that the caller made without this client.
 //
 // Example: c.RecordResponse(addr, err == nil)
 func (c *Client) RecordResponse(addr string, responded bool) { c.group.record(addr, responded) }
 
-// IsUnresponsive reports whether an address did not respond to the last attempt.
+// IsUnresponsive reports whether an address did not respond to the last request that was sent to it.
 //
 // Example: if !c.IsUnresponsive(addr) { ask(addr) }
 func (c *Client) IsUnresponsive(addr string) bool { return c.group.isUnresponsive(addr) }
@@ -136,7 +140,7 @@
 		return
 	}
 	if len(g.unresponsive) >= maxUnresponsive {
-		clear(g.unresponsive) // only affects the order of attempts
+		clear(g.unresponsive) // bounds the memory; losing the entries only affects the order in which addresses are tried
 	}
 	g.unresponsive[addr] = true
 }
@@ -147,8 +151,9 @@
 	return g.unresponsive[addr]
 }
 
-// leaderUnreachable reports whether the leader is probably unreachable from this process: a majority of the
-// known members did not respond to the last attempt or, if no members are known, none of the addresses did.
+// leaderUnreachable reports whether the group's leader is probably unreachable from this process: a majority of the
+// known members did not respond to the last request sent to them or, if no members are known, none of the given
+// addresses did.
 func (g *groupAddresses) leaderUnreachable(addresses []string) bool {
 	needed := len(addresses)
 	if members := g.members.Load(); members != nil && len(*members) > 0 {
--- a/internal/control/controlclient/group.go
+++ b/internal/control/controlclient/group.go
@@ -10,17 +10,17 @@
 	"pebbleloom/internal/settings"
 )
 
-// Timing of attempts at the members of a group.
+// Timing of the attempts of a client made by NewGroupClient.
 const (
-	attemptRatio         = 1.0 / 24  // timeout of an attempt with an empty body, as a fraction of Bounds.Heal
-	attemptDoublingBytes = 256 << 10 // body size in bytes that doubles this timeout
-	retryPauseRatio      = 1.0 / 80  // pause after all addresses have been tried, as a fraction of Bounds.Heal
-	shortAttemptRatio    = 1.0 / 4   // timeout of a short attempt, as a fraction of the usual one; see tryEachAddress
+	attemptRatio         = 1.0 / 24  // timeout of an attempt whose request has no body, as a fraction of the recovery time bound Bounds.Heal
+	attemptDoublingBytes = 256 << 10 // size in bytes of a request body with which an attempt gets twice the timeout of one without a body
+	retryPauseRatio      = 1.0 / 80  // pause after all addresses were tried without success, as a fraction of the recovery time bound Bounds.Heal
+	shortAttemptRatio    = 1.0 / 4   // timeout of an attempt at an unresponsive address while the leader seems unreachable, as a fraction of the usual timeout
 )
 
-// NewGroupClient returns a client for a site whose settings do not list the control nodes, and where a single
-// group replicates the control state. It finds the group's members through the seeds, the cluster membership
-// and the responses of members.
+// NewGroupClient returns a client for a site where a single Raft group replicates the whole control state and where
+// the settings do not list the control nodes. The client finds the group's members through the seeds, the cluster
+// membership and the responses of members.
 //
 // Example: c := controlclient.NewGroupClient(process.Settings.Seeds, member.View, clients, process.Settings.Bounds)
 func NewGroupClient(seeds []string, view func() clustermembership.View, clients *daemon.Clients, bounds settings.Bounds) *Client {
@@ -29,9 +29,9 @@
 	return c
 }
 
-// tryGroup tries all addresses repeatedly until an attempt is done or the time limit is reached. It stops
-// early if the leader is unreachable from this process after all addresses have been tried, so that the
-// caller has time left to send its request elsewhere.
+// tryGroup tries all addresses repeatedly until an attempt returns done or the time limit is reached, and reports
+// whether one returned done. It stops early if the group's leader still seems unreachable from this process after all
+// addresses have been tried, so that the caller has time left to send its request elsewhere.
 func (c *Client) tryGroup(caller context.Context, bodySize int, attempt attemptFunc) bool {
 	ctx, cancel := context.WithTimeout(caller, c.bounds.Heal(requestRatio))
 	defer cancel()
@@ -47,10 +47,10 @@
 	return false
 }
 
-// tryEachAddress tries each address once. When a member names another one as the leader, that one is tried
-// next, unless it is unresponsive. If a majority is unresponsive, it is probably this process that is
-// partitioned, and attempts at unresponsive addresses have a short timeout. No attempt is started after ctx
-// is done; the attempts themselves are bounded by the context caller.
+// tryEachAddress tries each address once, until an attempt returns done. When a member names another one as the
+// leader, that one is tried next, unless it is unresponsive. If a majority of the members is unresponsive, this process
+// is probably the one that is cut off from the network, and attempts at unresponsive addresses have a shorter timeout.
+// No attempt is started after ctx is done; attempts that have started are bounded by the context caller.
 func (c *Client) tryEachAddress(ctx, caller context.Context, bodySize int, attempt attemptFunc) bool {
 	pending, tried := c.Addresses(), map[string]bool{}
 	timeout, unreachable := c.attemptTimeout(bodySize), c.group.leaderUnreachable(pending)
@@ -67,7 +67,7 @@
 		}
 		minWait := time.NewTimer(shortTimeout)
 		result := c.tryOne(caller, limit, addr, attempt)
-		if result.responded || stopExpired(minWait) { // a refused connection or a canceled call does not show that the address is unresponsive
+		if result.responded || stopExpired(minWait) { // an attempt that fails within shortTimeout, as on a refused connection, does not show that the address is unresponsive
 			c.group.record(addr, result.responded)
 		}
 		if result.done {
@@ -79,7 +79,7 @@
 		}
 		c.HintLeader(result.leader)
 		if leader := MemberAddr(result.leader); c.group.isUnresponsive(leader) {
-			pending = append(pending, leader) // try the others first: the named leader may be partitioned
+			pending = append(pending, leader) // try the other members first: the one named as the leader may be cut off from the network
 		} else {
 			pending = append([]string{leader}, pending...)
 		}
@@ -98,7 +98,7 @@
 	}
 }
 
-// attemptTimeout returns the timeout of an attempt with a body of the given size in bytes.
+// attemptTimeout returns the timeout of an attempt whose request body has the given size in bytes.
 func (c *Client) attemptTimeout(bodySize int) time.Duration {
 	return c.bounds.Heal(attemptRatio * (1 + float64(bodySize)/attemptDoublingBytes))
 }
--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -12,13 +12,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// groupMember is a simulated control node of a group. All members share the name of the leader that they know.
+// groupMember is a simulated control node of a Raft group. A change to a member that is not the leader is rejected with
+// the name of the leader, which all members share.
 type groupMember struct {
 	wire.ControlNode
 	mu       *sync.Mutex // guards the fields of all members
-	leader   *string
-	isLeader bool
-	attempts int
+	leader   *string     // member name of the leader that all members name; empty if they name none
+	isLeader bool        // whether this member applies changes
+	attempts int         // number of changes that this member received
 }
 
 func (m *groupMember) Change(context.Context, *wire.ChangeRequest) (*wire.ChangeResponse, error) {
@@ -31,8 +32,8 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeNotLeader, Leader: *m.leader}, nil
 }
 
-// The leader of a group is found through the cluster membership, the seeds and members that name it, and is then
-// tried first. If no member is the leader, an error is returned before the caller's deadline.
+// A group client finds the leader through the cluster membership, the seeds and the members that name it, and sends
+// later changes to it first. If no member is the leader, Change returns an error of kind errs.OutcomeUnknown.
 func TestGroupLeaderIsFound(t *testing.T) {
 	var addr [4]string
 	var members [4]*groupMember
@@ -42,14 +43,14 @@
 		members[i] = &groupMember{mu: &mu, leader: &leader}
 		addr[i] = serve(t, members[i])
 	}
-	bounds := boundsWithHeal(60000) // long enough that attempts do not time out on a busy machine
+	bounds := boundsWithHeal(60000) // Bounds.Heal of 1 min, so that attempts do not time out on a busy machine
 	view := clustermembership.View{Nodes: []*wire.Node{{Name: "archive/core-2", Role: "archive", Addr: addr[1]}, {Name: "runner/e", Role: "runner", Addr: addr[0]}}}
 	client := NewGroupClient([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, newTestClients(bounds), bounds)
 	for _, test := range []struct {
 		name     string
-		leader   int
-		named    string // leader named by the other members
-		attempts [4]int
+		leader   int    // index of the member that is the leader
+		named    string // member name of the leader according to the other members; empty if they name none
+		attempts [4]int // wanted number of changes received by each member
 	}{
 		{"leader is named by a node of the cluster membership", 3, addr[3] + "/8f3a", [4]int{0, 1, 0, 1}},
 		{"known leader is tried first", 3, "", [4]int{0, 0, 0, 1}},
@@ -66,7 +67,7 @@
 		mu.Lock()
 		attempts := [4]int{members[0].attempts, members[1].attempts, members[2].attempts, members[3].attempts}
 		if err != nil || response.Version != 7 || attempts != test.attempts {
-			t.Errorf("%s: response %v, error %v; attempts by member %v, want %v", test.name, response, err, attempts, test.attempts)
+			t.Errorf("change when %q: response %v, error %v, want document version 7; changes received by members 0 to 3: %v, want %v", test.name, response, err, attempts, test.attempts)
 		}
 		mu.Unlock()
 	}
@@ -78,13 +79,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	if _, err := client.Change(ctx, newPut("t", false)); err == nil || errs.KindOf(err) != errs.OutcomeUnknown {
-		t.Errorf("change without a leader: error %v, want kind errs.OutcomeUnknown", err)
+		t.Errorf("change while no member is the leader: error %v, want one of kind errs.OutcomeUnknown", err)
 	}
 	client.SetSeeds([]string{"127.0.0.1:2"})
 	if got, want := fmt.Sprint(client.Addresses()), fmt.Sprint([]string{addr[2], addr[1], "127.0.0.1:2"}); got != want {
-		t.Errorf("Addresses after SetSeeds: %s, want %s", got, want)
+		t.Errorf("addresses to try after a change of the seeds: %s, want the last leader, the node of the cluster membership and the new seed: %s", got, want)
 	}
 	if MemberAddr("10.1.0.17:7360/8f3a") != "10.1.0.17:7360" || MemberAddr("10.1.0.17:7360") != "10.1.0.17:7360" {
-		t.Error("MemberAddr did not return the address part of a member name")
+		t.Errorf("MemberAddr of a name with an incarnation: %s, without: %s; want 10.1.0.17:7360 for both", MemberAddr("10.1.0.17:7360/8f3a"), MemberAddr("10.1.0.17:7360"))
 	}
 }
--- a/internal/control/controlclient/lease.go
+++ b/internal/control/controlclient/lease.go
@@ -10,20 +10,20 @@
 	"pebbleloom/internal/wire"
 )
 
-// Lease tracks a lease on the side of its holder. The duration is counted from the time of the request, on a
-// clock that continues while the machine is suspended. The lease therefore ends at the holder before it can
-// be granted to another one.
+// Lease tracks a lease on the side of its holder. The duration of the lease is counted from the time when the holder
+// sent the request, on a clock that continues while the machine is suspended. The holder therefore regards the lease
+// as expired before the control state can grant it to another process.
 type Lease struct {
-	Name   string
-	Shard  uint32 // shard that grants the lease
-	Holder string
-	TTL    time.Duration
+	Name   string        // name of the lease in the control state
+	Shard  uint32        // shard of the control state that grants the lease
+	Holder string        // name under which this process requests the lease
+	TTL    time.Duration // duration for which the lease is granted
 
 	mu           sync.Mutex
 	clock        clock.Clock
 	client       *Client
-	fencingToken uint64 // highest known fencing token
-	deadline     time.Duration
+	fencingToken uint64        // highest fencing token of the lease that this process knows
+	deadline     time.Duration // clock time from which this process no longer holds the lease
 }
 
 // NewLease returns a lease that has not been requested yet.
@@ -33,8 +33,8 @@
 	return &Lease{Name: name, Shard: shard, Holder: holder, TTL: ttl, clock: clk, client: client}
 }
 
-// FencingToken returns the fencing token of the lease, and whether the lease is currently held. It should be
-// called immediately before each action that requires the lease.
+// FencingToken returns the highest known fencing token of the lease, and whether this process holds the lease now. It
+// should be called immediately before each action that requires the lease.
 //
 // Example: if token, held := l.FencingToken(); held { order(token) }
 func (l *Lease) FencingToken() (token uint64, held bool) {
@@ -43,7 +43,7 @@
 	return l.fencingToken, l.clock.Now() < l.deadline
 }
 
-// GrantRequest returns the command that requests or renews the lease.
+// GrantRequest returns the command with which this process requests or renews the lease.
 //
 // Example: grant := l.GrantRequest()
 func (l *Lease) GrantRequest() *wire.Grant {
@@ -52,9 +52,9 @@
 	return &wire.Grant{Lease: l.Name, Holder: l.Holder, TtlNs: uint64(l.TTL), IfFence: l.fencingToken}
 }
 
-// HandleResponse applies the response to a grant request that was sent at requestedAt. Since fencing tokens
-// never decrease, a conflict with a lower token than the highest known one comes from a member that was
-// partitioned, and is ignored.
+// HandleResponse applies the response to a request for the lease that was sent at requestedAt. Fencing tokens never
+// decrease. A conflict response with a lower token than the highest known one therefore comes from a
+// control node that was cut off from the others, and is ignored.
 //
 // Example: l.HandleResponse(requestedAt, response)
 func (l *Lease) HandleResponse(requestedAt time.Duration, response *wire.ChangeResponse) {
@@ -69,14 +69,15 @@
 		if response.Fence < l.fencingToken {
 			return
 		}
-		// Another process holds the lease, or an earlier response was lost. The next request uses this token.
+		// Another process holds the lease, or the response to an earlier request of this process was lost. The
+		// next request carries the fencing token of this response.
 		if l.fencingToken = response.Fence; response.Leader != l.Holder {
 			l.deadline = 0
 		}
 	}
 }
 
-// Renew requests the lease or, if it is held, extends it.
+// Renew requests the lease or, if this process already holds it, extends it.
 //
 // Example: err := l.Renew(ctx)
 func (l *Lease) Renew(ctx context.Context) error {
--- a/internal/control/controlclient/sent_once_test.go
+++ b/internal/control/controlclient/sent_once_test.go
@@ -17,36 +17,36 @@
 	"pebbleloom/internal/wire"
 )
 
-// connectionFault is a fault that a faultyMember injects into a connection.
+// connectionFault is a fault that a faultyMember injects into the connection from its client.
 type connectionFault string
 
 const (
-	faultTimeout connectionFault = "timeout"
-	faultReset   connectionFault = "reset"
-	faultClose   connectionFault = "close"
-	faultGarbage connectionFault = "garbage"
+	faultTimeout connectionFault = "timeout" // the member no longer responds on the connection
+	faultReset   connectionFault = "reset"   // the member resets the connection
+	faultClose   connectionFault = "close"   // the member closes the connection
+	faultGarbage connectionFault = "garbage" // the member sends bytes that are not HTTP
 )
 
-// faultStep is the step of a change at which a faultyMember injects its fault.
+// faultStep is the point in the handling of a request at which a faultyMember injects its fault.
 type faultStep string
 
 const (
-	stepConnected     faultStep = "connected"
-	stepBodyRead      faultStep = "body read"
-	stepHalfResponded faultStep = "half responded"
-	stepResponded     faultStep = "responded" // the fault is injected after the response to the first change
+	stepConnected     faultStep = "connected"      // the first byte of the second change has arrived
+	stepBodyRead      faultStep = "body read"      // the second change has been read completely
+	stepHalfResponded faultStep = "half responded" // half of the response to the second change has been sent
+	stepResponded     faultStep = "responded"      // the response to the first change has been sent
 )
 
-// faultyMember is a control node with a real TCP listener. It responds to each change, counts the changes that it
-// has read completely, and injects one fault at one step of the second change.
+// faultyMember is a simulated control node with a real TCP listener. It responds to each change, counts the changes
+// that it has read completely, and injects one fault into one connection.
 type faultyMember struct {
-	addr  string
-	step  faultStep
-	fault connectionFault
-	once  sync.Once // limits the fault to one injection
+	addr  string          // address of the TCP listener
+	step  faultStep       // step of a request at which the fault is injected
+	fault connectionFault // fault to inject
+	once  sync.Once       // ensures that the fault is injected only once
 
 	mu       sync.Mutex
-	received map[string]int // number of changes received, by document key
+	received map[string]int // number of times that a change to a document was read completely, by document key
 }
 
 func newFaultyMember(t *testing.T, step faultStep, fault connectionFault) *faultyMember {
@@ -73,7 +73,7 @@
 	return m
 }
 
-// serve handles the requests of one connection until it is closed or the fault has been injected.
+// serve handles the requests on one connection until it is closed or the fault has been injected into it.
 func (m *faultyMember) serve(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for requests := 0; ; requests++ {
@@ -96,14 +96,14 @@
 	}
 }
 
-// isDue reports whether the fault should be injected at a step of a request, given the number of earlier requests
-// on the connection. With stepResponded, the fault follows the first response, so that the second change is sent
-// on the faulty connection.
+// isDue reports whether the fault should be injected at a step of a request, given the number of earlier requests on
+// the same connection. With stepResponded, the fault is injected after the response to the first request, so that the
+// client sends the second change on a connection that is already faulty.
 func (m *faultyMember) isDue(requestsBefore int, step faultStep) bool {
 	return step == m.step && (requestsBefore == 1 || requestsBefore == 0 && step == stepResponded)
 }
 
-// inject injects the fault. It returns false without an effect if the fault has been injected before.
+// inject injects the member's fault into a connection. If the fault has been injected before, it only returns false.
 func (m *faultyMember) inject(conn net.Conn) (injected bool) {
 	m.once.Do(func() { injected = true })
 	if !injected {
@@ -121,7 +121,7 @@
 	return true
 }
 
-// readChange reads one change and counts it. It returns false if the change is incomplete.
+// readChange reads one change from a connection and counts it. It returns false if the change is incomplete.
 func (m *faultyMember) readChange(reader *bufio.Reader) bool {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -138,15 +138,15 @@
 	return true
 }
 
-// changeResponse returns the HTTP response to an applied change.
+// changeResponse returns the raw HTTP response to a change that was applied.
 func changeResponse() string {
 	body, _ := proto.Marshal(&wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: 7})
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// A change without a token is sent at most once, regardless of the connection fault. In particular, net/http must
-// not resend it, as it does with some requests on reused connections. A change with a token may be sent again and
-// must succeed.
+// A change without an idempotency token is sent at most once, whatever fault the connection has. In particular,
+// net/http must not resend it, as it does with some requests on reused connections. A change with a token may be
+// sent again, and must succeed.
 func TestChangeWithoutTokenIsSentOnce(t *testing.T) {
 	for _, step := range []faultStep{stepConnected, stepBodyRead, stepHalfResponded, stepResponded} {
 		for _, fault := range []connectionFault{faultTimeout, faultReset, faultClose, faultGarbage} {
@@ -171,19 +171,19 @@
 		return err
 	}
 	if err := change("first", "first"); err != nil {
-		t.Fatal("first change, before the fault:", err)
+		t.Fatal("first change, before the connection fault, failed:", err)
 	}
 	err := change("second", token)
 	member.mu.Lock()
 	defer member.mu.Unlock()
 	received := member.received["second"]
 	if token == "" && received > 1 {
-		t.Errorf("change without a token was received %d times, want at most once", received)
+		t.Errorf("second change, without a token, was received by the control node %d times, want at most once", received)
 	}
 	if err == nil && received == 0 || err != nil && errs.KindOf(err) != errs.MayHaveExecuted {
-		t.Errorf("change with the fault: error %v, received %d times; want an error of kind errs.MayHaveExecuted, or none if received", err, received)
+		t.Errorf("second change, after or during a connection fault: error %v, received by the control node %d times; want an error of kind errs.MayHaveExecuted, or success after it was received", err, received)
 	}
 	if token != "" && err != nil {
-		t.Errorf("change with a token: error %v, want none", err)
+		t.Errorf("second change, with a token, after or during a connection fault: error %v, want none", err)
 	}
 }
