--- a/internal/control/controllers/controller.go
+++ b/internal/control/controllers/controller.go
@@ -3,16 +3,20 @@
 // only the one that holds the site's lease runs a session, in which the controllers reconcile the observed
 // state with the desired state.
 //
-// The fencing token of the lease increases each time the lease passes to another holder. Documents are
-// written and orders are sent with the token of the session, so that a previous holder cannot change
-// anything.
+// The target version of a model is the version of its weights that operators want workers to serve. An order
+// is a call that instructs one worker to load a version of a model's weights, and a report is a worker's
+// description of its state.
+//
+// The fencing token of the lease increases each time the lease passes to another holder. A session writes
+// documents and sends orders with its own fencing token, so that those of a previous holder are rejected.
 //
 // A worker is cordoned before it is ordered to load other weights: the stored placement lists it as
 // cordoned, and proxies send it no new requests while it is listed.
 //
-// Durations are fractions of the bounds in settings.Bounds: Leave, within which a worker that left stops
-// receiving requests; Weights, within which requests stop starting on older weights; and Heal, within which
-// service is restored after a fault.
+// Durations are fractions of the bounds in settings.Bounds: the worker removal bound Leave, within which a
+// worker that left stops receiving requests; the rollout time bound Weights, within which requests stop
+// starting on versions older than the target version; and the recovery time bound Heal, within which service
+// is restored after a fault.
 //
 // The package controls workers through a backend.Client. Package placementcontroller does the same for
 // workers that implement the product's own contract.
@@ -29,7 +33,8 @@
 	"pebbleloom/internal/fleet"
 )
 
-// Controller tries to acquire the site's lease and runs a session while it holds the lease.
+// Controller competes with those of other core machines for the site's lease and runs a session while it holds
+// the lease.
 type Controller struct {
 	process        *daemon.Process
 	store          stateStore
@@ -38,13 +43,13 @@
 	membership     func() clustermembership.View
 	hotEntries     HotEntriesFunc
 	lease          *siteLease
-	session        *session      // nil unless this machine holds the lease
-	sessionDone    chan struct{} // closed once the session's goroutines have ended
-	released       chan struct{} // closed once the lease has been released
+	session        *session      // session under this machine's newest fencing token; nil if none is running
+	sessionDone    chan struct{} // closed when all goroutines of session have ended
+	released       chan struct{} // closed when the attempt to release the lease on shutdown has ended
 }
 
-// Start starts a Controller, which tries to acquire the site's lease and runs the controllers while it
-// holds the lease.
+// Start starts a Controller in the background. On shutdown of the process, the Controller releases the site's
+// lease if it holds it.
 //
 // Example: controllers.Start(process, client, calls, agent.Snapshot, agent.Membership, hotEntries)
 func Start(process *daemon.Process, store stateStore, workerClient backend.Client, latestSnapshot func() *fleet.Snapshot,
@@ -78,7 +83,7 @@
 	})
 }
 
-// awaitRelease waits until the lease has been released or ctx is done.
+// awaitRelease waits until the site's lease has been released on shutdown or ctx is done.
 func (c *Controller) awaitRelease(ctx context.Context) {
 	select {
 	case <-c.released:
@@ -86,7 +91,7 @@
 	}
 }
 
-// HoldsLease reports whether this machine currently holds the site's lease.
+// HoldsLease reports whether this machine holds the site's lease now.
 //
 // Example: if controller.HoldsLease() { … }
 func (c *Controller) HoldsLease() bool {
@@ -111,18 +116,18 @@
 	}
 }
 
-// reconcileLease requests or renews the lease when that is due, starts a session when the lease is acquired,
-// and ends the session when the fencing token has changed.
+// reconcileLease requests or renews the site's lease if a request is due. It starts a session once the lease is
+// acquired, and ends the session of an older fencing token.
 func (c *Controller) reconcileLease() {
 	if !c.lease.renewalDue(c.process.Clock.Now(), c.membership()) {
 		return
 	}
 	if err := c.lease.renew(c.process.Ctx); err != nil && errs.KindOf(err) != errs.Conflict {
-		c.process.Log.Debug("lease request failed", "error", err)
+		c.process.Log.Debug("request for the site lease failed", "error", err)
 	}
 	token, ok := c.lease.currentToken()
 	if c.session != nil && token != c.session.fencingToken {
-		c.endSession() // another machine has held the lease in the meantime
+		c.endSession() // the fencing token differs, so another machine has held the lease since the session began
 	}
 	if ok && c.session == nil {
 		c.startSession(token)
@@ -144,8 +149,8 @@
 	}
 }
 
-// releaseLease waits for the orders in flight, then releases the lease, so that the next holder's orders
-// cannot overlap with this holder's.
+// releaseLease waits for the orders in flight and then releases the site's lease, so that the next holder's orders
+// cannot overlap with those of this one.
 func (c *Controller) releaseLease() {
 	defer close(c.released)
 	if c.session != nil {
--- a/internal/control/controllers/documents.go
+++ b/internal/control/controllers/documents.go
@@ -13,30 +13,31 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing of document reads and writes, as fractions of Bounds.Leave.
+// Timing of reads and writes of documents in the control state.
 const (
-	documentTimeoutRatio = 0.5      // timeout of one read or write
-	writeRetryRatio      = 1.0 / 40 // pause before a failed write is retried
+	documentTimeoutRatio = 0.5      // timeout for reading or writing documents once, as a fraction of the worker removal bound Bounds.Leave
+	writeRetryRatio      = 1.0 / 40 // pause before a failed document write is retried, as a fraction of the worker removal bound Bounds.Leave
 )
 
 // errNotHolder means that a document was not written because this process no longer holds the site's lease.
 var errNotHolder = errors.New("document not written: this process no longer holds the site lease")
 
-// storedDocument caches a document as it was last read or written.
+// storedDocument caches a document of the control state as this process last read or wrote it.
 type storedDocument struct {
 	version uint64
 	body    []byte
-	current bool // false after a failed write, which may have been applied nevertheless
+	current bool // whether version and body may be relied on; false after a failed write, which may have been applied
 }
 
-// documentWriter writes the documents of one session. Each write carries the session's fencing token and
-// the expected version of the document, so that the control state rejects writes of a previous lease holder.
+// documentWriter writes the documents of one session to the control state. Each write carries the session's
+// fencing token and the expected version of the document, so that the control state rejects writes of a previous
+// lease holder.
 type documentWriter struct {
 	store        stateStore
-	currentToken func() (uint64, bool)
-	holder       string
+	currentToken func() (uint64, bool) // function that returns the lease's fencing token, and whether the session holds the lease
+	holder       string                // name under which this process holds the lease
 	bounds       settings.Bounds
-	stored       map[string]*storedDocument // by key
+	stored       map[string]*storedDocument // cached documents by key
 }
 
 func newDocumentWriter(store stateStore, currentToken func() (uint64, bool), holder string, bounds settings.Bounds) *documentWriter {
@@ -60,8 +61,8 @@
 	return response.Documents, nil
 }
 
-// write replaces the body of a document, unless it is unchanged. It returns errNotHolder if the lease is no
-// longer held.
+// write replaces the body of the document with a key, unless the stored body is the same. It returns errNotHolder if
+// this process no longer holds the site's lease.
 func (w *documentWriter) write(ctx context.Context, key string, body []byte) error {
 	stored := w.stored[key]
 	if stored == nil || !stored.current {
@@ -82,22 +83,21 @@
 	put := &wire.Put{Key: key, Body: body, IfVersion: stored.version, Lease: LeaseName, Fence: token, Holder: w.holder}
 	response, err := w.store.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err != nil {
-		stored.current = false // the next attempt reads the document again
+		stored.current = false // makes the next call of write read the document first
 		return errs.Wrap(err, "write document "+key)
 	}
 	stored.version, stored.body = response.Version, body
 	return nil
 }
 
-// pendingWrites holds the document bodies to write, and the callbacks to run after each write, by document
-// key.
+// pendingWrites is a batch of documents to write to the control state.
 type pendingWrites struct {
-	bodies    map[string][]byte
-	onWritten map[string]func()
+	bodies    map[string][]byte // document bodies to write, by document key
+	onWritten map[string]func() // callbacks that are run when a document has been written, by document key
 }
 
-// sequence returns the keys in the order in which the documents are written. The worker list comes first,
-// so that a worker's new weights are published before its placement uncordons it.
+// sequence returns the document keys of the batch in the order in which the documents are written. The worker list
+// comes first, so that a worker's new weights are published before a placement uncordons that worker.
 func (p pendingWrites) sequence() []string {
 	keys := maputil.SortedKeys(p.bodies)
 	for i, key := range keys {
@@ -109,7 +109,7 @@
 	return keys
 }
 
-// run writes the pending documents each time it receives from wake, until ctx is done.
+// run writes the documents that pending returns each time it receives from wake, until ctx is done.
 func (w *documentWriter) run(ctx context.Context, wake <-chan struct{}, pending func() pendingWrites, logError func(error)) {
 	for {
 		select {
@@ -123,8 +123,8 @@
 	}
 }
 
-// writeAll writes a batch of documents and stops at the first failure. Documents that were not written stay
-// pending; the next batch contains them again, possibly with newer bodies.
+// writeAll writes a batch of documents and stops at the first failed write. The documents that were not written are
+// part of the next batch, possibly with newer bodies.
 func (w *documentWriter) writeAll(ctx context.Context, batch pendingWrites, logError func(error)) {
 	for _, key := range batch.sequence() {
 		if err := w.write(ctx, key, batch.bodies[key]); err != nil {
--- a/internal/control/controllers/listsync.go
+++ b/internal/control/controllers/listsync.go
@@ -12,17 +12,17 @@
 // Timing of reads of the platform's worker list. Shorter intervals detect changes sooner, but use more of the
 // platform's API rate limit.
 const (
-	// Fractions of Bounds.Leave.
-	listPollRatio    = 0.25 // interval between reads
-	listRetryRatio   = 0.1  // initial pause before a failed read is retried
-	pageTimeoutRatio = 1.0  // timeout for reading one page
+	listPollRatio    = 0.25 // usual interval between reads of the platform's worker list, as a fraction of the worker removal bound Bounds.Leave
+	listRetryRatio   = 0.1  // pause after a first failed read of the worker list, as a fraction of the worker removal bound Bounds.Leave
+	pageTimeoutRatio = 1.0  // timeout for reading one page of the worker list, as a fraction of the worker removal bound Bounds.Leave
 
-	maxPages         = 64   // maximum number of pages in one read
-	listRateRatio    = 0.25 // fraction of the platform's API rate limit that reads may use
-	maxRetryDoubling = 4    // maximum number of times the pause between failed reads doubles
+	maxPages         = 64   // maximum number of pages that the platform's worker list may have
+	listRateRatio    = 0.25 // fraction of the platform's API rate limit that reads of the worker list may use
+	maxRetryDoubling = 4    // maximum number of times that the pause after a failed read of the worker list is doubled
 )
 
-// followWorkerList periodically reads the platform's worker list and publishes changes.
+// followWorkerList periodically reads the platform's worker list and publishes its changes to the control state, until
+// the session ends.
 func (s *session) followWorkerList() {
 	bounds := s.process.Settings.Bounds
 	failures := 0
@@ -42,7 +42,7 @@
 			}
 		case s.ctx.Err() == nil:
 			if failures++; failures == 1 {
-				s.process.Log.Warn("reading the platform's worker list failed; keeping the stored list", "error", errs.Text(err))
+				s.process.Log.Warn("reading the platform's worker list failed; the published worker list stays unchanged", "error", errs.Text(err))
 			}
 			pause = min(pause*2, bounds.Leave(listRetryRatio)<<min(failures-1, maxRetryDoubling))
 		}
@@ -50,8 +50,8 @@
 	}
 }
 
-// minListInterval returns the shortest interval between reads of the given number of pages that stays within
-// the reads' share of the platform's API rate limit; zero if there is no limit.
+// minListInterval returns the shortest interval between reads of a worker list with the given number of pages that
+// keeps the calls within listRateRatio of the platform's API rate limit. It returns zero if there is no rate limit.
 func (s *session) minListInterval(pages int) time.Duration {
 	site := s.process.Settings.Site
 	if site == nil || site.WorkerListRate <= 0 {
@@ -60,8 +60,9 @@
 	return time.Duration(float64(pages) / (site.WorkerListRate * listRateRatio) * float64(time.Second))
 }
 
-// mergeWorkerList applies a worker list read from the platform, on the actor's goroutine. It reports whether
-// a removal is unconfirmed; if so, the list should be read again soon.
+// mergeWorkerList merges a worker list that was read from the platform into the published one, on the actor's
+// goroutine. It reports whether a worker was missing but must be missing once more before it is removed; the list
+// should then be read again soon.
 func (s *session) mergeWorkerList(list []fleet.Worker, complete bool) (unconfirmed bool) {
 	s.actor.Ask(func(*session) {
 		if s.workers.Merge(list, complete) || !s.listKnown {
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -12,29 +12,30 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing and limits of the placement controller.
+// Timing and limits of the controller that places prompt prefixes on workers.
 const (
-	placementPollRatio = 0.25 // interval between placement updates, as a fraction of Bounds.Heal
-	recomputeRatio     = 1.0  // interval between full computations, as a fraction of Bounds.Heal
+	placementPollRatio = 0.25 // interval between updates of each service's placement, as a fraction of the recovery time bound Bounds.Heal
+	recomputeRatio     = 1.0  // interval between full computations of a service's placement, as a fraction of the recovery time bound Bounds.Heal
 
-	hotEntriesLimit = 1000 // hot entries requested from one index node
+	hotEntriesLimit = 1000 // maximum number of prompt prefixes requested from each index node, the most frequently used first
 )
 
-// linkMeasurementSpan is the measurement period assumed for the configured bandwidth of the engine's link. It
-// is long enough to outweigh the initial bandwidth estimate.
+// linkMeasurementSpan is the measurement period under which the configured bandwidth of an engine's network link is
+// passed to the placement computation. It is long enough to outweigh the initial bandwidth estimate of that
+// computation.
 const linkMeasurementSpan = 1000 * time.Second
 
 // HotEntriesFunc queries the prompt index for the most frequently used prompt prefixes of a service.
 type HotEntriesFunc func(ctx context.Context, service string) []*wire.HotPrefix
 
-// servicePlacement is the state of one service's placement.
+// servicePlacement tracks the newest placement of one service and what of it has been written to the control state.
 type servicePlacement struct {
-	desired           *placement.Placement // newest placement, written or pending; nil if there is none
-	publishedCordoned []string             // workers cordoned by the last written placement
-	recomputedAt      time.Duration        // time of the last full computation; zero if there was none
+	desired           *placement.Placement // newest placement of the service, whether written or still to be written; nil before the first one
+	publishedCordoned []string             // IDs of the workers that the last written placement cordons
+	recomputedAt      time.Duration        // time of the last full computation of the placement in this session; zero before the first one
 }
 
-// runPlacement periodically updates the placement of every service.
+// runPlacement periodically updates the placement of every service until the session ends.
 func (s *session) runPlacement() {
 	for s.ctx.Err() == nil {
 		if snapshot := s.latestSnapshot(); snapshot != nil && snapshot.Plan != nil {
@@ -54,8 +55,8 @@
 	}
 }
 
-// updatePlacement computes one service's placement and queues it for writing if it has changed. It runs on
-// the actor's goroutine.
+// updatePlacement computes a service's placement from its most frequently used prompt prefixes, and queues the
+// placement for writing if it changed. It runs on the actor's goroutine.
 func (s *session) updatePlacement(service routingconfig.Service, hot []*wire.HotPrefix) {
 	if len(hot) == 0 {
 		return // no index node responded, or the service has had no requests yet
@@ -75,9 +76,9 @@
 	}
 }
 
-// nextPlacement returns the next placement and whether it differs enough from the current one to be published.
-// Between full computations, it only replaces the coldest replicated prefixes by ones that have become hot in a
-// burst of requests.
+// nextPlacement returns the next placement of a service, and whether it differs enough from the current one to be
+// published. Between full computations, it only replaces the least used replicated prefixes by ones that have become
+// hot in a burst of requests.
 func nextPlacement(p *servicePlacement, service routingconfig.Service, hot []*wire.HotPrefix, workers []string,
 	now, recomputeInterval time.Duration) (*placement.Placement, bool) {
 	old := p.desired
@@ -92,8 +93,8 @@
 	return next, placement.Changed(old, next)
 }
 
-// placementInputs returns the inputs of a placement computation. The fetch bandwidth is the link bandwidth of
-// the engine in the routing configuration, where it is set.
+// placementInputs returns the inputs for computing a service's placement. If the routing configuration sets the link
+// bandwidth of the service's engine, that is the bandwidth at which workers are assumed to fetch cached prefixes.
 func placementInputs(service routingconfig.Service, hot []*wire.HotPrefix, workers []string) placementcontroller.Inputs {
 	inputs := placementcontroller.Inputs{
 		Service:        service.Name,
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -16,7 +16,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// hotEntriesTimeoutRatio is the timeout of queries to the index nodes, as a fraction of Bounds.Heal.
+// hotEntriesTimeoutRatio is the common timeout of the concurrent queries to all index nodes, as a fraction of
+// the recovery time bound Bounds.Heal.
 const hotEntriesTimeoutRatio = 1.0 / 48
 
 // StartProcess starts the index and placement process of a core machine: a cluster member in the index
@@ -52,8 +53,9 @@
 	return nil
 }
 
-// queryIndexNodes returns a function that queries all serving index nodes concurrently, with a common
-// timeout. Each entry is held by two nodes; the higher hotness is used.
+// queryIndexNodes returns a function that queries all serving index nodes concurrently, with a common timeout, for the
+// most frequently used prompt prefixes of a service. Two index nodes hold each prefix; the higher of the hotness values
+// that they return is used.
 func queryIndexNodes(process *daemon.Process, membership func() clustermembership.View, client func(addr string) wire.PromptIndex) HotEntriesFunc {
 	return func(ctx context.Context, service string) []*wire.HotPrefix {
 		ctx, cancel := context.WithTimeout(ctx, process.Settings.Bounds.Heal(hotEntriesTimeoutRatio))
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"testing"
 	"testing/synctest"
 
@@ -14,25 +15,25 @@
 	"pebbleloom/internal/wire"
 )
 
-// indexNode is a simulated index node. A node without entries does not respond.
+// indexNode is a simulated node of the prompt index.
 type indexNode struct {
 	wire.PromptIndex
-	hot []*wire.HotPrefix
+	hot []*wire.HotPrefix // prefixes in the node's response; if nil, the node does not respond
 }
 
 func (n indexNode) Hottest(ctx context.Context, request *wire.HottestRequest) (*wire.HottestResponse, error) {
 	if n.hot == nil {
 		<-ctx.Done()
-		return nil, errors.New("index node: no response")
+		return nil, errors.New("simulated index node: no response")
 	}
 	if request.Service != "reading" {
-		return nil, errors.New("index node: request for an unexpected service")
+		return nil, fmt.Errorf("simulated index node: request for service %q, want reading", request.Service)
 	}
 	return &wire.HottestResponse{Prefixes: n.hot}, nil
 }
 
-// When two index nodes hold an entry, the higher hotness is used. A node that does not respond delays the query
-// by at most the timeout. Without index nodes, the result is empty.
+// When two index nodes hold a prompt prefix, the higher of its two hotness values is used. A node that does not respond
+// delays a query by at most the timeout. Without index nodes, a query returns no prefixes.
 func TestQueryIndexNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		process := daemon.NewIn(daemon.Environment{Clock: clock.Synctest()}, "controllers", settings.Process{Name: "core-1", Bounds: bounds(), Options: []string{"log=off"}})
@@ -63,15 +64,15 @@
 			}
 			for k, x := range want {
 				if got[k] != x || len(got) != len(want) {
-					t.Errorf("hotness by key from index nodes %v: %v, want %v", pair, got, want)
+					t.Errorf("query of the index nodes with indexes %v of a, b, c: hotness by prefix %v, want %v", pair, got, want)
 				}
 			}
 		}
 		if elapsed := process.Clock.Now() - start; elapsed > 2*bounds().Heal(hotEntriesTimeoutRatio) {
-			t.Errorf("three queries, two of them to a node that does not respond, took %v, want at most two timeouts", elapsed)
+			t.Errorf("three queries of the prompt index, two of them to a node that does not respond, took %v, want at most two timeouts of %v", elapsed, bounds().Heal(hotEntriesTimeoutRatio))
 		}
 		if got := query(clustermembership.View{}); len(got) != 0 {
-			t.Errorf("hotness by key without index nodes: %v, want none", got)
+			t.Errorf("query of the prompt index without any node: hotness by prefix %v, want no prefixes", got)
 		}
 	})
 }
@@ -79,6 +80,6 @@
 func TestStartProcessNeedsASite(t *testing.T) {
 	process := daemon.New("controllers", settings.Process{Name: "core-1", Bounds: bounds(), Options: []string{"log=off"}})
 	if err := StartProcess(process, nil, nil); errs.KindOf(err) != errs.BadInput {
-		t.Errorf("StartProcess without site settings: error %v, want kind errs.BadInput", err)
+		t.Errorf("StartProcess with settings that have no site section: error %v, want one of kind errs.BadInput", err)
 	}
 }
--- a/internal/control/controllers/workerlist.go
+++ b/internal/control/controllers/workerlist.go
@@ -13,9 +13,10 @@
 // decreases while the worker keeps its ID.
 type WorkerList struct{ entries map[string]*listEntry }
 
+// listEntry is a worker of a WorkerList.
 type listEntry struct {
 	worker      fleet.Worker
-	missedReads int // consecutive reads of the platform's list that did not contain the worker
+	missedReads int // number of consecutive reads of the platform's list that did not contain the worker
 }
 
 // NewWorkerList returns a worker list with the workers of a stored document.
@@ -30,9 +31,10 @@
 	return l
 }
 
-// Merge applies a read of the platform's list and reports whether the worker list changed. If the list was
-// read in several pages, a worker may be missing because it moved to another page between two of the calls.
-// Unless complete is true, a worker is therefore removed only after two consecutive reads without it.
+// Merge updates the worker list from a read of the platform's list, and reports whether it changed. If the
+// platform's list was read in several pages, a worker may be missing because it moved to another page
+// between two of the calls. Unless complete is true, a worker is therefore removed only after two
+// consecutive reads without it.
 //
 // Example: changed := list.Merge(workers, pages == 1)
 func (l *WorkerList) Merge(workers []fleet.Worker, complete bool) bool {
@@ -73,8 +75,8 @@
 	return changed
 }
 
-// HasUnconfirmedRemovals reports whether a worker was missing from the last read but has not been removed
-// yet.
+// HasUnconfirmedRemovals reports whether a worker of the list was missing from the last read of the
+// platform's list, but has not been removed yet.
 //
 // Example: if list.HasUnconfirmedRemovals() { readAgainSoon() }
 func (l *WorkerList) HasUnconfirmedRemovals() bool {
@@ -86,8 +88,8 @@
 	return false
 }
 
-// SetWeights records that a worker serves a version of a model's weights, and reports whether its entry
-// changed.
+// SetWeights records that a worker serves a version of a model's weights, and reports whether the worker
+// list changed.
 //
 // Example: changed := list.SetWeights("i-7f3a", "daka", 2)
 func (l *WorkerList) SetWeights(id, model string, version uint64) bool {
@@ -111,8 +113,8 @@
 	return document
 }
 
-// mergeVersions returns, for each model in listed, the higher of the two versions. Models that are only in
-// known are dropped.
+// mergeVersions returns, for each model in listed, the higher of its versions in known and listed. Models
+// that are only in known are dropped.
 func mergeVersions(known, listed map[string]uint64) map[string]uint64 {
 	merged := make(map[string]uint64, len(listed))
 	for model, version := range listed {
@@ -126,7 +128,7 @@
 		a.Slots == b.Slots && a.Draining == b.Draining && maps.Equal(a.Weights, b.Weights)
 }
 
-// serviceWorkerIDs returns the sorted IDs of one service's workers that aren't draining.
+// serviceWorkerIDs returns the sorted IDs of those workers of a service that are not draining.
 func serviceWorkerIDs(workers []fleet.Worker, service string) []string {
 	ids := []string{}
 	for _, worker := range workers {
