--- a/internal/control/controllers/controller_test.go
+++ b/internal/control/controllers/controller_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// newRunningSite returns a site with four running core machines and a published worker list, in which version
-// 2 of the weights has just been named.
+// newRunningSite returns a site with four running core machines, whose workers serve version 1 of the weights and whose
+// target version has just become 2.
 func newRunningSite(t *testing.T, workers int) *testSite {
 	t.Helper()
 	site := newTestSite(t, workers)
@@ -18,7 +18,7 @@
 		site.startCore(fmt.Sprint("core-", i+1))
 	}
 	site.waitUntil(func() bool { return site.rolledOut(1) }, 2*time.Second)
-	site.nameVersion("daka", 2)
+	site.setTarget("daka", 2)
 	return site
 }
 
@@ -32,17 +32,18 @@
 				site.mu.Lock()
 				defer site.mu.Unlock()
 				if site.ordersReceived != workers || site.maxLoading > max(1, workers/3) {
-					t.Errorf("workers received %d orders, want %d; at most %d loaded at the same time, want at most a third of them", site.ordersReceived, workers, site.maxLoading)
+					t.Errorf("rollout to %d workers: %d orders received, want one for each worker; %d workers loaded weights at the same time, want at most a third of them (at least 1)", workers, site.ordersReceived, site.maxLoading)
 				}
-				t.Logf("rollout to %d workers took %v; at most %d loaded at the same time; calls by kind: %v", workers, elapsed, site.maxLoading, site.callCounts)
+				t.Logf("rollout to %d workers took %v; at most %d workers loaded weights at the same time; calls by kind: %v", workers, elapsed, site.maxLoading, site.callCounts)
 			})
 		})
 	}
 }
 
-// The lease holder crashes or is stopped before or after each single effect (a write, an order or a report) of
-// a rollout. No worker loads a version twice, orders of two holders are at least minOrderGap apart, no worker
-// stays cordoned, and all workers serve the new version within Bounds.Weights after the next holder took over.
+// The lease holder crashes or is shut down before or after each single effect (a document write, an order or a report
+// request) of a rollout. No worker loads a version twice, orders of two holders to one worker are at least minOrderGap
+// apart, no worker stays cordoned, and all workers serve the new version within Bounds.Weights plus 3 s for the next
+// holder to take over.
 func TestRolloutSurvivesHolderDeathBetweenAnyTwoEffects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newRunningSite(t, 4)
@@ -51,19 +52,20 @@
 		total := site.effects - before
 		site.stop()
 		if total < 30 {
-			t.Fatalf("the rollout without a failure had %d effects, want at least 30", total)
+			t.Fatalf("rollout without a failure of the lease holder: %d writes, orders and report requests, want at least 30", total)
 		}
 		for _, kind := range []failureKind{crashBeforeEffect, crashAfterEffect, gracefulStop} {
 			for effect := 1; effect <= total; effect++ {
 				runWithHolderFailure(t, kind, effect)
 				if t.Failed() {
-					t.Fatalf("rollout with a holder failure (%s) at effect %d of %d did not pass the checks reported above", kind, effect, total)
+					t.Fatalf("checks of a rollout failed, as reported above, after the lease holder failed (kind %q) at write, order or report request %d of %d", kind, effect, total)
 				}
 			}
 		}
 	})
 }
 
+// runWithHolderFailure runs a rollout in which the lease holder fails at the given effect, counted from 1.
 func runWithHolderFailure(t *testing.T, kind failureKind, effect int) {
 	t.Helper()
 	site := newRunningSite(t, 4)
@@ -75,14 +77,15 @@
 	site.mu.Lock()
 	defer site.mu.Unlock()
 	if site.failedMachine == "" {
-		t.Error("the lease holder did not fail: the rollout never reached the chosen effect")
+		t.Errorf("the lease holder did not fail as planned: the rollout ended before its write, order or report request number %d", effect)
 	}
 	if kind == gracefulStop && strings.HasPrefix(site.lease.Holder, site.failedMachine+"/") {
-		t.Errorf("the stopped holder still holds the lease: %v", site.lease)
+		t.Errorf("after the shutdown of lease holder %s: site lease %v, want it released or held by another machine", site.failedMachine, site.lease)
 	}
 }
 
-// With 10% of the responses lost at random, no worker loads a version twice.
+// When 10% of the responses to all calls of core machines are lost at random, no worker loads a version twice, and the
+// rollout still completes.
 func TestLostResponsesCauseNoSecondLoad(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -95,13 +98,13 @@
 			site.mu.Lock()
 			site.lossProbability = 0.1
 			site.mu.Unlock()
-			site.nameVersion("daka", 2)
+			site.setTarget("daka", 2)
 			site.waitUntil(func() bool { return site.rolledOut(2) }, 3*site.bounds.Weights(1))
 		})
 	}
 }
 
-func TestRenamingDuringRolloutSkipsIntermediateVersion(t *testing.T) {
+func TestNewTargetDuringRolloutSkipsIntermediateVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newRunningSite(t, 18)
 		defer site.stop()
@@ -109,7 +112,7 @@
 		site.workers["w00"].unresponsive, site.workers["w07"].unresponsive = true, true
 		site.mu.Unlock()
 		<-time.After(2 * time.Second)
-		site.nameVersion("daka", 3)
+		site.setTarget("daka", 3)
 		site.waitUntil(func() bool { return site.rolledOut(3) }, site.bounds.Weights(1))
 		site.mu.Lock()
 		defer site.mu.Unlock()
@@ -118,14 +121,14 @@
 			intermediate += worker.loads[2]
 		}
 		if intermediate > 6 {
-			t.Errorf("%d workers loaded version 2 although version 3 was named 2 s later, want at most 6", intermediate)
+			t.Errorf("%d of 18 workers loaded version 2 although version 3 became the target 2 s after it, want at most 6", intermediate)
 		}
 	})
 }
 
-// A worker that drains or disappears from the platform's list is removed from the published list within
-// Bounds.Leave, even if the lease holder crashes at that moment. While the platform's list cannot be read, the
-// published list stays unchanged.
+// A worker that drains or disappears from the platform's worker list is published as draining or removed from the
+// published list within Bounds.Leave, even if the lease holder crashes at that moment. While the platform's list
+// cannot be read, the published list stays unchanged.
 func TestWorkerListFollowsThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newRunningSite(t, 5)
@@ -147,13 +150,13 @@
 		<-time.After(10 * time.Second)
 		site.mu.Lock()
 		if _, ok := site.publishedVersions()["w02"]; !ok || site.listReads-before > 10 {
-			t.Errorf("with the platform's list unavailable: published workers %v, want w02 among them; %d reads in 10 s, want at most 10", site.publishedVersions(), site.listReads-before)
+			t.Errorf("while the platform's worker list cannot be read: published versions by worker %v, want w02 among them; %d attempts to read it in 10 s, want at most 10", site.publishedVersions(), site.listReads-before)
 		}
 		site.listUnavailable = false
 		site.mu.Unlock()
 		site.waitUntil(removed("w02"), site.bounds.Leave(0.6))
 
-		for i := range 3 { // the holder crashes as a worker begins to drain
+		for i := range 3 { // the lease holder crashes when a worker begins to drain
 			<-time.After(time.Duration(3000+70*i) * time.Millisecond)
 			id := fmt.Sprint("w0", []int{0, 3, 4}[i])
 			site.mu.Lock()
@@ -161,12 +164,12 @@
 			site.crash(holder)
 			site.workers[id].worker.Draining = true
 			site.mu.Unlock()
-			t.Logf("draining worker was removed from the published list after %v", site.waitUntil(removed(id), site.bounds.Leave(0.8)))
+			t.Logf("worker %s, which began to drain when the lease holder crashed, was published as draining after %v (limit %v)", id, site.waitUntil(removed(id), site.bounds.Leave(0.8)), site.bounds.Leave(0.8))
 		}
 	})
 }
 
-// A worker that restarts with older weights, and thus under a new ID, is published and updated.
+// A worker that restarts with older weights, which gives it a new ID, is published and updated to the target version.
 func TestRestartedWorkerIsUpdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newRunningSite(t, 5)
@@ -180,7 +183,8 @@
 	})
 }
 
-// When no rollout is in progress, the controllers make few calls, and no writes, orders or report requests.
+// While no rollout is in progress, core machines make only few calls, and no document writes, orders or report
+// requests.
 func TestIdleSiteMakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := newRunningSite(t, 18)
@@ -198,7 +202,7 @@
 		defer site.mu.Unlock()
 		for kind, limit := range map[callKind]int{callPut: 0, callOrder: 0, callReport: 0, callRead: 0, callList: 140, callGrant: 700} {
 			if calls := site.callCounts[kind] - before[kind]; calls > limit {
-				t.Errorf("%d calls of kind %s in 100 s on an idle site, want at most %d", calls, kind, limit)
+				t.Errorf("%d calls of kind %q by core machines in 100 s without a rollout, want at most %d", calls, kind, limit)
 			}
 		}
 	})
--- a/internal/control/controllers/machine_test.go
+++ b/internal/control/controllers/machine_test.go
@@ -17,15 +17,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// coreMachine implements the clients of one core machine: those of the control state, the platform's worker
-// list and the workers.
+// coreMachine implements the clients with which the Controller of one core machine calls the control state, the
+// platform's worker list and the workers of a testSite.
 type coreMachine struct {
 	site *testSite
 	name string
 }
 
-// call simulates one call of the machine: a network delay, the effect of the request, and another delay for the
-// response. The machine fails before or after the effect if the test has scheduled that.
+// call simulates one call by the core machine: a network delay for the request, its effect, and a network delay for
+// the response. The machine fails before or after the effect if the test has scheduled that for a lease holder.
 func (m *coreMachine) call(ctx context.Context, kind callKind, effect func() error) error {
 	clock.Sleep(ctx, networkDelay)
 	site := m.site
@@ -65,6 +65,7 @@
 	return err
 }
 
+// crash records that a core machine crashes now. From then on, its calls have no effect.
 func (s *testSite) crash(name string) { s.crashedAt[name], s.failedMachine = s.clock.Now(), name }
 
 func (m *coreMachine) Change(ctx context.Context, request *wire.ChangeRequest) (response *wire.ChangeResponse, err error) {
@@ -81,15 +82,16 @@
 		return nil
 	})
 	if err != nil {
-		return nil, errs.WrapAs(err, errs.MayHaveExecuted, "change")
+		return nil, errs.WrapAs(err, errs.MayHaveExecuted, "simulated change of the control state")
 	}
 	if response.Outcome != wire.OutcomeDone {
-		return response, errs.New(errs.Conflict, "%s", response.Outcome)
+		return response, errs.New(errs.Conflict, "change of the control state rejected: outcome %s", response.Outcome)
 	}
 	return response, nil
 }
 
-// grant applies a request to acquire, renew or release the lease, like the control state.
+// grant applies a request to acquire, renew or release the site's lease, under the same rules as the real control
+// state.
 func (s *testSite) grant(request *wire.Grant) *wire.ChangeResponse {
 	now, lease := s.clock.Now(), s.lease
 	if lease == nil {
@@ -103,7 +105,7 @@
 	next := &wire.Lease{Name: request.Lease, Holder: request.Holder, Fence: lease.Fence, TtlNs: request.TtlNs}
 	if request.Release {
 		if s.inFlight[request.Holder] > 0 {
-			s.t.Errorf("holder %s releases the lease while one of its orders is in flight", request.Holder)
+			s.t.Errorf("lease holder %s released the site lease while %d of its orders to workers had no response, want 0", request.Holder, s.inFlight[request.Holder])
 		}
 		next.Holder = ""
 	} else if lease.Holder != request.Holder {
@@ -113,7 +115,8 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: next.Fence, Leader: next.Holder}
 }
 
-// put writes a document like the control state: only with the current version, lease holder and fencing token.
+// put writes a document if the request carries its current version, the holder of the site's lease and the current
+// fencing token, as the real control state requires.
 func (s *testSite) put(put *wire.Put) *wire.ChangeResponse {
 	document := s.documents[put.Key]
 	if lease := s.lease; put.Lease != LeaseName || lease.GetFence() != put.Fence || lease.GetHolder() != put.Holder || put.AnyVersion || put.IfVersion != document.GetVersion() {
@@ -132,25 +135,26 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: put.IfVersion + 1}
 }
 
-// cordoned returns the IDs of the workers that the stored placement cordons.
+// cordoned returns the IDs of the workers that the placement in the simulated control state cordons.
 func (s *testSite) cordoned() []string {
 	var placement struct {
 		Cordoned []string `json:"rolling"`
 	}
 	if document := s.documents[fleet.PlacementKey+"reading"]; document != nil {
 		if err := json.Unmarshal(document.Body, &placement); err != nil {
-			s.t.Error("decode stored placement:", err)
+			s.t.Error("decoding the placement in the simulated control state failed:", err)
 		}
 	}
 	return placement.Cordoned
 }
 
-// publishedVersions returns the versions in the stored worker list by worker ID, without draining workers.
+// publishedVersions returns the versions of the weights in the worker list that is stored in the control state, by
+// worker ID. Draining workers are left out.
 func (s *testSite) publishedVersions() map[string]uint64 {
 	var list fleet.WorkerList
 	if document := s.documents[fleet.WorkersKey]; document != nil {
 		if err := json.Unmarshal(document.Body, &list); err != nil {
-			s.t.Error("decode stored worker list:", err)
+			s.t.Error("decoding the worker list in the simulated control state failed:", err)
 		}
 	}
 	versions := map[string]uint64{}
@@ -179,7 +183,7 @@
 	err = m.call(ctx, callList, func() error {
 		site := m.site
 		if site.listReads++; site.listUnavailable {
-			return errs.New(errs.Overloaded, "platform's worker list: too many calls")
+			return errs.New(errs.Overloaded, "simulated platform: read of the worker list rejected, too many calls")
 		}
 		ids := maputil.SortedKeys(site.workers)
 		if i := slices.Index(ids, page); i > 0 {
@@ -198,6 +202,7 @@
 	return workers, next, err
 }
 
+// workerAt returns the responsive worker with an address; nil if there is none.
 func (m *coreMachine) workerAt(addr string) *testWorker {
 	for _, worker := range m.site.workers {
 		if worker.worker.Addr == addr && !worker.unresponsive {
@@ -234,14 +239,15 @@
 	return outcome, err
 }
 
-// countInFlight updates the number of a holder's orders that have not been answered yet.
+// countInFlight adds delta to the number of a lease holder's orders that have no response yet.
 func (m *coreMachine) countInFlight(holder string, delta int) {
 	m.site.mu.Lock()
 	defer m.site.mu.Unlock()
 	m.site.inFlight[holder] += delta
 }
 
-// receiveOrder simulates a worker's response to an order. It also checks the order with checkOrder.
+// receiveOrder simulates how a worker handles an order, and returns the outcome in its response. The test fails if the
+// order violates a rule of checkOrder or makes the worker load the same version twice.
 func (s *testSite) receiveOrder(worker *testWorker, order backend.Order) backend.Outcome {
 	now, id := s.clock.Now(), worker.worker.ID
 	s.ordersReceived++
@@ -258,7 +264,7 @@
 	}
 	worker.fencingToken = order.FencingToken
 	if worker.loads[order.Version]++; worker.loads[order.Version] > 1 {
-		s.t.Errorf("worker %s loads version %d a second time", id, order.Version)
+		s.t.Errorf("worker %s started to load version %d of the weights for the second time, want one load of each version", id, order.Version)
 	}
 	loaded := now + drainTime + s.loadTime(now)
 	worker.states = append(worker.states,
@@ -267,27 +273,29 @@
 	return backend.OutcomeStarted
 }
 
-// checkOrder checks that the order is addressed to the worker, that fencing tokens never decrease, that orders
-// from different holders are at least minOrderGap apart, and that the worker has been cordoned long enough.
+// checkOrder checks an order that a worker received: it is meant for this worker, its fencing token is not lower than
+// that of the previous order, orders from different lease holders are at least minOrderGap apart, and the worker has
+// been cordoned for long enough that proxies know it.
 func (s *testSite) checkOrder(id string, order backend.Order, now time.Duration) {
 	if last, ok := s.lastOrders[id]; ok {
 		otherHolder := last.holder != order.LeaseHolder
 		if last.fencingToken > order.FencingToken || last.fencingToken == order.FencingToken && otherHolder {
-			s.t.Errorf("worker %s got an order with fencing token %d from %s after one with token %d from %s", id, order.FencingToken, order.LeaseHolder, last.fencingToken, last.holder)
+			s.t.Errorf("worker %s got an order with fencing token %d from lease holder %s after one with token %d from %s, want a higher token, or the same from the same holder", id, order.FencingToken, order.LeaseHolder, last.fencingToken, last.holder)
 		}
 		if otherHolder && now-last.at < minOrderGap {
-			s.t.Errorf("worker %s got an order from %s only %v after one from %s", id, order.LeaseHolder, now-last.at, last.holder)
+			s.t.Errorf("worker %s got an order from lease holder %s %v after one from holder %s, want at least %v between them", id, order.LeaseHolder, now-last.at, last.holder, minOrderGap)
 		}
 	}
 	if at := s.cordonedAt[id]; at == 0 || now-at < s.bounds.Leave(cordonLeadRatio) {
-		s.t.Errorf("worker %s got an order before proxies could learn that it is cordoned", id)
+		s.t.Errorf("worker %s got an order at %v, cordoned since %v (0: not at all), want it cordoned for at least %v before the order", id, now, at, s.bounds.Leave(cordonLeadRatio))
 	}
-	if order.Instance != id || order.Mode != backend.ModeAwait || order.Model != "daka" || order.Version > s.named["daka"] {
-		s.t.Errorf("worker %s got an order with an unexpected instance, mode, model or version: %+v", id, order)
+	if order.Instance != id || order.Mode != backend.ModeAwait || order.Model != "daka" || order.Version > s.targetVersions["daka"] {
+		s.t.Errorf("worker %s got order %+v, want its own ID as the instance, mode %v, model daka and at most target version %d", id, order, backend.ModeAwait, s.targetVersions["daka"])
 	}
 }
 
-// loadTime returns the duration of a load that starts now. It is longer when many workers load at the same time.
+// loadTime returns the duration of a load of weights that starts now. It is longer than 1.1 s when more than a fifth of
+// the workers load at the same time.
 func (s *testSite) loadTime(now time.Duration) time.Duration {
 	loading := 1
 	for _, worker := range s.workers {
--- a/internal/control/controllers/orders.go
+++ b/internal/control/controllers/orders.go
@@ -11,14 +11,15 @@
 	"pebbleloom/internal/fleet"
 )
 
-// Timing of a rollout's steps and calls, as fractions of Bounds.Leave.
+// Timing of the steps of a Rollout and of its calls to workers.
 const (
-	rolloutStepRatio = 1.0 / 40 // interval between steps while a load is in progress
-	rolloutIdleRatio = 1.0 / 12 // interval between steps otherwise
-	callTimeoutRatio = 1.0 / 6  // timeout of one order or report call
+	rolloutStepRatio = 1.0 / 40 // interval between rollout steps while workers are cordoned or load weights, as a fraction of the worker removal bound Bounds.Leave
+	rolloutIdleRatio = 1.0 / 12 // interval between rollout steps while no worker is cordoned or loads weights, as a fraction of the worker removal bound Bounds.Leave
+	callTimeoutRatio = 1.0 / 6  // timeout of a call that sends an order to a worker or requests its report, as a fraction of the worker removal bound Bounds.Leave
 )
 
-// runRollout steps the rollout until the session ends, more often while a load is in progress.
+// runRollout advances the rollout step by step until the session ends, more often while workers are cordoned or load
+// weights.
 func (s *session) runRollout() {
 	bounds := s.process.Settings.Bounds
 	for s.ctx.Err() == nil {
@@ -32,8 +33,8 @@
 	}
 }
 
-// stepRollout advances the rollout by one step and starts the calls it asks for. It runs on the actor's
-// goroutine.
+// stepRollout advances the rollout by one step, starts the calls to workers that it requests, and queues placements
+// that cordon workers. It runs on the actor's goroutine.
 func (s *session) stepRollout() {
 	snapshot := s.latestSnapshot()
 	if _, ok := s.currentToken(); !ok || snapshot == nil || snapshot.Plan == nil || s.ordersStopped {
@@ -56,12 +57,12 @@
 func (s *session) rolloutInputs(snapshot *fleet.Snapshot) RolloutInputs {
 	now := s.process.Clock.Now()
 	workers := s.workers.Document().Workers
-	s.weights.update(snapshot, workers)
+	s.targets.update(snapshot, workers)
 	inputs := RolloutInputs{
 		Now:             now,
 		Workers:         workers,
-		NamedVersions:   s.weights.versions,
-		NamedAt:         s.weights.namedAt,
+		TargetVersions:  s.targets.versions,
+		RolloutStart:    s.targets.rolloutStart,
 		UpdatedServices: map[string]bool{},
 		EarliestOrder:   s.lease.earliestOrder(),
 	}
@@ -73,8 +74,8 @@
 	return inputs
 }
 
-// cordonWorkers queues a placement of the service that lists the workers to cordon, if the list changed. It
-// confirms to the rollout those that are cordoned by the placement that has been written already.
+// cordonWorkers queues a placement of the service that cordons exactly the given workers, unless the desired placement
+// already does so. It confirms to the rollout the workers that the last written placement cordons.
 func (s *session) cordonWorkers(service string, cordoned []string, workers []fleet.Worker, now time.Duration) {
 	current := s.placements[service]
 	if current == nil {
@@ -107,8 +108,8 @@
 	}
 }
 
-// sendOrder sends one order to a worker. The lease is checked immediately before sending, and the call times
-// out before the lease ends on this machine.
+// sendOrder sends one order to a worker and passes the outcome to the rollout. The order is sent only while this
+// process holds the site's lease, and the call times out before the lease ends on this machine.
 func (s *session) sendOrder(order Order) {
 	defer s.ordersInFlight.Done()
 	token, leaseTime, ok := s.lease.remaining()
@@ -126,13 +127,16 @@
 	})
 }
 
-// callOrder makes the call that sends an order. The outcome is unknown if the call fails, since the worker
-// may have accepted the order. The call is not canceled when the session ends; stopOrders waits for it.
+// callOrder makes the call that sends an order to its worker. It returns backend.OutcomeUnknown if the call fails,
+// since the worker may have accepted the order. The call is not canceled when the session ends; stopOrders waits
+// for it.
 func (s *session) callOrder(order Order, timeout time.Duration) backend.Outcome {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), timeout)
 	defer cancel()
 	deadline := s.process.Clock.Now() + timeout
-	ctx = backend.WithGuard(ctx, func() bool { // evaluated immediately before the first byte is sent
+	// The client calls the guard immediately before it writes the first byte of the order. The lease may have ended
+	// since sendOrder checked it, for example while the machine was suspended.
+	ctx = backend.WithGuard(ctx, func() bool {
 		token, _, ok := s.lease.remaining()
 		return ok && token == s.fencingToken && s.process.Clock.Now() < deadline
 	})
@@ -151,7 +155,7 @@
 	return outcome
 }
 
-// requestReport requests a worker's status report and passes the result to the rollout.
+// requestReport requests a report of a worker's state and passes the result to the rollout.
 func (s *session) requestReport(worker fleet.Worker) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.process.Settings.Bounds.Leave(callTimeoutRatio))
 	defer cancel()
@@ -165,15 +169,15 @@
 	})
 }
 
-// recordVersion publishes the version that a worker is known to serve; zero means unknown and is ignored. It
-// runs on the actor's goroutine.
+// recordVersion records in the worker list that a worker serves a version of a model's weights, and publishes the list
+// if it changed. Version zero means unknown and is ignored. It runs on the actor's goroutine.
 func (s *session) recordVersion(worker, model string, version uint64) {
 	if version > 0 && s.workers.SetWeights(worker, model, version) {
 		s.queueWorkerList()
 	}
 }
 
-// stopOrders prevents further orders and waits for those in flight.
+// stopOrders prevents further orders to workers and waits for the responses to those in flight.
 func (s *session) stopOrders() {
 	s.actor.Ask(func(*session) { s.ordersStopped = true })
 	s.ordersInFlight.Wait()
--- a/internal/control/controllers/rollout_test.go
+++ b/internal/control/controllers/rollout_test.go
@@ -9,32 +9,38 @@
 	"pebbleloom/internal/settings"
 )
 
+// bounds returns the default bounds with a Bounds.Weights of 12 s.
 func bounds() settings.Bounds {
 	b := settings.DefaultBounds()
 	b.WeightsMs = 12000
 	return b
 }
 
-// singleWorker runs a rollout to one worker, step by step under the control of the test.
+// singleWorker runs a Rollout to one worker, which has ID 1 and serves version 1 of the model daka. The test makes each
+// step and gives each response.
 type singleWorker struct {
 	t       *testing.T
 	rollout *Rollout
 	worker  fleet.Worker
-	named   uint64
-	now     time.Duration
-	events  []string // names of the responses given so far
+	target  uint64        // target version of the worker's weights
+	now     time.Duration // current simulated time
+	events  []string      // names of the responses that the test has given so far
 }
 
+// newSingleWorker returns a rollout of version 2. cordoned holds the IDs of the workers that a previous lease
+// holder had cordoned.
 func newSingleWorker(t *testing.T, cordoned ...string) *singleWorker {
-	return &singleWorker{t: t, rollout: NewRollout(bounds(), cordoned), worker: worker("1", 1), named: 2, now: time.Minute}
+	return &singleWorker{t: t, rollout: NewRollout(bounds(), cordoned), worker: worker("1", 1), target: 2, now: time.Minute}
 }
 
+// step makes one step of the rollout at the simulated time.
 func (s *singleWorker) step() RolloutActions {
-	return s.rollout.Step(RolloutInputs{Now: s.now, Workers: []fleet.Worker{s.worker}, NamedVersions: map[string]uint64{"daka": s.named},
-		NamedAt: map[string]time.Duration{"daka": time.Minute}, UpdatedServices: map[string]bool{"reading": true}})
+	return s.rollout.Step(RolloutInputs{Now: s.now, Workers: []fleet.Worker{s.worker}, TargetVersions: map[string]uint64{"daka": s.target},
+		RolloutStart: map[string]time.Duration{"daka": time.Minute}, UpdatedServices: map[string]bool{"reading": true}})
 }
 
-// stepUntilAction runs steps until the rollout asks for a call to the worker, or the time span has passed.
+// stepUntilAction makes steps until the rollout requests a call to the worker, or until the given span of
+// simulated time has passed. It cordons the worker as the rollout requests.
 func (s *singleWorker) stepUntilAction(span time.Duration) RolloutActions {
 	for end := s.now + span; s.now < end; s.now += 50 * time.Millisecond {
 		actions := s.step()
@@ -49,9 +55,9 @@
 // scriptedResponse is a worker's response to an order or a report request.
 type scriptedResponse struct {
 	name    string
-	outcome backend.Outcome
-	report  backend.Report
-	lost    bool
+	outcome backend.Outcome // outcome that the worker returns for an order
+	report  backend.Report  // report that the worker returns for a report request
+	lost    bool            // whether a report request gets no response
 }
 
 var (
@@ -76,35 +82,36 @@
 	}
 )
 
-// scriptedWorker is a singleWorker that responds according to a script. It fails the test if the rollout makes
-// a call that is not allowed, or makes none although the worker is outdated.
+// scriptedWorker is a singleWorker that responds according to a script. It fails the test if the rollout requests
+// a call that is not allowed, or requests none although the worker does not serve the target version.
 type scriptedWorker struct {
 	*singleWorker
-	mayBeLoading bool          // an order may have been accepted and may still be executing
-	upToDate     bool          // the worker serves the named version
-	orderedAt    time.Duration // time of the response to the last order
+	mayBeLoading bool          // whether the worker may have accepted an order and may still execute it
+	upToDate     bool          // whether the worker serves the target version
+	orderedAt    time.Duration // simulated time of the response to the last order
 }
 
-// nextCall returns the actions of the rollout's next call and the possible responses to it. The responses are
-// nil if the rollout makes no more calls.
+// nextCall steps the rollout to its next call to the worker. It returns the actions of that step and the possible
+// responses to the call; nil if the rollout requests no more calls.
 func (s *scriptedWorker) nextCall() (RolloutActions, []scriptedResponse) {
 	actions := s.stepUntilAction(bounds().Weights(1))
 	calls := len(actions.Orders) + len(actions.Reports)
 	switch {
 	case s.upToDate && calls > 0:
-		s.t.Fatalf("after responses %v: the rollout calls the worker although it serves the named version", s.events)
+		s.t.Fatalf("after responses %v of the worker: the rollout sends the worker another order or report request, want none, because it serves the target version", s.events)
 	case calls == 0 && !s.upToDate:
-		s.t.Fatalf("after responses %v: the rollout makes no more calls although the worker is outdated", s.events)
+		s.t.Fatalf("after responses %v of the worker: the rollout calls the worker no more, want more calls, because it does not serve the target version", s.events)
 	case calls == 0:
 		return actions, nil
 	case len(actions.Orders) > 0 && s.mayBeLoading:
-		s.t.Fatalf("after responses %v: the worker is ordered again although it may be loading", s.events)
+		s.t.Fatalf("after responses %v of the worker: the rollout orders the worker again, want no order while it may still execute the previous one", s.events)
 	case len(actions.Orders) > 0:
 		return actions, orderResponses
 	}
 	return actions, reportResponses
 }
 
+// respond gives a response to the call that the actions request.
 func (s *scriptedWorker) respond(actions RolloutActions, response scriptedResponse) {
 	s.events = append(s.events, response.name)
 	s.now += 20 * time.Millisecond
@@ -116,14 +123,15 @@
 	switch {
 	case response.name == "new":
 		if s.upToDate = true; version != 2 || model != "daka" {
-			s.t.Fatalf("after responses %v: HandleReport returned model %q, version %d; want model daka, version 2", s.events, model, version)
+			s.t.Fatalf("after responses %v of the worker, the last being a report of version 2: HandleReport returned model %q, version %d; want model daka, version 2", s.events, model, version)
 		}
 		s.worker.Weights = newWeights
 	case response.name == "old" && s.now-s.orderedAt >= bounds().Leave(maxReportAgeRatio):
-		s.mayBeLoading = false // the report would show a load by now
+		s.mayBeLoading = false // the report is recent enough to show a load that the last order had started
 	}
 }
 
+// respondToOrder gives a response to an order.
 func (s *scriptedWorker) respondToOrder(order Order, response scriptedResponse) {
 	s.orderedAt = s.now
 	s.mayBeLoading = response.outcome == backend.OutcomeStarted || response.outcome == backend.OutcomeBusy || response.outcome == backend.OutcomeUnknown
@@ -132,8 +140,8 @@
 	}
 }
 
-// For every sequence of responses, including lost and unexpected ones, a worker is not ordered again while it is
-// loading or may be loading, nor once it serves the version.
+// For every sequence of up to four responses, including lost and unexpected ones, a worker is not ordered to load
+// weights while it may still execute an earlier order, nor once it serves the target version.
 func TestNoOrderIsSentTwice(t *testing.T) {
 	const maxResponses = 4
 	paths := 0
@@ -156,73 +164,75 @@
 		}
 	}
 	run(nil)
-	t.Logf("tried %d sequences of responses", paths)
+	t.Logf("ran the rollout with %d sequences of responses of the worker", paths)
 	if paths < 500 {
-		t.Errorf("tried %d sequences of responses, want at least 500", paths)
+		t.Errorf("ran the rollout with %d sequences of responses of the worker, want at least 500", paths)
 	}
 }
 
-// If a previous lease holder may have sent an order to a worker, a report is requested before the worker is
-// ordered.
+// If a previous lease holder may have sent an order to a worker, the rollout requests a report from the worker
+// before it sends its own first order.
 func TestPastHoldersOrderIsResolvedByAReport(t *testing.T) {
 	single := newSingleWorker(t, "1")
 	actions := single.stepUntilAction(bounds().Weights(1))
 	if len(actions.Orders) != 0 || len(actions.Reports) != 1 {
-		t.Fatalf("first actions for a worker cordoned by a previous holder: %+v, want one report request and no order", actions)
+		t.Fatalf("first actions of the rollout for a worker that a previous lease holder had cordoned: %+v, want one report request and no order", actions)
 	}
 	if _, v := single.rollout.HandleReport("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, single.now); v != 2 {
-		t.Error("HandleReport did not return version 2, which the report shows")
+		t.Errorf("HandleReport for a report that the worker serves version 2 returned version %d, want 2", v)
 	}
 }
 
-// When newer versions are named while a worker loads, the newest one is ordered next. The versions in between
-// are skipped, and the worker stays cordoned.
+// When the target version increases twice while a worker loads, the worker is next ordered to load the newest version.
+// The version in between is skipped, and the worker stays cordoned.
 func TestNewerVersionIsOrderedAfterTheRunningLoad(t *testing.T) {
 	single := newSingleWorker(t)
 	actions := single.stepUntilAction(bounds().Weights(1))
 	single.rollout.HandleOrderOutcome(actions.Orders[0], backend.OutcomeStarted, single.now)
-	single.named = 3
+	single.target = 3
 	single.step()
-	single.named = 4
+	single.target = 4
 	actions = single.stepUntilAction(bounds().Weights(1))
 	single.rollout.HandleReport("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, single.now)
 	single.worker = worker("1", 2)
 	actions = single.step()
 	if len(actions.Orders) != 1 || actions.Orders[0].Version != 4 || len(actions.Cordoned["reading"]) != 1 {
-		t.Errorf("actions after the first load: %+v, want an order of version 4 to the cordoned worker", actions)
+		t.Errorf("rollout actions when a worker has loaded version 2 and the target version has become 4: %+v, want an order to load version 4, with the worker cordoned", actions)
 	}
 }
 
-// The load of a worker that starts to drain is dropped, and responses that arrive later have no effect.
+// The rollout drops the load of a worker that starts to drain. Responses of the worker that arrive later have no
+// effect.
 func TestDrainingWorkersLoadIsDropped(t *testing.T) {
 	single := newSingleWorker(t)
 	actions := single.stepUntilAction(bounds().Weights(1))
 	single.worker.Draining = true
 	if later := single.step(); len(later.Cordoned["reading"]) != 0 || !single.rollout.Idle() {
-		t.Errorf("actions for a draining worker: %+v, want none and an idle rollout", later)
+		t.Errorf("rollout actions for a worker that started to drain: %+v, rollout idle = %v; want no cordoned worker and an idle rollout", later, single.rollout.Idle())
 	}
 	if v := single.rollout.HandleOrderOutcome(actions.Orders[0], backend.OutcomeAlreadyDone, single.now); v != 0 {
-		t.Errorf("HandleOrderOutcome for a dropped load returned version %d, want 0", v)
+		t.Errorf("HandleOrderOutcome for a worker whose load was dropped returned version %d, want 0", v)
 	}
 	single.rollout.HandleUnsentOrder(actions.Orders[0])
 	if _, v := single.rollout.HandleReport("1", backend.Report{Weights: map[string]uint64{"daka": 2}}, true, single.now); v != 0 {
-		t.Errorf("HandleReport for a dropped load returned version %d, want 0", v)
+		t.Errorf("HandleReport for a worker whose load was dropped returned version %d, want 0", v)
 	}
 }
 
-// A worker that may have received an order from a previous lease holder is not ordered before EarliestOrder, and
-// is cordoned only shortly before. A worker that was not cordoned and serves a first version cannot have
-// received such an order, and is ordered without that delay.
+// A worker that may have received an order from a previous lease holder is not ordered before
+// RolloutInputs.EarliestOrder, and is cordoned only shortly before that time. A worker cannot have received such an
+// order if no stored placement cordons it and it serves version 1, since each order loads a higher version. It is
+// ordered without that delay.
 func TestNoOrderBeforeEarliestOrder(t *testing.T) {
 	for _, test := range []struct {
-		previouslyCordoned []string
-		version            uint64
-		earliest           time.Duration
+		previouslyCordoned []string      // IDs of workers that a previous lease holder had cordoned
+		version            uint64        // version that worker 1 serves
+		earliest           time.Duration // earliest time at which worker 1 may be ordered
 	}{{nil, 2, 3 * time.Second}, {[]string{"2"}, 2, 3 * time.Second}, {nil, 1, 0}, {[]string{"2"}, 1, 0}} {
 		rollout, b := NewRollout(bounds(), test.previouslyCordoned), bounds()
 		ordered, cordoned := time.Duration(-1), time.Duration(-1)
 		for now := time.Duration(0); now < 5*time.Second; now += 10 * time.Millisecond {
-			actions := rollout.Step(RolloutInputs{Now: now, Workers: []fleet.Worker{worker("1", test.version)}, NamedVersions: map[string]uint64{"daka": 3},
+			actions := rollout.Step(RolloutInputs{Now: now, Workers: []fleet.Worker{worker("1", test.version)}, TargetVersions: map[string]uint64{"daka": 3},
 				UpdatedServices: map[string]bool{"reading": true}, EarliestOrder: 3 * time.Second})
 			rollout.ConfirmCordoned(actions.Cordoned["reading"], now)
 			if len(actions.Cordoned["reading"]) > 0 && cordoned < 0 {
@@ -233,19 +243,19 @@
 			}
 		}
 		if cordoned < test.earliest-b.Leave(cordonLeadRatio) || ordered < test.earliest || ordered-cordoned < b.Leave(cordonLeadRatio) || ordered > test.earliest+2*b.Leave(cordonLeadRatio) {
-			t.Errorf("case %+v: worker cordoned at %v, ordered at %v; want it ordered soon after the earliest time, and cordoned for cordonLeadRatio before that", test, cordoned, ordered)
+			t.Errorf("rollout with %+v: worker 1 was cordoned at %v and ordered at %v; want it ordered between the earliest time and %v after it, and cordoned at least %v before the order", test, cordoned, ordered, 2*b.Leave(cordonLeadRatio), b.Leave(cordonLeadRatio))
 		}
 	}
-	rollout := NewRollout(bounds(), []string{"1"}) // a previously cordoned worker may have received an order
+	rollout := NewRollout(bounds(), []string{"1"}) // worker 1 may have received an order from the previous lease holder that cordoned it
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * time.Millisecond {
-		actions := rollout.Step(RolloutInputs{Now: now, Workers: []fleet.Worker{worker("1", 1)}, NamedVersions: map[string]uint64{"daka": 2},
+		actions := rollout.Step(RolloutInputs{Now: now, Workers: []fleet.Worker{worker("1", 1)}, TargetVersions: map[string]uint64{"daka": 2},
 			UpdatedServices: map[string]bool{"reading": true}, EarliestOrder: 3 * time.Second})
 		rollout.ConfirmCordoned(actions.Cordoned["reading"], now)
 		for _, w := range actions.Reports {
 			rollout.HandleReport(w.ID, backend.Report{Weights: map[string]uint64{"daka": 1}}, true, now)
 		}
 		if len(actions.Orders) > 0 {
-			t.Fatalf("worker cordoned by a previous holder was ordered at %v, want not before 3 s", now)
+			t.Fatalf("worker that a previous lease holder had cordoned was ordered at %v, want not before RolloutInputs.EarliestOrder, 3 s", now)
 		}
 	}
 }
--- a/internal/control/controllers/sequence_test.go
+++ b/internal/control/controllers/sequence_test.go
@@ -8,13 +8,15 @@
 	"pebbleloom/internal/data/backend"
 )
 
-// sequencedWorker accepts an order only if the order's sequence is the number of orders accepted so far, or nil.
+// sequencedWorker is a simulated worker that accepts an order only if Order.Sequence is nil or the number of
+// orders that it has accepted so far.
 type sequencedWorker struct {
 	t                 *testing.T
-	sequence, version uint64
-	loads             int
+	sequence, version uint64 // number of orders that the worker has accepted, and version that it loaded last
+	loads             int    // number of orders that made the worker load weights
 }
 
+// receive handles an order that arrives at the worker.
 func (w *sequencedWorker) receive(order Order) {
 	if order.Sequence != nil && *order.Sequence != w.sequence {
 		return
@@ -23,13 +25,13 @@
 	case order.Version > w.version:
 		w.loads++
 	case order.Version < w.version:
-		w.t.Errorf("worker accepted an order that replaces version %d with version %d", w.version, order.Version)
+		w.t.Errorf("worker that had loaded version %d accepted an order to load the older version %d, want it rejected", w.version, order.Version)
 	}
 	w.sequence, w.version = w.sequence+1, order.Version
 }
 
-// retryOrder runs steps until the rollout sends another order. Until then, the worker's reports show the given
-// number of accepted orders and version 1.
+// retryOrder makes steps until the rollout requests another order, and returns it; nil if there is none within 10
+// s. Until then, the worker's reports show that it serves version 1 and has accepted the given number of orders.
 func (s *singleWorker) retryOrder(sequence uint64) *Order {
 	for end := s.now + 10*time.Second; s.now < end; s.now += 50 * time.Millisecond {
 		actions := s.stepUntilAction(time.Second)
@@ -43,26 +45,26 @@
 	return nil
 }
 
-// An order without a response may arrive much later. Its retry, for the same or a newer version, carries the
-// number of orders that the worker had accepted when a report showed that the first one was not among them.
-// Therefore the worker accepts only one of the two orders, regardless of which one arrives first.
+// An order that got no response may still arrive at the worker much later. Its retry, for the same or a newer version,
+// carries the number of orders that the worker had accepted according to a report which showed that the first order was
+// not among them. Therefore the worker accepts only one of the two orders, whichever arrives first.
 func TestWorkerAcceptsOneOfAnUnknownOrderAndItsRetry(t *testing.T) {
 	const sequence = 4
 	for _, newer := range []bool{false, true} {
 		for _, firstArrives := range []bool{false, true} {
-			t.Run(fmt.Sprintf("newer version %v, first arrives %v", newer, firstArrives), func(t *testing.T) {
+			t.Run(fmt.Sprintf("retry for a newer version=%v, first order arrives too=%v", newer, firstArrives), func(t *testing.T) {
 				single := newSingleWorker(t)
 				first := single.stepUntilAction(time.Second).Orders[0]
 				if first.Sequence != nil {
-					t.Error("the first order has a sequence although the worker has not reported one")
+					t.Errorf("first order to a worker that has not reported how many orders it accepted: Sequence %d, want nil", *first.Sequence)
 				}
 				single.rollout.HandleOrderOutcome(first, backend.OutcomeUnknown, single.now)
 				if newer {
-					single.named = 3
+					single.target = 3
 				}
 				second := single.retryOrder(sequence)
 				if second == nil || second.Sequence == nil || *second.Sequence != sequence {
-					t.Fatalf("retry of the order: %+v, want sequence 4", second)
+					t.Fatalf("retry of an order without a response: %+v, want an order with Sequence %d, the number in the worker's reports", second, sequence)
 				}
 				worker := sequencedWorker{t: t, sequence: sequence}
 				if firstArrives {
@@ -70,7 +72,7 @@
 				}
 				worker.receive(*second)
 				if worker.loads != 1 {
-					t.Errorf("%d of the two orders loaded weights, want 1", worker.loads)
+					t.Errorf("worker loaded weights for %d orders out of an order without a response and its retry, want 1", worker.loads)
 				}
 			})
 		}
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -20,93 +20,96 @@
 )
 
 const (
-	networkDelay = 4 * time.Millisecond   // delay of each request and of each response
-	reportAge    = 200 * time.Millisecond // age of the state that a report shows
-	listAge      = 800 * time.Millisecond // age of the weights in the platform's list
-	drainTime    = 100 * time.Millisecond // time until a worker's requests in progress have ended
-	minOrderGap  = 3 * time.Second        // minimum time between orders to a worker from different holders
-	pageSize     = 50                     // workers per page of the platform's list
+	networkDelay = 4 * time.Millisecond   // delay of each request and of each response between simulated processes
+	reportAge    = 200 * time.Millisecond // age of the state that a worker's report shows
+	listAge      = 800 * time.Millisecond // age of the weights' versions that the platform's worker list shows
+	drainTime    = 100 * time.Millisecond // time from an order to a worker until its requests in progress have ended and the load begins
+	minOrderGap  = 3 * time.Second        // minimum time between orders to one worker from different lease holders
+	pageSize     = 50                     // number of workers on a page of the platform's worker list
 )
 
-// callKind is a kind of call made by core machines.
+// callKind is a kind of call made by simulated core machines.
 type callKind string
 
 const (
-	callPut    callKind = "put"
-	callGrant  callKind = "grant"
-	callRead   callKind = "read"
-	callList   callKind = "list"
-	callReport callKind = "report"
-	callOrder  callKind = "order"
+	callPut    callKind = "put"    // write of a document in the control state
+	callGrant  callKind = "grant"  // request, renewal or release of the site's lease
+	callRead   callKind = "read"   // read of documents of the control state
+	callList   callKind = "list"   // read of a page of the platform's worker list
+	callReport callKind = "report" // request for a report of a worker's state
+	callOrder  callKind = "order"  // order to a worker to load weights
 )
 
-// failureKind is the way in which a test takes down a lease holder.
+// failureKind is the way in which a test stops the machine that holds the site's lease.
 type failureKind string
 
 const (
-	crashBeforeEffect failureKind = "before" // crash before the effect of a call
-	crashAfterEffect  failureKind = "after"  // crash after the effect of a call, before its response
-	gracefulStop      failureKind = "stop"   // regular shutdown, which releases the lease
+	crashBeforeEffect failureKind = "before" // the machine crashes before a call that it made has an effect
+	crashAfterEffect  failureKind = "after"  // the machine crashes after a call has had its effect, before the response arrives
+	gracefulStop      failureKind = "stop"   // the machine shuts down regularly and releases the lease
 )
 
 var errNoResponse = errors.New("simulated network: no response")
 
-// testSite is a simulated site: control state, the platform's worker list, workers and core machines.
+// testSite is a simulated site. It consists of the control state, the platform's worker list, workers and core
+// machines.
 type testSite struct {
 	t               *testing.T
 	clock           clock.Clock
 	bounds          settings.Bounds
 	mu              sync.Mutex
-	documents       map[string]*wire.Document
-	lease           *wire.Lease
-	grantedAt       time.Duration // when the lease was last granted or renewed
-	workers         map[string]*testWorker
-	named           map[string]uint64
-	namedAt         map[string]time.Duration
-	cordonedAt      map[string]time.Duration // time since which the stored placement cordons a worker, by worker ID
-	processes       map[string]*daemon.Process
-	crashedAt       map[string]time.Duration
-	listUnavailable bool // reads of the platform's list fail
-
-	effects         int // puts, orders and report requests so far
-	failAtEffect    int // value of effects at which the holder fails; 0: never
-	failureKind     failureKind
-	lossProbability float64 // probability that a response is lost
+	documents       map[string]*wire.Document // documents of the control state, by key
+	lease           *wire.Lease               // the site's lease; nil before the first grant
+	grantedAt       time.Duration             // time at which the site's lease was last granted or renewed
+	workers         map[string]*testWorker    // simulated workers, by ID
+	targetVersions  map[string]uint64
+	targetSetAt     map[string]time.Duration
+	cordonedAt      map[string]time.Duration   // time since which the stored placement cordons a worker, by worker ID
+	processes       map[string]*daemon.Process // processes of the core machines, by machine name
+	crashedAt       map[string]time.Duration   // time at which a core machine crashed, by machine name
+	listUnavailable bool                       // whether reads of the platform's worker list fail
+
+	effects         int         // number of document writes, orders and report requests that have arrived so far
+	failAtEffect    int         // value of the field effects at which the lease holder fails; 0 for never
+	failureKind     failureKind // how the lease holder fails at failAtEffect
+	lossProbability float64     // probability that the response to a call is lost
 	random          *rand.Rand
-	failedMachine   string // machine that crashed or was stopped; empty if none
+	failedMachine   string // name of the core machine that crashed or was shut down; empty if none
 	stopping        sync.WaitGroup
 
-	lastOrders     map[string]receivedOrder // by worker ID
-	ordersReceived int
-	listReads      int
-	maxLoading     int
-	callCounts     map[callKind]int
-	inFlight       map[string]int // unanswered orders, by holder
+	lastOrders     map[string]receivedOrder // last order that each worker received, by worker ID
+	ordersReceived int                      // number of orders that workers received
+	listReads      int                      // number of calls that read a page of the platform's worker list
+	maxLoading     int                      // highest number of workers that loaded weights at the same time
+	callCounts     map[callKind]int         // number of calls that arrived, by kind
+	inFlight       map[string]int           // number of orders without a response, by lease holder
 }
 
-// receivedOrder is the last order that a worker received.
+// receivedOrder describes an order that a worker received.
 type receivedOrder struct {
-	holder       string
+	holder       string // name under which the sender held the site's lease
 	fencingToken uint64
-	at           time.Duration
+	at           time.Duration // time at which the worker received the order
 }
 
-// testWorker is a simulated worker with its past and scheduled states.
+// testWorker is a simulated worker with its past, current and future states.
 type testWorker struct {
 	worker       fleet.Worker
-	fencingToken uint64
-	states       []workerState  // oldest first
-	loads        map[uint64]int // number of loads of each version
-	unresponsive bool           // responds to no call
+	fencingToken uint64         // fencing token of the last order that the worker accepted
+	states       []workerState  // states of the worker, in the order of their start
+	loads        map[uint64]int // number of times that the worker loaded a version, by version
+	unresponsive bool           // whether the worker responds to no call
 }
 
+// workerState is the state of a testWorker from a certain time on.
 type workerState struct {
-	since    time.Duration
-	busy     bool
-	version  uint64
-	sequence uint64 // orders accepted
+	since    time.Duration // time at which this state begins
+	busy     bool          // whether the worker is executing an order
+	version  uint64        // version of the weights that the worker serves
+	sequence uint64        // number of orders that the worker has accepted
 }
 
+// stateAt returns the state of the worker at a given time.
 func (w *testWorker) stateAt(instant time.Duration) workerState {
 	current := w.states[0]
 	for _, state := range w.states {
@@ -117,9 +120,10 @@
 	return current
 }
 
+// newTestSite returns a site without core machines, whose workers serve version 1 of the model daka.
 func newTestSite(t *testing.T, workers int) *testSite {
-	s := &testSite{t: t, clock: clock.Synctest(), bounds: bounds(), documents: map[string]*wire.Document{}, workers: map[string]*testWorker{}, named: map[string]uint64{"daka": 1},
-		namedAt: map[string]time.Duration{}, cordonedAt: map[string]time.Duration{}, processes: map[string]*daemon.Process{}, crashedAt: map[string]time.Duration{},
+	s := &testSite{t: t, clock: clock.Synctest(), bounds: bounds(), documents: map[string]*wire.Document{}, workers: map[string]*testWorker{}, targetVersions: map[string]uint64{"daka": 1},
+		targetSetAt: map[string]time.Duration{}, cordonedAt: map[string]time.Duration{}, processes: map[string]*daemon.Process{}, crashedAt: map[string]time.Duration{},
 		lastOrders: map[string]receivedOrder{}, random: rand.New(rand.NewPCG(1, 2)), callCounts: map[callKind]int{}, inFlight: map[string]int{}}
 	for i := range workers {
 		s.addWorker(fmt.Sprintf("w%02d", i), 1)
@@ -131,6 +135,7 @@
 	s.workers[id] = &testWorker{worker: worker(id, version), states: []workerState{{version: version}}, loads: map[uint64]int{}}
 }
 
+// startCore starts a Controller on a new core machine of the site.
 func (s *testSite) startCore(name string) *Controller {
 	processSettings := settings.Process{Name: name, Bounds: s.bounds, Options: []string{"log=off"}, Site: &settings.Site{LeaseMs: 3000, WorkerListRate: 47}}
 	process := daemon.NewIn(daemon.Environment{Clock: s.clock}, "controllers", processSettings)
@@ -143,6 +148,7 @@
 	})
 }
 
+// stop ends all core machines of the site, as if they had crashed.
 func (s *testSite) stop() {
 	s.mu.Lock()
 	for name := range s.processes {
@@ -165,8 +171,8 @@
 	defer s.mu.Unlock()
 	snapshot := &fleet.Snapshot{NamedVersions: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Plan: &routingconfig.Plan{Services: []routingconfig.Service{
 		{Name: "reading", Engine: &routingconfig.Engine{Slots: 8, CapacityTokens: 10000, TokenBytes: 18432, LinkMbps: 370000}}, {Name: "plain"}}}}
-	for model, version := range s.named {
-		snapshot.NamedVersions[model], snapshot.NamedAt[model] = version, s.namedAt[model]
+	for model, version := range s.targetVersions {
+		snapshot.NamedVersions[model], snapshot.NamedAt[model] = version, s.targetSetAt[model]
 	}
 	return snapshot
 }
@@ -185,14 +191,15 @@
 	return view
 }
 
-func (s *testSite) nameVersion(model string, version uint64) {
+// setTarget sets the version of a model's weights that workers should serve.
+func (s *testSite) setTarget(model string, version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.named[model], s.namedAt[model] = version, s.clock.Now()
+	s.targetVersions[model], s.targetSetAt[model] = version, s.clock.Now()
 }
 
-// rolledOut reports whether all workers that can serve have at least the version, the stored worker list shows
-// it, and no worker is cordoned.
+// rolledOut reports whether a rollout is complete: all workers that respond and are not draining serve at least the
+// given version, the stored worker list shows that, and the stored placement cordons no worker.
 func (s *testSite) rolledOut(version uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,7 +215,8 @@
 	return serving > 0 && len(s.cordoned()) == 0
 }
 
-// waitUntil waits until the condition holds, and returns how long that took. On timeout, it fails the test.
+// waitUntil waits until a condition of the site holds, and returns how long that took. If the condition does not hold
+// within the timeout, the test fails.
 func (s *testSite) waitUntil(condition func() bool, timeout time.Duration) time.Duration {
 	s.t.Helper()
 	start := s.clock.Now()
@@ -216,7 +224,7 @@
 		if s.clock.Now()-start > timeout {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.t.Errorf("expected state of the site was not reached within %v: published versions by worker %v, cordoned %v, lease %v, crashed machines %v", timeout, s.publishedVersions(), s.cordoned(), s.lease, s.crashedAt)
+			s.t.Errorf("the condition that the test waits for did not hold within %v: published versions by worker %v, cordoned workers %v, site lease %v, crash times by machine %v", timeout, s.publishedVersions(), s.cordoned(), s.lease, s.crashedAt)
 			return timeout
 		}
 		<-time.After(25 * time.Millisecond)
