--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -136,7 +136,7 @@
 	})
 	switch {
 	case final == nil && lost && !request.DryRun:
-		return nil, errs.New(errs.MayHaveExecuted, "change to control state shard %d was sent, but no response was received; the change may have been applied", request.Shard)
+		return nil, errs.New(errs.MayHaveExecuted, "change to control state shard %d was sent, but no response shows whether it was applied", request.Shard)
 	case final == nil:
 		return nil, noLeader(request.Shard)
 	case final.Outcome == wire.OutcomeConflict && lost && versioned:
