--- a/internal/data/selection/api.go
+++ b/internal/data/selection/api.go
@@ -23,11 +23,11 @@
 	Zone string
 	// Model that the request names; empty if it names none.
 	Model string
-	// Tokens of the complete prompt.
+	// Number of tokens in the complete prompt.
 	PromptTokens int
 	// Limit on the number of tokens to generate.
 	MaxOutputTokens int
-	// Parts of the prompt in order; the last is used by this request or its session only.
+	// Parts of the prompt, in order. The last one is used only by this request and later ones of its session.
 	Parts []PromptPart
 }
 
@@ -37,18 +37,18 @@
 	Tokens int
 }
 
-// Choice is the selected worker, and how the cache placement applies to the attempt on it.
+// Choice is the selected worker, with the weights version, cache addresses and priority of the attempt.
 type Choice struct {
 	Worker fleet.Worker
 	// Version of the model weights that the worker must serve; 0: any version.
 	Weights uint64
 	// Cache salt of the prompt parts, see CacheSalt; empty: the service has no prompt cache.
 	Salt string
-	// Address from which the worker fetches parts that it doesn't cache; empty: none.
+	// Address from which the worker fetches prompt parts that it doesn't cache; empty: it fetches none.
 	Fetch string
-	// Address of the store to which the worker saves the prompt parts; empty: none.
+	// Address of the store to which the worker saves the prompt parts; empty: it saves none.
 	Save string
-	// Priority level for the worker's queue, 0 (highest) to 9; -1: unset.
+	// Priority level of the request in the worker's queue, 0 (highest) to 9; -1: the worker gets no level.
 	Urgency int
 	// If no worker was selected, after how long the client may retry; 0: unknown.
 	RetryAfter time.Duration
@@ -69,7 +69,8 @@
 	// NotReady means that the worker rejected the attempt without executing it because it serves other weights
 	// or is executing a command.
 	NotReady
-	// Misdirected means that the attempt was not executed because another worker instance has the address.
+	// Misdirected means that the attempt was not executed because the address of the selected worker now
+	// belongs to another worker instance.
 	Misdirected
 	// Failed means that the worker failed the request, or that the connection to it broke.
 	Failed
@@ -82,11 +83,12 @@
 // Selector tracks the load, the failures and the cached prompt parts of workers as one edge machine sees them,
 // and selects workers by them. All methods are safe for concurrent use.
 type Selector interface {
-	// Lookup queries the prompt index for the holders of a prompt's parts. It waits for a bounded fraction of
-	// the route's latency target; a nil result counts as a miss on all parts.
+	// Lookup queries the prompt index for the workers and stores that cache a prompt's parts. It waits for a
+	// bounded fraction of the route's latency target; a nil result counts as a miss on all parts.
 	Lookup(ctx context.Context, snapshot *fleet.Snapshot, request *Request) map[prefix.Key]*wire.LookupResult
-	// Select selects among the workers of the request's service that are neither draining nor listed in tried;
-	// it returns false if no worker was selected.
+	// Select selects among the workers of the request's service that are neither draining nor in tried, the
+	// set of IDs of workers that got an earlier attempt of the request. found is the result of Lookup. Select
+	// returns false if no worker was selected.
 	Select(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool) (Choice, bool)
 	// RecordSent records that an attempt was sent and is in flight.
 	RecordSent(request *Request, choice Choice)
--- a/internal/data/selection/doc.go
+++ b/internal/data/selection/doc.go
@@ -9,6 +9,11 @@
 // affinity part of a prompt is the one by which rendezvous hashing assigns the prompt a home worker. An edge
 // machine runs the proxy that selects workers; several edge machines share the same workers.
 //
+// The prompt index is a service that records which workers and stores cache which prompt parts. The control
+// state is the replicated configuration of the site. It contains the cache placement, which lists the parts
+// that are replicated to several workers, and names for each model the version of the weights that workers
+// should serve.
+//
 // # The score
 //
 // Among the workers that may be selected (eligibility.go), the one with the lowest cost is selected. A cost
@@ -16,7 +21,7 @@
 // and tuning.go a field for each weight:
 //
 //	congestion         a worker slows down as its slots fill up
-//	tie break          a small cost derived from a hash of request and worker
+//	tie break          a small cost from a hash of request and worker, which differs between equal workers
 //	queueing           requests beyond the worker's slots wait for a slot
 //	cross zone         the prompt is sent to another zone
 //	affinity           the worker would make another copy of a part whose home is another worker
@@ -33,9 +38,9 @@
 //
 // # Inputs of the score
 //
-// Each edge machine has a table (table.go), guarded by an actor: estimates of each worker's load and
-// speed (workerstats.go), records of the workers to which prompt parts were sent (partrecord.go), and attempts
-// in flight (attempts.go). Edge machines share load and outcomes through the prompt index (loadsharing.go).
-// The cache placement and the versions of model weights that a request may use come from the control state,
-// in snapshots that are indexed by service (layout.go, versions.go).
+// Each edge machine has a table (table.go), guarded by an actor: estimates of each worker's load and speed
+// (workerstats.go), records of the workers to which prompt parts were sent (partrecord.go), and attempts in
+// flight (attempts.go). Edge machines share load and outcomes through the prompt index (loadsharing.go). The
+// cache placement and the versions of model weights that a request may use come from the control state, in
+// snapshots that are indexed by service (layout.go, versions.go).
 package selection
