--- a/internal/data/selection/cachesalt.go
+++ b/internal/data/selection/cachesalt.go
@@ -8,8 +8,8 @@
 )
 
 // CacheSalt returns the salt of the cache keys of a prompt's parts, which separates weights versions, models
-// and isolated tenants: two salts are equal only if all three are. A tenant that is nil or not isolated
-// doesn't contribute to the salt.
+// and isolated tenants: two salts are equal only if version, model and isolated tenant are equal. A tenant that
+// is nil or not isolated doesn't contribute to the salt.
 //
 // Example: key := promptindex.PartKey(selection.CacheSalt("daka", 2, tenant), part)
 func CacheSalt(model string, version uint64, tenant *routingconfig.Tenant) string {
--- a/internal/data/selection/choice.go
+++ b/internal/data/selection/choice.go
@@ -5,8 +5,9 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// newChoice derives the choice from the selected worker and the cache placement, and stores what the selection
-// expects of the attempt.
+// newChoice derives the choice from the selected worker and the prompt state: from where the worker fetches
+// prompt parts and to which store it saves them. It stores the expected prefill and transfers of the attempt
+// until the attempt is sent.
 func (s *scorer) newChoice(prompt *promptState, index int, cost workerCost) Choice {
 	t, selected := s.table, s.group.candidates[index]
 	choice := Choice{Worker: *selected.worker, Weights: prompt.version, Salt: prompt.salt,
@@ -28,7 +29,7 @@
 		cached := consecutiveParts(t.presumedParts[index], 0)
 		if choice.Fetch == "" && cached < prompt.sharedParts && s.mayBeStored(prompt) &&
 			sharedTokens-s.cumulativeTokens[cached] >= 2*transferTuning.minSavedTokens {
-			// The store probably has the parts, and a failed fetch costs next to nothing.
+			// The store may have the parts, and a failed fetch costs next to nothing.
 			choice.Fetch = store.Store.Addr
 		}
 	}
@@ -36,8 +37,8 @@
 	return choice
 }
 
-// mayBeStored reports whether a store may have the shared parts although no holder is known: the prompt index
-// did not respond, or the affinity part was used recently.
+// mayBeStored reports whether a store may have the prompt's shared parts although it isn't known to: the prompt
+// index did not respond, or it knows that the affinity part was used recently.
 func (s *scorer) mayBeStored(prompt *promptState) bool {
 	if !prompt.indexResponded {
 		return true
@@ -45,9 +46,9 @@
 	return prompt.affinityPart >= 0 && s.found[prompt.keys[prompt.affinityPart]].GetHotness() > 0
 }
 
-// storeFor returns the index of the available store that the prompt's shared parts are assigned to; -1 if no
-// store is available or no part is shared. Each part is assigned to one store only, so that the stores
-// together cache as many parts as possible.
+// storeFor returns the index of the available store to which rendezvous hashing assigns the prompt's shared
+// parts; -1 if no store is available or no part is shared. Each part is assigned to one store only, so that the
+// stores together cache as many parts as possible.
 func (s *scorer) storeFor(prompt *promptState) int {
 	if prompt.sharedParts == 0 {
 		return -1
@@ -77,7 +78,7 @@
 }
 
 // promptSizeClass returns 0 for a prompt whose prefill takes a small fraction of the latency target, 1 for a
-// medium fraction and 2 for a large one.
+// medium fraction and 2 for a large one. The limits between them are those of sizeTuning.
 func (s *scorer) promptSizeClass(prefillTokens float64) int {
 	switch ratio := prefillTokens * s.stats.msPerToken / s.targetMs; {
 	case ratio < sizeTuning.smallRatio:
--- a/internal/data/selection/promptstate.go
+++ b/internal/data/selection/promptstate.go
@@ -8,63 +8,65 @@
 	"pebbleloom/internal/data/promptindex"
 )
 
-// promptState is a prompt under one version of the weights, with the workers and stores that cache its parts.
-// A set of parts is a uint64 bitmap with one bit per part.
+// promptState describes for one version of the model weights which workers and stores cache the parts of a
+// prompt; caches of different versions are separate. A set of parts is a uint64 bitmap with one bit per part.
 type promptState struct {
 	version uint64
 	salt    string
 	// Prompt index keys of the parts, in order.
 	keys []prefix.Key
-	// Number of leading parts that other requests use too.
+	// Number of leading prompt parts that other requests use too.
 	sharedParts int
-	// Index of the part that determines the home worker; -1: none.
+	// Index of the prompt part whose hash determines the home worker; -1: no part does.
 	affinityPart int
-	// Whether the cache placement replicates the affinity part, so any worker may cache it.
+	// Whether the cache placement replicates the affinity part, so that any worker may cache it.
 	isReplicated bool
-	// Whether the affinity part has no known holder.
+	// Whether no worker or store is known to cache the affinity part.
 	isCold bool
-	// Whether the prompt index responded for at least one part.
+	// Whether the prompt index responded to the lookup of at least one part of the prompt.
 	indexResponded bool
-	// Index of the home worker among the candidates; -1: none.
+	// Index of the affinity part's home worker among the candidates; -1: it has none.
 	home int
-	// Workers and stores that missing parts can be fetched from.
+	// Workers and stores from which a worker can fetch prompt parts that it lacks.
 	sources []source
-	// By store: bitmap of the parts that the store is presumed or confirmed to have.
+	// By store: bitmap of the prompt parts that the store is presumed or confirmed to have.
 	storeParts []uint64
-	// Bitmap of the parts that some worker or store caches or is being sent.
+	// Bitmap of the prompt parts that at least one worker or store is presumed or confirmed to cache.
 	partsWithHolder uint64
 }
 
-// source is a worker or store that caches some of the prompt's parts.
+// source is a worker or store from which some of the prompt's parts can be fetched.
 type source struct {
 	stats *workerStats
 	// Index of the worker among the candidates; -1: the source is a store.
 	candidate int
 	addr      string
 	zone      string
-	// Bitmap of the parts that the source is presumed or confirmed to cache.
+	// Bitmap of the prompt parts that the source is presumed or confirmed to cache.
 	presumedParts uint64
-	// Bitmap of the parts that the source is confirmed to cache.
+	// Bitmap of the prompt parts that the source is confirmed to cache.
 	confirmedParts uint64
-	// Milliseconds to transfer the cache of one token over the slower of the two links.
+	// Milliseconds to transfer the cache of one token over the slower of the source's and the worker's links.
 	msPerToken float64
 }
 
-// storedParts holds two bitmaps for each store: the parts that it is confirmed to have, and the parts that a
-// worker is still prefilling before saving them there.
+// storedParts contains two bitmaps for each store: the prompt parts that it is confirmed to have, and the parts
+// that a worker is still prefilling before it saves them there.
 type storedParts struct{ confirmed, prefilling []uint64 }
 
-// holderEvidence is what is known of one holder of a prompt part.
+// holderEvidence is what is known of one holder of a prompt part, a worker or store that caches it.
 type holderEvidence struct {
 	// ID of the worker, or name of the store.
 	id string
-	// Whether the holder reported the part, or responded to a request that contains it.
+	// Whether the holder reported that it caches the prompt part, or responded to a request that contains it.
 	isConfirmed bool
-	// Whether the holder, or the worker that saves to it, is still prefilling the part for this edge machine.
+	// Whether the prompt part is still being prefilled for a request of this edge machine, by the holder or, if
+	// the holder is a store, by the worker that saves to it.
 	isPrefilling bool
 }
 
-// newPromptState collects the holders of the prompt's parts under one version of the weights.
+// newPromptState collects the workers and stores that cache the prompt's parts for one version of the weights,
+// and finds the home worker among the usable candidates.
 func (s *scorer) newPromptState(version uint64) *promptState {
 	parts, storeCount := s.request.parts(), len(s.group.stores)
 	prompt := &promptState{
@@ -94,9 +96,9 @@
 	return prompt
 }
 
-// collectHolders records the holders of one part, from the prompt index and from the records of this edge
-// machine. It reports whether the part is the last of the prompt and shared nevertheless, because it belongs
-// to a session or the request is repeated.
+// collectHolders records the holders of the prompt part at the given index, from the response of the prompt
+// index and from the records of this edge machine. It reports whether the part is the last of the prompt and
+// shared nevertheless, because it belongs to a session or the request is repeated.
 func (s *scorer) collectHolders(prompt *promptState, stores storedParts, index int) (isLastAndShared bool) {
 	t, parts := s.table, s.request.parts()
 	key := promptindex.PartKey(prompt.salt, parts[index].ID)
@@ -110,7 +112,7 @@
 	known, isKnown := t.parts.get(key)
 	lifetime := t.bounds.Heal(recordTuning.lifetimeRatio)
 	if found.GetHotness() > 0 {
-		// For older holders the prompt index is more accurate.
+		// The prompt index is more accurate than records of this edge machine that are older than its lag.
 		lifetime = t.bounds.Heal(recordTuning.indexLagRatio)
 	}
 	prefillTime := t.bounds.Heal(recordTuning.prefillRatio)
@@ -129,8 +131,8 @@
 	return usedByAnother || !s.isRetry && len(found.GetHolders()) > 0 || found.GetHotness() > 0
 }
 
-// addHolder records that a part is cached by a store, or by a worker. Workers on another version of the
-// weights than the prompt's are ignored.
+// addHolder records that the prompt part in the one-bit bitmap part is cached by a worker or store. Workers
+// that serve another version of the weights than the prompt state's are ignored.
 func (s *scorer) addHolder(prompt *promptState, stores storedParts, part uint64, holder holderEvidence) {
 	t := s.table
 	if i, ok := s.group.index[holder.id]; ok {
@@ -162,8 +164,9 @@
 	}
 }
 
-// collectSources lists the workers and stores from which parts can be fetched, up to a limit because all
-// sources are compared for each candidate. A part that is still being prefilled can't be fetched.
+// collectSources lists the workers and stores from which prompt parts can be fetched. Workers are limited to
+// transferTuning.maxSources, because all sources are evaluated for each candidate. A part that is still being
+// prefilled can't be fetched.
 func (s *scorer) collectSources(prompt *promptState, stores storedParts) {
 	t, engine := s.table, s.group.service.Engine
 	for i, candidate := range s.group.candidates {
@@ -185,8 +188,8 @@
 	}
 }
 
-// addSource adds a worker to the prompt's sources. If the limit is reached, it replaces the worst source,
-// provided the added one is better.
+// addSource adds a worker to the prompt's sources. If there are already transferTuning.maxSources, it replaces
+// the worst source, provided the added one is better.
 func (s *scorer) addSource(prompt *promptState, added source) {
 	if len(prompt.sources) < transferTuning.maxSources {
 		prompt.sources = append(prompt.sources, added)
@@ -203,8 +206,9 @@
 	}
 }
 
-// isBetterSource reports whether source a is better than b: the one that caches more consecutive parts from
-// the first on, then one in the request's zone, then the one whose link is free sooner.
+// isBetterSource reports whether source a is better than source b. The better one is the one that caches more
+// consecutive prompt parts from the first on; if equal, one in the request's zone; if equal, the one whose link
+// is free sooner.
 func (s *scorer) isBetterSource(a, b source) bool {
 	if runA, runB := bits.TrailingZeros64(^a.presumedParts), bits.TrailingZeros64(^b.presumedParts); runA != runB {
 		return runA > runB
@@ -215,8 +219,9 @@
 	return a.stats.linkBusyUntil < b.stats.linkBusyUntil
 }
 
-// findHome finds the home worker of the affinity part: among the usable candidates whose load is within the
-// limit, the one with the highest rendezvous hashing weight.
+// findHome finds the home worker of the affinity part: the one with the highest rendezvous hashing weight among
+// the usable candidates that serve the prompt state's weights version and whose load is within the limit (see
+// affinityTuning.homeLoadRatio).
 func (s *scorer) findHome(prompt *promptState) {
 	part := keyHash(prompt.keys[prompt.affinityPart])
 	greatest := uint64(0)
@@ -232,8 +237,9 @@
 	}
 }
 
-// transferMsPerToken returns how long the transfer of one token's cache takes over the slower of the engine's
-// link and a link of linkMbps. It returns 0 if the speed of either link is unknown.
+// transferMsPerToken returns how many milliseconds the transfer of one token's cache takes over the slower of
+// two links: that of the engine's workers and a link of linkMbps. It returns 0 if the speed of either link is
+// unknown.
 func transferMsPerToken(engine *routingconfig.Engine, linkMbps float64) float64 {
 	if engine.LinkMbps <= 0 || linkMbps <= 0 {
 		return 0
--- a/internal/data/selection/score.go
+++ b/internal/data/selection/score.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// workerCost is the cost of executing a request on one worker.
+// workerCost is the estimated cost of executing a request on one worker, with what it is derived from.
 type workerCost struct {
 	// Sum of all cost terms, in milliseconds.
 	totalMs float64
@@ -13,16 +13,17 @@
 	prefillTokens float64
 	// Milliseconds for which the transfer of fetched parts occupies the links of worker and source.
 	transferMs float64
-	// Worker or store that parts are fetched from; nil: none.
+	// Worker or store that prompt parts are fetched from; nil: none are fetched.
 	source *source
 }
 
-// consecutiveParts returns how many consecutive parts a bitmap of parts contains, starting with part number
+// consecutiveParts returns how many consecutive prompt parts a bitmap contains, starting with the part at index
 // from.
 func consecutiveParts(parts uint64, from int) int { return bits.TrailingZeros64(^(parts >> from)) }
 
-// score returns the cost of the request on a candidate, the sum of the terms listed in the package comment.
-// For a candidate that can't cost less than bestMs it stops early and returns a lower bound of the cost.
+// score returns the cost of executing the request on a candidate, the sum of the terms listed in the package
+// comment. For a candidate that can't cost less than bestMs, the lowest cost of the candidates scored so far,
+// it stops early and returns a lower bound of the cost.
 func (s *scorer) score(index int, prompt *promptState, bestMs float64) workerCost {
 	candidate := &s.group.candidates[index]
 	cached := min(consecutiveParts(s.table.presumedParts[index], 0), s.partCount())
@@ -39,7 +40,7 @@
 	slowness := s.table.slowness(candidate.stats, s.now)
 	cost += slowness * s.baseLatencyMs(candidate)
 
-	// Lower bound of the cost: all missing shared tokens are fetched at no cost.
+	// The lower bound of the cost assumes that all missing shared tokens are fetched at no cost.
 	if lowerBoundMs := cost + slowness*s.stats.msPerToken*(missing-shared); lowerBoundMs >= bestMs {
 		return workerCost{totalMs: lowerBoundMs}
 	}
@@ -50,7 +51,8 @@
 	}
 	cost += slowness*s.stats.msPerToken*missing + fetched.costMs
 	if shared > 0 && prompt.partsWithHolder>>cached&1 == 1 {
-		// Another worker caches these parts, so prefilling them here would be duplicate work.
+		// A worker or store caches the first part that the candidate lacks, so prefilling it would be duplicate
+		// work.
 		cost += s.duplicatePrefillMsPerToken * shared
 	}
 	return workerCost{totalMs: cost, prefillTokens: missing, transferMs: fetched.transferMs, source: fetched.source}
@@ -59,19 +61,19 @@
 // partCount returns the number of prompt parts that the selection considers.
 func (s *scorer) partCount() int { return len(s.cumulativeTokens) - 1 }
 
-// congestionMs is the expected slowdown of the request by the other requests that the worker executes
-// concurrently.
+// congestionMs is the expected slowdown of the request, in milliseconds, by the other requests that the worker
+// executes concurrently.
 func (s *scorer) congestionMs(index int) float64 {
 	return loadTuning.congestionWeight * s.stats.meanAttemptMs * s.table.loads[index] / s.group.candidates[index].slots()
 }
 
-// tieBreakMs is a small cost derived from the hash of request and worker, so that edge machines with the same
-// information don't all select the same one of several equal workers.
+// tieBreakMs is a small cost, in milliseconds, derived from the hash of request and worker, so that edge
+// machines with the same information don't all select the same one of several equal workers.
 func (s *scorer) tieBreakMs(candidate *candidate) float64 {
 	return loadTuning.tieBreakRatio * s.targetMs * float64(mix(s.requestHash^candidate.hash)>>11) / (1 << 53)
 }
 
-// queueingMs is the expected wait for a slot if all slots of the worker are in use.
+// queueingMs is the expected wait for a slot of the worker, in milliseconds; 0 if the worker has a free slot.
 func (s *scorer) queueingMs(index int) float64 {
 	load, slots := s.table.loads[index], s.group.candidates[index].slots()
 	if load < slots {
@@ -80,7 +82,7 @@
 	return (load - slots + 1) / slots * s.stats.meanAttemptMs
 }
 
-// crossZoneMs is the cost of sending the prompt to a worker in another zone.
+// crossZoneMs is the cost, in milliseconds, of sending the prompt to a worker in another zone.
 func (s *scorer) crossZoneMs(candidate *candidate) float64 {
 	if candidate.worker.Zone == s.request.Zone {
 		return 0
@@ -88,9 +90,10 @@
 	return transferTuning.promptWeight * s.targetMs * affinityTuning.duplicatePrefillRatio * float64(s.request.PromptTokens)
 }
 
-// affinityMs is the cost of another copy of the affinity part. It is charged to a candidate that lacks the part
-// while another worker caches it and, while no worker caches it, to all candidates but the home worker. There
-// is no such cost for a part that the cache placement replicates.
+// affinityMs is the cost, in milliseconds, of another copy of the affinity part, the prompt part whose hash
+// determines the home worker. It is charged to a candidate that lacks the part while another worker or a store
+// caches it and, while none does, to all candidates but the home worker. There is no such cost for a part that
+// the cache placement replicates.
 func (s *scorer) affinityMs(index int, prompt *promptState) float64 {
 	if prompt.affinityPart < 0 || prompt.isReplicated {
 		return 0
@@ -98,7 +101,7 @@
 	isNotHome := prompt.home >= 0 && prompt.home != index
 	weight := 0.0
 	if !prompt.isCold && s.table.presumedParts[index]>>prompt.affinityPart&1 == 0 {
-		// The copy evicts another part from the worker's cache.
+		// A copy of the affinity part evicts another part from the worker's cache.
 		weight += affinityTuning.copyWeight
 		if isNotHome {
 			weight += affinityTuning.copyElsewhereWeight
@@ -109,19 +112,19 @@
 	return weight * (s.duplicatePrefillMsPerToken + s.stats.msPerToken) * s.cumulativeTokens[prompt.affinityPart+1]
 }
 
-// slowStartMs is the cost charged to a worker that was ejected recently.
+// slowStartMs is the cost, in milliseconds, charged to a worker that was ejected recently.
 func (s *scorer) slowStartMs(candidate *candidate) float64 {
 	return candidate.stats.slowStartRatio(s.now) * slowStartTuning.cost * s.targetMs
 }
 
-// baseLatencyMs is the expected time to the first event of an empty prompt, after the prompts that are queued
-// ahead of it.
+// baseLatencyMs is the expected time, in milliseconds, to the first response event of an empty prompt,
+// including the wait for the prompts that are queued ahead of it.
 func (s *scorer) baseLatencyMs(candidate *candidate) float64 {
 	return s.stats.firstEventMs + s.table.backlogMs(candidate.stats, s.now)
 }
 
-// rolloutMs is the cost charged to a worker on an older weights version than the one that the prompt is
-// assigned to.
+// rolloutMs is the cost, in milliseconds, charged to a worker on an older weights version than the one that
+// the prompt is assigned to.
 func (s *scorer) rolloutMs(prompt *promptState) float64 {
 	if prompt.version >= s.assignedVersion {
 		return 0
@@ -140,9 +143,9 @@
 	transferMs float64
 }
 
-// bestSource returns the source from which fetching saves a candidate the most, among those that cache the
-// parts after the leading ones that the candidate caches itself. It returns a zero choice if every transfer
-// costs more than it saves.
+// bestSource returns the source from which fetching prompt parts saves a candidate worker the most. cached is
+// the number of leading parts that the candidate caches itself; only sources that cache the part after them are
+// considered. It returns a zero choice if every transfer costs more than it saves.
 func (s *scorer) bestSource(index int, prompt *promptState, cached int) (best sourceChoice) {
 	worker := &s.group.candidates[index]
 	bestGainMs := 0.0
@@ -163,8 +166,8 @@
 	return best
 }
 
-// evaluateSource returns the cost and the savings of fetching count parts, after the cached leading ones, from
-// a source.
+// evaluateSource returns the cost and the savings if a worker that caches the first cached parts of the prompt
+// fetches the next count parts from a source.
 func (s *scorer) evaluateSource(source *source, worker *candidate, cached, count int) sourceChoice {
 	tokens := s.cumulativeTokens[cached+count] - s.cumulativeTokens[cached]
 	transferMs := tokens * source.msPerToken
--- a/internal/data/selection/scorer.go
+++ b/internal/data/selection/scorer.go
@@ -21,32 +21,32 @@
 	versions *modelVersions
 	stats    *serviceStats
 	model    string
-	// The prompt index's response; nil: there was none.
+	// Response of the prompt index, by key; nil: the index was not queried or did not respond.
 	found map[prefix.Key]*wire.LookupResult
 	now   time.Duration
-	// Indexes of the candidates that may be selected.
+	// Indexes of the candidate workers that may be selected.
 	usable []int
 	// Whether an earlier attempt of the request was sent to another worker.
 	isRetry bool
 
 	// Latency target of the request in milliseconds.
 	targetMs float64
-	// Extra cost per token, in milliseconds, of prefilling a part that another worker caches.
+	// Extra cost per token, in milliseconds, of prefilling a part that another worker or a store caches.
 	duplicatePrefillMsPerToken float64
-	// Prefix sums of the parts' tokens: element i is the number of tokens before part i.
+	// Prefix sums of the prompt parts' token counts: element i is the number of tokens before part i.
 	cumulativeTokens []float64
-	// Prompt tokens beyond the considered parts.
+	// Number of prompt tokens after the parts that the selection considers.
 	remainingTokens float64
-	// Mean load of the usable candidates.
+	// Mean number of running and waiting requests of the workers that may be selected.
 	meanLoad float64
 	// Hash of the request ID.
 	requestHash uint64
-	// Newest weights version if the prompt is assigned to it, else 0.
+	// Newest weights version that the usable workers serve, if the prompt is assigned to it; else 0.
 	assignedVersion uint64
 }
 
-// parts returns the parts that the selection considers, at most maxParts because sets of parts are uint64
-// bitmaps.
+// parts returns the prompt parts that the selection considers, at most maxParts because sets of parts are
+// uint64 bitmaps.
 func (r *Request) parts() []PromptPart { return r.Parts[:min(len(r.Parts), maxParts)] }
 
 // selectBest selects the usable candidate with the lowest cost. At least one candidate has to be usable.
@@ -56,7 +56,7 @@
 	s.countTokens()
 	s.updateStoreHealth()
 	s.estimateLoads()
-	// One prompt state per weights version that usable candidates serve, newest first.
+	// prompts has one prompt state per weights version that usable candidates serve, newest version first.
 	var prompts []*promptState
 	for _, version := range s.servedVersions() {
 		prompts = append(prompts, s.newPromptState(version))
@@ -86,7 +86,8 @@
 	return choice
 }
 
-// promptOf returns the prompt state for a weights version by linear search, as there are few versions.
+// promptOf returns the prompt state for a weights version, or nil if there is none. It searches linearly, as
+// there are few versions.
 func promptOf(prompts []*promptState, version uint64) *promptState {
 	for _, prompt := range prompts {
 		if prompt.version == version {
@@ -96,10 +97,10 @@
 	return nil
 }
 
-// assignToNewestVersion assigns a fraction of the prompts to the newest weights version, somewhat larger than
-// the fraction of workers that serve it, so that workers on older versions drain. The decision depends only on
-// a hash of the last shared part: all edge machines assign the same prompts, and a part moves to the newer
-// version only once.
+// assignToNewestVersion decides whether the prompt is assigned to the newest weights version. The fraction of
+// prompts that are is somewhat larger than the fraction of workers that serve this version, so that workers on
+// older versions drain. The decision depends only on that fraction and on a hash of the last shared prompt
+// part: all edge machines assign the same prompts, and a part moves to the newer version only once.
 func (s *scorer) assignToNewestVersion() {
 	newest, count := uint64(0), 0
 	for _, index := range s.usable {
@@ -145,7 +146,8 @@
 	s.duplicatePrefillMsPerToken = s.targetMs * affinityTuning.duplicatePrefillRatio
 }
 
-// countTokens computes the prefix sums of the parts' tokens, and the tokens beyond the considered parts.
+// countTokens computes the prefix sums of the token counts of the considered prompt parts, and the number of
+// tokens after these parts.
 func (s *scorer) countTokens() {
 	parts := s.request.parts()
 	s.cumulativeTokens = make([]float64, len(parts)+1)
@@ -155,8 +157,8 @@
 	s.remainingTokens = max(0, float64(s.request.PromptTokens)-s.cumulativeTokens[len(parts)])
 }
 
-// updateStoreHealth records which stores are available: the index returns a holder for the health key of an
-// available store.
+// updateStoreHealth records which stores are available: the prompt index returns a holder for the health key
+// of an available store and none for that of an unavailable one.
 func (s *scorer) updateStoreHealth() {
 	for _, store := range s.group.stores {
 		if found, ok := s.found[promptindex.StoreHealthKey(store.service.Name)]; ok {
@@ -165,7 +167,7 @@
 	}
 }
 
-// estimateLoads resets the scratch memory of the table for this selection, and estimates the loads of the
+// estimateLoads resets the table's per-candidate slices for this selection, and estimates the loads of the
 // usable candidates.
 func (s *scorer) estimateLoads() {
 	t, count := s.table, len(s.group.candidates)
@@ -189,7 +191,7 @@
 	return l
 }
 
-// cacheSalt returns the salt of the prompt's cache keys under a weights version. If the control state names a
+// cacheSalt returns the salt of the prompt's cache keys for a weights version. If the control state names a
 // version of the model but workers don't report which one they serve, each request gets a salt of its own, so
 // that no cached parts are shared.
 func (s *scorer) cacheSalt(version uint64) string {
