--- a/internal/data/selection/attempts.go
+++ b/internal/data/selection/attempts.go
@@ -10,7 +10,8 @@
 // attemptKey identifies an attempt by the ID of its request and the ID of its worker.
 type attemptKey struct{ request, worker string }
 
-// attempt is what the selection expected of an attempt, to be compared with its outcome.
+// attempt is one attempt of a request at a worker: the prefill, transfers and prompt parts that the selection
+// expected of it, and its progress.
 type attempt struct {
 	// Prompt tokens that the worker has to prefill.
 	prefillTokens float64
@@ -18,13 +19,13 @@
 	transferMs float64
 	// Prompt index keys of the prompt's parts.
 	keys []prefix.Key
-	// The parts of the prompt that other requests use too.
+	// Prompt parts that other requests use too.
 	sharedParts []prefix.Entry
 	// Statistics of the worker that executes the attempt.
 	stats *workerStats
-	// Statistics of the worker or store that parts are fetched from; nil: none.
+	// Statistics of the worker or store that prompt parts are fetched from; nil: none are fetched.
 	source *workerStats
-	// Name of the store that the worker saves parts to; empty: none.
+	// Name of the store that the worker saves prompt parts to; empty: it saves none.
 	store string
 	// Whether the service has a prompt cache and the prompt isn't empty.
 	usesCache bool
@@ -34,16 +35,17 @@
 
 	// Whether the first response event was received.
 	firstEventSeen bool
-	// Time at which a missing first response event counts as overdue.
+	// Time from which the first response event counts as overdue if it has not been received.
 	firstEventDue time.Duration
 	// Time at which the attempt was sent.
 	sentAt time.Duration
-	// Expected time the worker spends on prefill for this attempt; 0 once prefill has ended.
+	// Expected duration of the prefill of the attempt's prompt; 0 once the prefill has ended.
 	prefillTime time.Duration
 }
 
-// recordSent records that an attempt is in flight and returns what its selection expected of it. It returns a
-// zero attempt if the attempt was never selected or is already in flight.
+// recordSent records that an attempt is in flight and returns the prefill, transfers and prompt parts that the
+// selection expected of it. It returns a zero attempt if the attempt was never selected or is already in
+// flight.
 func (t *table) recordSent(request *Request, choice Choice, now time.Duration) attempt {
 	key := attemptKey{request.ID, choice.Worker.ID}
 	sent, isSelected := t.selected.get(key)
@@ -72,8 +74,8 @@
 	return sent
 }
 
-// recordParts records that the worker of an attempt is presumed to cache the prompt's parts from now on, and
-// that the parts are being saved to the attempt's store, if it has one.
+// recordParts records that the worker of a sent attempt is presumed to cache the prompt's parts from now on,
+// and that the parts are being saved to the attempt's store, if it has one.
 func (t *table) recordParts(sent *attempt, request *Request, choice Choice, now time.Duration) {
 	for _, key := range sent.keys {
 		part, _ := t.parts.get(key)
@@ -87,7 +89,7 @@
 	}
 }
 
-// dropAbandoned removes attempts in flight whose outcome was never recorded.
+// dropAbandoned removes attempts in flight that are so old that their outcome won't be recorded anymore.
 func (t *table) dropAbandoned(now time.Duration) {
 	if now-t.lastSweep < t.bounds.Heal(recordTuning.lifetimeRatio) {
 		return
@@ -102,8 +104,8 @@
 	}
 }
 
-// abandonedRatio is the age at which an attempt without an outcome is removed, as a ratio of the time for
-// which request IDs are remembered.
+// abandonedRatio is the age at which an attempt without a recorded outcome is removed, as a ratio of the time
+// for which request IDs are remembered.
 const abandonedRatio = 1.0 / 2
 
 // recordFirstEvent records the first response event of an attempt, which shows that its prompt is prefilled
@@ -130,14 +132,14 @@
 	service.meanPrefillTokens = movingAverage(service.meanPrefillTokens, sent.prefillTokens, loadTuning.sampleWeight)
 	worker.latenessMs = max(0, milliseconds(firstEvent)-service.firstEventMs-service.msPerToken*sent.prefillTokens)
 	worker.latenessAt = now
-	// With other requests queued, the time to the first event includes more than prefill.
+	// If the worker reports waiting requests, the time to the first event includes more than prefill.
 	if load == nil || load.Waiting == 0 {
 		t.learnFirstEvent(worker, sent.prefillTokens, firstEvent, now)
 	}
 }
 
-// recordPrefillEnd records that the worker has stopped prefilling the attempt's prompt, whether earlier or
-// later than expected.
+// recordPrefillEnd records that the worker has stopped prefilling the attempt's prompt. If it stopped earlier
+// than expected, the time at which the worker is expected to finish all prefills becomes earlier.
 func (a *attempt) recordPrefillEnd(key attemptKey, now time.Duration) {
 	a.stats.removePendingPrefill(key)
 	if left := a.prefillTime - (now - a.sentAt); left > 0 {
@@ -150,8 +152,8 @@
 	w.pendingPrefills = slices.DeleteFunc(w.pendingPrefills, func(p pendingPrefill) bool { return p.attempt == key })
 }
 
-// recordOutcome records how an attempt ended. firstEvent is the time to its first response event, or 0 if none
-// was received.
+// recordOutcome records how an attempt ended. load is the load that the worker reported, nil if none.
+// firstEvent is the time from sending the attempt to its first response event, or 0 if none was received.
 func (t *table) recordOutcome(request *Request, choice Choice, outcome Outcome, load *Load, firstEvent, now time.Duration) {
 	key := attemptKey{request.ID, choice.Worker.ID}
 	if firstEvent > 0 {
@@ -176,7 +178,8 @@
 	t.applyOutcome(&ended, choice, outcome, firstEvent, now)
 }
 
-// applyOutcome updates the statistics of an attempt's worker with the outcome of the attempt.
+// applyOutcome updates the statistics of an attempt's worker with the outcome of the attempt: its ejection, for
+// how long it is avoided after a rejection, and the mean duration of attempts.
 func (t *table) applyOutcome(ended *attempt, choice Choice, outcome Outcome, firstEvent, now time.Duration) {
 	worker := ended.stats
 	switch outcome {
@@ -199,8 +202,8 @@
 	}
 }
 
-// confirmHolder records that the attempt's worker caches the prompt's parts, as its first response event
-// shows.
+// confirmHolder records that the attempt's worker is confirmed to cache the prompt's parts, because it sent a
+// response event.
 func (t *table) confirmHolder(sent *attempt, choice Choice, now time.Duration) {
 	for _, key := range sent.keys {
 		part, _ := t.parts.get(key)
--- a/internal/data/selection/ejection.go
+++ b/internal/data/selection/ejection.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// slowStartRatio is by how much a worker's share of requests is reduced after an ejection: the failure ratio
-// when the ejection ends, falling linearly to 0 over as much time as the ejection lasted.
+// slowStartRatio determines how much a worker is disfavored during and after an ejection: it is the worker's
+// failure ratio until the ejection ends, and then falls linearly to 0 over as much time as the ejection lasted.
 func (w *workerStats) slowStartRatio(now time.Duration) float64 {
 	end := w.ejectedUntil + w.ejectionTime
 	if w.ejectionTime <= 0 || now >= end {
@@ -35,13 +35,13 @@
 	return min(1, float64(end-now)/float64(w.ejectionTime)) * w.failureRatio
 }
 
-// outcomeCounts counts outcomes of attempts. The counts decay exponentially with age.
+// outcomeCounts counts successful and failed attempts. The counts decay with age (see decayWeight).
 type outcomeCounts struct {
 	succeeded, failed float64
 	updatedAt         time.Duration
 }
 
-// add applies the decay up to now to the counts, and adds outcomes to them.
+// add applies the decay since the last call to the counts, and then adds the given numbers of outcomes.
 func (c *outcomeCounts) add(succeeded, failed float64, now, decayTime time.Duration) {
 	weight := decayWeight(now-c.updatedAt, decayTime)
 	c.succeeded, c.failed, c.updatedAt = c.succeeded*weight+succeeded, c.failed*weight+failed, now
@@ -53,7 +53,8 @@
 	}
 }
 
-// firstEventTimeout returns after how long a missing first response event of an attempt counts as overdue.
+// firstEventTimeout returns the time after the sending of an attempt from which its first response event counts
+// as overdue if it has not been received.
 func (t *table) firstEventTimeout(sent *attempt, request *Request, now time.Duration) time.Duration {
 	stats := sent.stats
 	expectedMs := stats.service.expectedFirstEventMs(sent.prefillTokens) + t.backlogMs(stats, now)
@@ -65,8 +66,8 @@
 }
 
 // countOutcome counts an outcome as a success or failure of the attempt's worker. A client disconnect or an
-// exceeded deadline counts as a failure only if the first response event was overdue by then. Rejections, such
-// as those for lack of a free slot, are not counted.
+// exceeded deadline counts as a failure only if the first response event was missing and overdue by then.
+// Rejections, such as those for lack of a free slot, are not counted.
 func (t *table) countOutcome(ended *attempt, outcome Outcome, now time.Duration) {
 	isOverdue := !ended.firstEventSeen && now >= ended.firstEventDue
 	succeeded, failed := 0.0, 0.0
@@ -85,9 +86,10 @@
 	return t.bounds.Heal(ejectionTuning.outcomeDecayRatio)
 }
 
-// ejectIfSuspect ejects a worker whose failure ratio, by the outcomes that all edge machines share, is much
-// higher than that of its peers. The ejection is renewed with each report while that holds. totalSucceeded and
-// totalFailed are sums over all workers of the service, including this one.
+// ejectIfSuspect ejects a worker whose failure ratio, over the recent attempts of all edge machines, is much
+// higher than that of the service's other workers. Each load report of the other edge machines renews the
+// ejection while that is the case. totalSucceeded and totalFailed are the numbers of recent attempts that
+// succeeded and failed at all workers of the service, including this one.
 func (t *table) ejectIfSuspect(worker *workerStats, totalSucceeded, totalFailed float64, now time.Duration) {
 	failed, succeeded := worker.othersFailed+worker.outcomes.failed, worker.othersSucceeded+worker.outcomes.succeeded
 	if failed < ejectionTuning.minFailures {
--- a/internal/data/selection/eligibility.go
+++ b/internal/data/selection/eligibility.go
@@ -13,14 +13,15 @@
 const (
 	notAvoided avoidReason = iota
 	avoidNoFreeSlot
-	// avoidCordoned means that the worker is excluded from new requests while it loads other weights.
+	// avoidCordoned means that the cache placement excludes the worker from new requests while it loads newer
+	// weights.
 	avoidCordoned
 	avoidNotReady
 )
 
-// usable returns the indexes of the candidates that may be selected. Draining workers, workers that were tried
-// and workers on weights that are too old are excluded; of the rest, only those with the weakest reason to be
-// avoided are included.
+// usable returns the indexes of the candidate workers that may be selected. Draining workers, workers that got
+// an earlier attempt of the request and workers on weights that are too old are excluded; of the rest, only
+// those with the weakest reason to be avoided are included, without ejected ones (see withoutEjected).
 func (t *table) usable(group *serviceGroup, versions *modelVersions, snapshot *fleet.Snapshot, model string, tried map[string]bool, now time.Duration) []int {
 	named, oldest := snapshot.NamedVersions[model], t.oldestAllowedVersion(snapshot, model, versions, now)
 	weakest := avoidNotReady
@@ -48,8 +49,8 @@
 	return withoutEjected(group, usable, now)
 }
 
-// avoidReason returns why a worker that serves the given version should be avoided, judging by rejections of
-// attempts that this edge machine sent.
+// avoidReason returns why a worker that serves the given weights version should be avoided, judging by its
+// rejections of attempts that this edge machine sent.
 func (w *workerStats) avoidReason(version uint64, now time.Duration) avoidReason {
 	switch {
 	case now < w.notReadyUntil && w.notReadyVersion == version:
@@ -60,8 +61,9 @@
 	return notAvoided
 }
 
-// withoutEjected removes ejected workers from the usable candidates, but at most a fraction of maxEjectedRatio
-// and never all. If more are ejected, those whose ejection ends first are used all the same.
+// withoutEjected removes ejected workers from the usable candidates, but at most a fraction of
+// ejectionTuning.maxEjectedRatio and never all. If more are ejected, those whose ejection ends first remain
+// usable.
 func withoutEjected(group *serviceGroup, usable []int, now time.Duration) []int {
 	countEjected := func(after time.Duration) (count int) {
 		for _, index := range usable {
@@ -75,7 +77,7 @@
 	if ejected == 0 || maxEjected == 0 {
 		return usable
 	}
-	// Candidates whose ejection ends later than this are removed.
+	// until is the time such that candidates whose ejection ends later are removed.
 	until := now
 	for ejected > maxEjected {
 		until = nextEjectionEnd(group, usable, until)
@@ -90,8 +92,8 @@
 	return remaining
 }
 
-// nextEjectionEnd returns the earliest time after the given one at which the ejection of a usable candidate
-// ends; 0 if there is none.
+// nextEjectionEnd returns the earliest time later than after at which the ejection of a usable candidate ends;
+// 0 if no ejection ends later than after.
 func nextEjectionEnd(group *serviceGroup, usable []int, after time.Duration) (next time.Duration) {
 	for _, index := range usable {
 		if end := group.candidates[index].stats.ejectedUntil; end > after && (next == 0 || end < next) {
--- a/internal/data/selection/estimator.go
+++ b/internal/data/selection/estimator.go
@@ -5,10 +5,12 @@
 	"time"
 )
 
-// linearFit is a linear regression of y on x in which older samples have exponentially lower weight.
+// linearFit is a linear regression of y on x, stored as weighted sums. Older samples have exponentially lower
+// weight.
 type linearFit struct{ count, sumX, sumY, sumXX, sumXY float64 }
 
-// add adds a sample; decay is the factor by which the weight of all earlier samples is multiplied.
+// add adds a sample to the regression. decay is the factor by which the weight of all earlier samples is
+// multiplied.
 func (f *linearFit) add(x, y, decay float64) {
 	f.count = f.count*decay + 1
 	f.sumX = f.sumX*decay + x
@@ -18,7 +20,8 @@
 }
 
 // coefficients returns the regression line y = base + slope*x. Base and slope are each limited to between
-// 1/maxMultiple and maxMultiple of their prior.
+// 1/maxMultiple and maxMultiple times their prior (see estimatorTuning), and equal it if the samples determine
+// no line.
 func (f *linearFit) coefficients(priorBase, priorSlope float64) (base, slope float64) {
 	base, slope = priorBase, priorSlope
 	if determinant := f.count*f.sumXX - f.sumX*f.sumX; determinant > 0 && f.count > 0 {
@@ -28,13 +31,14 @@
 	return base, slope
 }
 
-// withinMultiple limits a value to between 1/maxMultiple and maxMultiple of its prior.
+// withinMultiple limits a value to between 1/maxMultiple and maxMultiple times its prior (see estimatorTuning).
 func withinMultiple(value, prior float64) float64 {
 	return min(max(value, prior/estimatorTuning.maxMultiple), prior*estimatorTuning.maxMultiple)
 }
 
-// learnFirstEvent updates the estimates of a worker and its service with the measured time to a first response
-// event. tokens is the number of prompt tokens that were prefilled.
+// learnFirstEvent updates a worker's slowness and the first event estimates of its service with the time
+// firstEvent from sending a prompt to its first response event. tokens is the number of prompt tokens that the
+// worker prefilled.
 func (t *table) learnFirstEvent(w *workerStats, tokens float64, firstEvent, now time.Duration) {
 	stats := w.service
 	ms, expectedMs := milliseconds(firstEvent), stats.expectedFirstEventMs(tokens)
@@ -50,8 +54,8 @@
 	stats.firstEventMs, stats.msPerToken = stats.firstEventFit.coefficients(stats.priorFirstEventMs, stats.priorMsPerToken)
 }
 
-// slowness returns the time to a worker's first response events relative to that of its peers; without new
-// samples it decays towards 1.
+// slowness returns the ratio of a worker's times to first response events to those expected of the service's
+// workers; without new samples it decays towards 1.
 func (t *table) slowness(w *workerStats, now time.Duration) float64 {
 	if w.logSlowness == 0 {
 		return 1
--- a/internal/data/selection/layout.go
+++ b/internal/data/selection/layout.go
@@ -8,7 +8,8 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// candidate is one worker of a service, with the statistics that this edge machine has of it.
+// candidate is one worker of a service, any of which may be selected, with the statistics that this edge
+// machine has of it.
 type candidate struct {
 	worker *fleet.Worker
 	stats  *workerStats
@@ -27,34 +28,35 @@
 	stats   *workerStats
 }
 
-// serviceGroup is the workers of a service and all stores that cache prompt parts.
+// serviceGroup contains the workers of one service and all stores that cache prompt parts.
 type serviceGroup struct {
 	service    *routingconfig.Service
 	candidates []candidate
-	// By worker ID: position of the worker in candidates.
+	// By worker ID: index of the worker in candidates.
 	index  map[string]int
 	stores []storeCandidate
-	// By model: weights versions that the candidates serve.
+	// By model: versions of the model's weights that the candidates serve.
 	models map[string]*modelVersions
-	// By candidate: whether the worker is excluded from new requests while it loads other weights.
+	// By candidate: whether the cache placement excludes the worker from new requests while it loads other
+	// weights.
 	cordoned []bool
 }
 
-// layout is a snapshot indexed by service.
+// layout is a snapshot of the fleet, indexed by service.
 type layout struct {
 	snapshot *fleet.Snapshot
 	// Hash of the snapshot's list of workers, see table.workerListHash.
 	workerListHash uint64
-	// By service name: the workers of the service, and the stores.
+	// By service name: the workers of the service, and all stores.
 	groups map[string]*serviceGroup
-	// Number of prompt size classes within one priority of the routing plan.
+	// Number of prompt size classes into which each priority of the routing plan is divided.
 	sizeClasses int
 }
 
 const (
 	// Number of priority levels that workers distinguish: 0 (highest) to 9.
 	priorityLevels = 10
-	// Maximum number of prompt size classes within one priority of the routing plan.
+	// Maximum number of prompt size classes into which each priority of the routing plan is divided.
 	maxSizeClasses = 3
 )
 
@@ -70,14 +72,16 @@
 	return min(max(priority, 0), priorityLevels-1)
 }
 
-// priorityLevel maps a priority of the routing plan and a prompt size class to one of the worker's levels, 0
-// (highest) to 9. Levels that the plan's priorities leave free divide each priority by size class. Shorter
-// prompts go first, so that more requests meet their latency target when not all can.
+// priorityLevel maps a priority of the routing plan and a prompt size class to one of the priority levels that
+// workers distinguish, 0 (highest) to 9. If the plan uses fewer priorities than there are levels, each priority
+// is divided into levels by size class. Shorter prompts go first, so that more requests meet their latency
+// target when not all can.
 func (l *layout) priorityLevel(urgency, sizeClass int) int {
 	return min(urgency*l.sizeClasses+min(sizeClass, l.sizeClasses-1), priorityLevels-1)
 }
 
-// sizeClassesOf returns into how many prompt size classes each priority of the routing plan can be divided.
+// sizeClassesOf returns into how many prompt size classes each priority of the routing plan can be divided, so
+// that all of them fit into the priority levels of workers.
 func sizeClassesOf(plan *routingconfig.Plan) int {
 	lowest := 0
 	if plan != nil {
@@ -91,8 +95,9 @@
 	return min(max(priorityLevels/(lowest+1), 1), maxSizeClasses)
 }
 
-// layoutFor returns the layout of a snapshot, and builds it if it isn't the current one. Statistics of workers
-// and services that the snapshot still contains are carried over; others are discarded.
+// layoutFor returns the layout of a snapshot of the fleet, and builds it if the snapshot isn't the one used
+// last. Statistics of workers and services that the snapshot still contains are carried over; others are
+// discarded.
 func (t *table) layoutFor(snapshot *fleet.Snapshot) *layout {
 	if t.layout != nil && t.layout.snapshot == snapshot {
 		return t.layout
@@ -149,7 +154,8 @@
 	services map[string]*serviceStats
 }
 
-// stats returns the statistics of a worker or store: the table's if it has some, else new ones.
+// stats returns the statistics of a worker or store of a service: those of the table, or new ones if the table
+// has none.
 func (c *carriedStats) stats(id, service string) *workerStats {
 	worker := c.from.workers[id]
 	if worker == nil {
--- a/internal/data/selection/leastloaded.go
+++ b/internal/data/selection/leastloaded.go
@@ -7,9 +7,9 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// selectLeastLoaded selects a worker of a service without a prompt cache: the less loaded of two workers drawn
-// by the hash of the request ID. Workers in the request's zone are preferred while the one drawn there has a
-// free slot.
+// selectLeastLoaded selects a worker of a service without a prompt cache: the less loaded of two workers that
+// the hash of the request ID determines. They are drawn from the request's zone and, if the less loaded of them
+// has no free slot, also from all zones.
 func (t *table) selectLeastLoaded(group *serviceGroup, usable []int, request *Request, snapshot *fleet.Snapshot, now time.Duration) Choice {
 	var near []int
 	for _, index := range usable {
@@ -42,8 +42,8 @@
 	return Choice{Worker: *worker, Urgency: -1}
 }
 
-// effectiveLoad returns the estimated load of a worker; during slow start after an ejection it is increased by
-// up to the number of slots.
+// effectiveLoad returns the estimated load of a worker, a number of requests. During and after an ejection it
+// is increased by up to the worker's number of slots (see slowStartRatio).
 func (t *table) effectiveLoad(candidate *candidate, edges int, now time.Duration) float64 {
 	return t.estimatedLoad(candidate.stats, edges, now) + candidate.stats.slowStartRatio(now)*candidate.slots()
 }
--- a/internal/data/selection/loadsharing.go
+++ b/internal/data/selection/loadsharing.go
@@ -10,11 +10,12 @@
 	"pebbleloom/internal/wire"
 )
 
-// Units of the load reports on the wire. All releases that run together have to agree on them.
+// Units of the numbers in load reports between edge machines. All releases that run together have to agree on
+// them.
 const (
-	// Pending prompt tokens are reported in multiples of this.
+	// Unit, in tokens, of the number of prompt tokens to prefill in load reports.
 	pendingTokensUnit = 64
-	// Outcome counts are reported in eighths.
+	// Number by which outcome counts are multiplied in load reports: they are reported in eighths.
 	outcomesPerCount = 8
 )
 
@@ -32,14 +33,14 @@
 	return hash.Sum64()
 }
 
-// isSameList reports whether two slices share their memory, which suffices because lists in snapshots are
-// immutable.
+// isSameList reports whether two slices share their memory. That suffices to detect the same list of workers,
+// because lists in snapshots are immutable.
 func isSameList(a, b []fleet.Worker) bool {
 	return len(a) > 0 && len(a) == len(b) && &a[0] == &b[0]
 }
 
-// localLoads returns the current load of this edge machine at each worker; workers without load or outcomes
-// are omitted.
+// localLoads returns the load report of this edge machine: its current requests, prompt tokens to prefill and
+// recent outcomes at each worker. Workers for which all of these are 0 are omitted.
 func (t *table) localLoads(now time.Duration) *wire.WorkerLoads {
 	if t.layout == nil {
 		return nil
@@ -83,8 +84,8 @@
 	return overdue, tokens
 }
 
-// applyOthersLoads applies the loads that the other edge machines reported. Reports are ignored if they refer
-// to a different list of workers, are malformed, or come from no other edge machine.
+// applyOthersLoads applies the summed load report of the other edge machines. The report is ignored if it
+// refers to a different list of workers, is malformed, or has no reporting edge machine.
 func (t *table) applyOthersLoads(loads *wire.WorkerLoads, now time.Duration) {
 	if t.layout == nil || loads.WorkerListHash != t.layout.workerListHash || loads.Reporters == 0 || !promptindex.IsValidReport(loads) {
 		return
@@ -98,8 +99,8 @@
 	}
 }
 
-// applyGroupLoads applies the reported loads to the workers of one service. rows maps a worker's position in
-// the worker list to its position in the report.
+// applyGroupLoads applies the loads that other edge machines reported to the workers of one service. rows maps
+// a worker's position in the snapshot's list of workers to its position in the report.
 func (t *table) applyGroupLoads(group *serviceGroup, loads *wire.WorkerLoads, rows map[uint32]int, now time.Duration) {
 	totalLoad, totalSucceeded, totalFailed := 0.0, 0.0, 0.0
 	for i := range group.candidates {
--- a/internal/data/selection/partrecord.go
+++ b/internal/data/selection/partrecord.go
@@ -8,22 +8,22 @@
 	"pebbleloom/internal/fleet"
 )
 
-// partRecord is what this edge machine knows of a prompt part from its own requests.
+// partRecord is what this edge machine knows of a prompt part from the requests that it sent.
 type partRecord struct {
-	// Workers that the part was sent to most recently, latest first.
+	// The last workers that the prompt part was sent to, most recent first.
 	holders [maxRecentHolders]recentHolder
-	// ID of the last request that used the part.
+	// ID of the last request that contained the prompt part.
 	lastRequest string
-	// Whether at least two different requests used the part.
+	// Whether at least two different requests contained the prompt part.
 	isReused bool
-	// Time at which the part was last sent to a store; 0: never.
+	// Time at which the prompt part was last sent to a store; 0: never.
 	savedAt time.Duration
-	// Name of the store that the part was last sent to.
+	// Name of the store that the prompt part was last sent to.
 	savedIn string
 }
 
-// recentHolder is a worker that a prompt part was sent to. It is confirmed once its first response event was
-// received.
+// recentHolder is a worker that a prompt part was sent to. It is confirmed to cache the part once it has sent
+// the first response event of a request that contains the part.
 type recentHolder struct {
 	// ID of the worker; empty: the entry is unused.
 	worker     string
@@ -31,8 +31,8 @@
 	confirmed  bool
 }
 
-// addHolder makes a worker the most recent holder and evicts the oldest one if necessary. A confirmed holder
-// stays confirmed.
+// addHolder makes a worker the most recent holder of the prompt part. If there are too many holders, it removes
+// the oldest one. A confirmed holder stays confirmed.
 func (p *partRecord) addHolder(worker string, confirmed bool, now time.Duration) {
 	replaced := maxRecentHolders - 1
 	for i, holder := range p.holders {
@@ -45,7 +45,7 @@
 	p.holders[0] = recentHolder{worker, now, confirmed}
 }
 
-// removePresumedHolder removes a worker from the holders, unless it is confirmed.
+// removePresumedHolder removes a worker from the holders of the prompt part, unless it is a confirmed one.
 func (p *partRecord) removePresumedHolder(worker string) {
 	for i, holder := range p.holders {
 		if holder.worker == worker && !holder.confirmed {
@@ -56,8 +56,9 @@
 	}
 }
 
-// lookupKeys returns the keys to look up in the prompt index for a request, for the two newest weights
-// versions that workers serve. It returns none if the records of this edge machine suffice.
+// lookupKeys returns the keys to look up in the prompt index for a request: those of its prompt parts for the
+// two newest weights versions that workers serve, and the health keys of the stores. It returns none if the
+// records of this edge machine suffice.
 func (t *table) lookupKeys(snapshot *fleet.Snapshot, request *Request, now time.Duration) []prefix.Key {
 	group := t.layoutFor(snapshot).groups[request.Service]
 	if group == nil || group.service.Engine == nil || len(request.Parts) == 0 {
@@ -86,21 +87,21 @@
 	if len(keys) == 0 {
 		return nil
 	}
-	// The responses for these keys show which stores are available.
+	// The prompt index returns a holder for the health key of each available store.
 	for _, store := range group.stores {
 		keys = append(keys, promptindex.StoreHealthKey(store.service.Name))
 	}
 	return keys
 }
 
-// knowsHolder reports whether a prompt needs no lookup: either no part is shared, or the records of this edge
-// machine contain a recently confirmed worker on the given version that caches all shared parts. If there are
-// stores, the last shared part must also have been saved recently.
+// knowsHolder reports whether a prompt needs no lookup in the prompt index: either no part is shared, or the
+// records of this edge machine contain a recently confirmed worker on the given weights version that caches all
+// shared parts. If there are stores, the last shared part must also have been saved recently.
 func (s *scorer) knowsHolder(version uint64, keys []prefix.Key) bool {
 	t, lastIndex := s.table, len(keys)-1
 	lastShared := lastIndex - 1
 	if last, _ := t.parts.get(keys[lastIndex]); last.lastRequest != "" {
-		// The last part was used before, so it is part of a session.
+		// The last part of the prompt was used before, so it belongs to a session and is shared.
 		lastShared = lastIndex
 	}
 	if lastShared < 0 {
--- a/internal/data/selection/recentmap.go
+++ b/internal/data/selection/recentmap.go
@@ -4,7 +4,7 @@
 // previous one, whose entries are dropped unless they were put again. The map holds up to twice its limit.
 type recentMap[K comparable, V any] struct {
 	current, previous map[K]V
-	// Maximum number of entries in each generation.
+	// Maximum number of entries in each of the two generations.
 	limit int
 }
 
--- a/internal/data/selection/selector.go
+++ b/internal/data/selection/selector.go
@@ -23,8 +23,8 @@
 	index  *indexclient.Client
 }
 
-// New returns the selector of an edge machine, which uses the given client of the prompt index. The selector
-// stops with the process.
+// New returns the selector of an edge machine, which uses the given client of the prompt index and shares loads
+// with other edge machines through it. The selector stops with the process.
 //
 // Example: s := selection.New(process, indexclient.New(process, nodes))
 func New(process *daemon.Process, index *indexclient.Client) Selector {
@@ -38,7 +38,8 @@
 	return s
 }
 
-// Lookup queries the prompt index for the prompt's parts, unless the records of this edge machine suffice.
+// Lookup queries the prompt index for the workers and stores that cache the prompt's parts, unless the records
+// of this edge machine suffice.
 //
 // Example: found := s.Lookup(ctx, snapshot, request)
 func (s *selector) Lookup(ctx context.Context, snapshot *fleet.Snapshot, request *Request) map[prefix.Key]*wire.LookupResult {
@@ -63,8 +64,8 @@
 	return choice, ok
 }
 
-// RecordSent records that an attempt is in flight, and reports the use of its shared parts to the prompt
-// index.
+// RecordSent records that an attempt is in flight, and reports the use of the prompt's shared parts to the
+// prompt index.
 //
 // Example: s.RecordSent(request, choice)
 func (s *selector) RecordSent(request *Request, choice Choice) {
@@ -73,7 +74,7 @@
 	s.index.RecordAccesses(request.Service, sent.sharedParts, choice.Worker.ID, sent.store)
 }
 
-// RecordFirstEvent records the first response event of an attempt.
+// RecordFirstEvent records that the first response event of an attempt was received.
 //
 // Example: s.RecordFirstEvent(request, choice, &load, 80*time.Millisecond)
 func (s *selector) RecordFirstEvent(request *Request, choice Choice, load *Load, firstEvent time.Duration) {
@@ -87,14 +88,15 @@
 	s.actor.Ask(func(t *table) { t.recordOutcome(request, choice, outcome, load, firstEvent, s.clock.Now()) })
 }
 
-// localLoads returns the load of this edge machine at each worker, for other edge machines.
+// localLoads returns the report of this edge machine's load at each worker that the prompt index client shares
+// with other edge machines.
 func (s *selector) localLoads() (loads *wire.WorkerLoads) {
 	s.actor.Ask(func(t *table) { loads = t.localLoads(s.clock.Now()) })
 	return loads
 }
 
-// applyOthersLoads applies the loads that other edge machines reported. It returns without waiting for the
-// update.
+// applyOthersLoads applies the loads that other edge machines reported. It returns without waiting until the
+// actor has updated the table.
 func (s *selector) applyOthersLoads(loads *wire.WorkerLoads) {
 	s.actor.TrySend(func(t *table) { t.applyOthersLoads(loads, s.clock.Now()) })
 }
--- a/internal/data/selection/table.go
+++ b/internal/data/selection/table.go
@@ -15,15 +15,15 @@
 	bounds settings.Bounds
 	// Time of the process's start.
 	startedAt time.Duration
-	// Before this time, the time limit on the use of older weights doesn't apply.
+	// Time before which the rollout time limit, the limit on the use of older weights, doesn't apply.
 	rolloutLimitAppliesFrom time.Duration
-	// The current snapshot, indexed by service.
+	// Snapshot of the fleet that was used last, indexed by service.
 	layout *layout
-	// Statistics by worker ID, or by store name for stores.
+	// Statistics of workers by worker ID, and of stores by store name.
 	workers map[string]*workerStats
-	// Statistics by service name.
+	// Statistics of services by service name.
 	services map[string]*serviceStats
-	// Records of the prompt parts that this edge machine sent.
+	// Records of the prompt parts that this edge machine sent to workers, by prompt index key.
 	parts *recentMap[prefix.Key, partRecord]
 	// Selections whose attempt has not been sent yet.
 	selected *recentMap[attemptKey, attempt]
@@ -34,15 +34,16 @@
 	// Time of the last removal of attempts whose outcome was never recorded.
 	lastSweep time.Duration
 
-	// Scratch memory of one selection, by candidate. A set of parts is a uint64 bitmap with one bit per part.
+	// The slices below are reused by all selections to avoid allocations. A set of parts is a uint64 bitmap
+	// with one bit per part.
 
-	// By candidate: parts that the worker is confirmed to cache.
+	// By candidate: prompt parts that the worker is confirmed to cache.
 	confirmedParts []uint64
-	// By candidate: parts that the worker is presumed or confirmed to cache.
+	// By candidate: prompt parts that the worker is presumed or confirmed to cache.
 	presumedParts []uint64
-	// By candidate: parts that the worker is still prefilling for this edge machine.
+	// By candidate: prompt parts that the worker is still prefilling for requests of this edge machine.
 	prefillingParts []uint64
-	// By candidate: estimated number of running and waiting requests.
+	// By candidate: estimated number of running and waiting requests at the worker.
 	loads         []float64
 	usableScratch []int
 	reasonScratch []avoidReason
@@ -61,8 +62,9 @@
 	}
 }
 
-// selectWorker selects a worker for a request. It returns false if no worker is usable, or if the wait at the
-// best worker would be too long and the request was not sent to any worker yet.
+// selectWorker selects a worker for a request, given the prompt index's response found and the IDs of the
+// workers that were tried before. It returns false if no worker is usable, or if the wait at the best worker
+// would be too long (see loadTuning.maxWaitRatio) and the request was not sent to any worker yet.
 func (t *table) selectWorker(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool, now time.Duration) (Choice, bool) {
 	group := t.layoutFor(snapshot).groups[request.Service]
 	if group == nil || len(group.candidates) == 0 {
--- a/internal/data/selection/versions.go
+++ b/internal/data/selection/versions.go
@@ -8,13 +8,14 @@
 	"pebbleloom/internal/fleet"
 )
 
-// modelVersions lists which version of a model's weights each candidate serves.
+// modelVersions lists which version of one model's weights each candidate worker of a service serves.
 type modelVersions struct {
-	// By candidate: served version of the weights; 0: none reported.
+	// By candidate worker: version of the model's weights that it serves; 0: it reports none.
 	byCandidate []uint64
-	// The distinct versions that candidates serve, newest first.
+	// The distinct weights versions that candidate workers serve, newest first; 0 stands for workers that
+	// report none.
 	distinct []uint64
-	// Whether at least one worker reports its version of the model.
+	// Whether at least one candidate worker reports its version of the model's weights.
 	reported bool
 }
 
@@ -26,7 +27,8 @@
 	return request.Model
 }
 
-// versionsOf returns which version of a model's weights each candidate serves, and caches the result.
+// versionsOf returns which version of a model's weights each candidate worker serves, and caches the result for
+// the first maxModels models.
 func (g *serviceGroup) versionsOf(model string) *modelVersions {
 	if versions := g.models[model]; versions != nil {
 		return versions
@@ -48,9 +50,9 @@
 	return versions
 }
 
-// oldestAllowedVersion returns the oldest weights version on which a request may still start. Each named
-// version ends the use of all versions before it once its own time limit is over, even if yet another version
-// was named in the meantime.
+// oldestAllowedVersion returns the oldest weights version on which a request may still start. Each version that
+// the control state named ends the use of all older versions once the rollout time limit since its naming is
+// over, even if yet another version was named in the meantime.
 func (t *table) oldestAllowedVersion(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) (oldest uint64) {
 	if !t.olderVersionAllowed(snapshot, model, versions, now) {
 		return snapshot.NamedVersions[model]
@@ -63,10 +65,11 @@
 	return oldest
 }
 
-// olderVersionAllowed reports whether a request may still start on weights older than the named version. The
-// limit doesn't apply to a process that has just started and isn't in contact with the control state yet.
-// After that, if the version was named before the process started, part of the limit has already elapsed (the
-// agent assumes half): then an older version is allowed only while no worker serves the named one.
+// olderVersionAllowed reports whether a request may still start on weights older than the version that the
+// control state names. The rollout time limit doesn't apply to a process that has just started and isn't in
+// contact with the control state yet. After that, if the version was named before the process started, part of
+// the limit has already elapsed (package agent, which supplies the snapshot, assumes half): then an older
+// version is allowed only while no worker serves the named one.
 func (t *table) olderVersionAllowed(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) bool {
 	named := snapshot.NamedVersions[model]
 	if named == 0 {
