--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -18,23 +18,23 @@
 	request := edge.newRequest("p", 13000)
 	choice := edge.mustSelect(t, request)
 	if choice.Worker.ID != home {
-		t.Fatalf("idle workers: selected %s, want home worker %s", choice.Worker.ID, home)
+		t.Fatalf("all workers idle: selected %s, want %s, the home worker of the prompt part", choice.Worker.ID, home)
 	}
 	edge.recordSent(request, choice, edge.now)
 	edge.now += 2 * route.LatencyTarget
 	for range 10 {
 		if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home || choice.Fetch != home+":1" {
-			t.Fatalf("first event of %s is overdue: selected %s, fetching from %q; want another worker, fetching from %q", home, choice.Worker.ID, choice.Fetch, home+":1")
+			t.Fatalf("first event of worker %s is overdue: selected %s, fetching from %q; want another worker, fetching from %q", home, choice.Worker.ID, choice.Fetch, home+":1")
 		}
 	}
-	// The lateness still counts for some time after the first event was received.
+	// The lateness of a first event still raises the worker's cost for some time after the event was received.
 	edge.recordFirstEvent(request, choice, &Load{Running: 2, Slots: 128}, 2*route.LatencyTarget, edge.now)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
-		t.Errorf("selected %s right after its late first event, want another worker", home)
+		t.Errorf("selected %s right after its first event came late, want another worker", home)
 	}
 	edge.now += 8 * edge.bounds.Heal(loadTuning.decayRatio)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home {
-		t.Errorf("after the lateness decayed: selected %s, want home worker %s", choice.Worker.ID, home)
+		t.Errorf("after the lateness of the home worker's first event decayed: selected %s, want home worker %s", choice.Worker.ID, home)
 	}
 }
 
@@ -43,7 +43,7 @@
 	edge := newEdge(newFleet(18))
 	home := edge.homeOf(t, "p")
 	edge.setHolders("p", promptindex.Confirmed, home)
-	// These requests let the table learn the prefill time.
+	// Serve 4 requests, from which the table learns how long prefill takes.
 	for i := range 4 {
 		request := edge.newRequest(fmt.Sprint("x", i), 13000)
 		edge.serve(request, edge.mustSelect(t, request), 150*time.Millisecond)
@@ -54,19 +54,19 @@
 	edge.now += 40 * time.Millisecond
 	edge.recordFirstEvent(request, choice, &Load{Running: 14, Waiting: 30, Slots: 128}, 40*time.Millisecond, edge.now)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
-		t.Errorf("selected %s, which reported 30 waiting requests; want another worker", home)
+		t.Errorf("selected %s, which reported 30 waiting requests with its first event; want another worker", home)
 	}
 	if homeStats := edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[home]].stats; homeStats.inFlight != 1 || len(homeStats.pendingPrefills) != 0 {
-		t.Errorf("after the first event: %d attempts in flight, %d without a first event; want 1 and 0", homeStats.inFlight, len(homeStats.pendingPrefills))
+		t.Errorf("after the first event of the only attempt at worker %s: %d attempts in flight there, %d without a first event; want 1 and 0", home, homeStats.inFlight, len(homeStats.pendingPrefills))
 	}
 	edge.recordOutcome(request, choice, Completed, nil, 40*time.Millisecond, edge.now)
 	if homeStats := edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[home]].stats; homeStats.inFlight != 0 || len(homeStats.pendingPrefills) != 0 {
-		t.Errorf("after the outcome: %d attempts in flight, %d without a first event; want 0 and 0", homeStats.inFlight, len(homeStats.pendingPrefills))
+		t.Errorf("after the outcome of the only attempt at worker %s: %d attempts in flight there, %d without a first event; want 0 and 0", home, homeStats.inFlight, len(homeStats.pendingPrefills))
 	}
 }
 
-// During a rollout prompts are assigned to workers on newer weights, but not if those are backlogged: then
-// workers on older weights are selected.
+// During a rollout a fraction of the prompts is assigned to workers on newer weights. If these workers are
+// backlogged, workers on older weights are selected instead.
 func TestPromptsAreNotAssignedToBackloggedWorkers(t *testing.T) {
 	snapshot := newFleet(18)
 	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
@@ -88,20 +88,20 @@
 		}
 	}
 	if assigned < 20 || assigned > 80 {
-		t.Errorf("6 of 18 workers serve version 2: %d of 100 requests sent to them, want 20 to 80", assigned)
+		t.Errorf("6 of 18 workers serve weights version 2: %d of 100 requests assigned to them, want 20 to 80", assigned)
 	}
 	for _, worker := range edge.layoutFor(snapshot).groups["llm"].candidates[:6] {
 		worker.stats.latenessMs, worker.stats.latenessAt = 4*route.LatencyTarget.Seconds()*1e3, edge.now
 	}
 	for i := range 100 {
 		if isAssigned(i) {
-			t.Fatalf("request %d sent to a backlogged worker on version 2, want an idle worker on version 1", i)
+			t.Fatalf("request %d assigned to a backlogged worker on weights version 2, want an idle worker on version 1", i)
 		}
 	}
 }
 
-// A copy of a part evicts another part, so a holder that isn't the part's home worker is preferred if the wait
-// there is short.
+// A copy of a prompt part evicts another part from a worker's cache. So a worker that caches the part is
+// preferred even if it isn't the part's home worker, unless the wait there is much longer than the prefill.
 func TestHolderWithShortWaitIsPreferredToCopy(t *testing.T) {
 	edge := newEdge(newFleet(18))
 	edge.mustSelect(t, edge.newRequest("p", 13000))
@@ -115,16 +115,17 @@
 	prefillMs := 13000 * holder.stats.service.msPerToken
 	holder.stats.latenessMs, holder.stats.latenessAt = 0.3*prefillMs, edge.now
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != holder.worker.ID {
-		t.Errorf("selected %s, want holder %s with a wait of %.0f ms, as prefill takes %.0f ms", choice.Worker.ID, holder.worker.ID, holder.stats.latenessMs, prefillMs)
+		t.Errorf("wait of %.0f ms at worker %s, which caches the part, and %.0f ms of prefill elsewhere: selected %s, want %s", holder.stats.latenessMs, holder.worker.ID, prefillMs, choice.Worker.ID, holder.worker.ID)
 	}
 	holder.stats.latenessMs = 2 * prefillMs
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == holder.worker.ID || choice.Fetch != holder.worker.Addr {
-		t.Errorf("holder %s has a wait of %.0f ms: selected %s, fetching from %q; want another worker, fetching from %q", holder.worker.ID, holder.stats.latenessMs, choice.Worker.ID, choice.Fetch, holder.worker.Addr)
+		t.Errorf("wait of %.0f ms at worker %s, which caches the part: selected %s, fetching from %q; want another worker, fetching from %q", holder.stats.latenessMs, holder.worker.ID, choice.Worker.ID, choice.Fetch, holder.worker.Addr)
 	}
 }
 
-// The assignment to newer weights adds at most the time of prefilling the shared parts to the cost of a worker
-// on older weights: the first prefill under new weights costs no more than its duration.
+// The assignment of a prompt to newer weights adds at most the time of prefilling its shared parts to the cost
+// of a worker on older weights. So an idle worker on older weights that caches the parts is selected if the
+// wait at the workers on newer weights is longer than that.
 func TestAssignmentToNewWeightsCostsNoMoreThanPrefill(t *testing.T) {
 	snapshot := newFleet(18)
 	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
@@ -141,7 +142,7 @@
 		part := fmt.Sprint("p", i)
 		edge.found[promptindex.PartKey(CacheSalt("m", 1, nil), part)] = confirmedAt("w13", "w14", "w15", "w16", "w17")
 		if choice := edge.mustSelect(t, edge.newRequest(part, 13000)); choice.Weights != 1 {
-			t.Fatalf("part %s: selected a worker on version %d with a wait of %.0f ms, want an idle worker on version 1 that caches the part", part, choice.Weights, 2.5*13000*edge.services["llm"].msPerToken)
+			t.Fatalf("part %s: selected a worker on weights version %d with a wait of %.0f ms, want an idle worker on version 1, where the part is cached", part, choice.Weights, 2.5*13000*edge.services["llm"].msPerToken)
 		}
 	}
 }
--- a/internal/data/selection/cachesimulation_test.go
+++ b/internal/data/selection/cachesimulation_test.go
@@ -19,23 +19,24 @@
 	snapshot *fleet.Snapshot
 	random   *rand.Rand
 	edges    []*testEdge
-	// By worker or store: time from which each part is cached.
+	// By ID of a worker or store: time from which it caches each prompt part.
 	cachedAt map[string]map[prefix.Key]time.Duration
-	// Parts that some worker prefilled before.
+	// Shared prompt parts that at least one worker prefilled.
 	everPrefilled map[prefix.Key]bool
-	// Number of prefills of shared parts.
+	// Number of prefills of shared prompt parts, by all workers.
 	prefills int
-	// Number of prefills of parts that some worker had prefilled before.
+	// Number of prefills of shared prompt parts that another prefill preceded, at any worker.
 	repeatedPrefills int
-	// By part: number of times it was saved to the store.
+	// By prompt part: number of times that it was saved to the store.
 	storedCounts map[prefix.Key]int
 	// Delay with which the prompt index learns of cached parts.
 	indexLag time.Duration
 	// Fraction of prompt index lookups without a response.
 	lostLookupRatio float64
-	// Outcomes of attempts in flight, to be recorded at outcomesAt.
+	// Functions that record the outcomes of the attempts in flight, each to be called at its time in
+	// outcomesAt.
 	pendingOutcomes []func()
-	// By element of pendingOutcomes: time at which the outcome is recorded.
+	// By element of pendingOutcomes: time at which it is to be called.
 	outcomesAt []time.Duration
 }
 
@@ -62,7 +63,8 @@
 	}
 }
 
-// respond returns the response of the prompt index, which contains what was cached at least indexLag ago.
+// respond returns the response of the prompt index to a lookup at time now. It lists the workers and stores
+// that have cached the parts for at least indexLag. It returns nil for lost lookups.
 func (simulation *cacheSimulation) respond(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.LookupResult {
 	if len(keys) == 0 || simulation.random.Float64() < simulation.lostLookupRatio {
 		return nil
@@ -99,7 +101,7 @@
 	switch cachedFrom, ok := simulation.cachedAt[choice.Worker.ID][key]; {
 	case ok && cachedFrom <= now:
 	case ok:
-		// The worker is still prefilling the part for another request.
+		// The selected worker is still prefilling the part for another request.
 		firstEvent += cachedFrom - now
 	default:
 		source := ""
@@ -143,36 +145,37 @@
 	}
 }
 
-// Nine edge machines share a prompt index that lags by one second: each shared part is prefilled once, with
-// few exceptions, and saved to the store about once.
+// Nine edge machines share a prompt index that lags by one second: each shared prompt part is prefilled once,
+// with few exceptions, and saved to the store at most twice on average.
 func TestSharedPartsArePrefilledOnce(t *testing.T) {
 	for seed := range uint64(5) {
 		simulation := newCacheSimulation(18, 9, seed)
 		simulation.run(4000, 250, 10*time.Millisecond)
 		if simulation.prefills < 200 || simulation.repeatedPrefills*50 > simulation.prefills {
-			t.Errorf("seed %d: %d prefills of which %d repeated an earlier one; want at least 200 and at most 2%% repeated", seed, simulation.prefills, simulation.repeatedPrefills)
+			t.Errorf("simulation with seed %d: %d prefills of shared parts, of which %d repeated an earlier one; want at least 200 and at most 2%% repeated", seed, simulation.prefills, simulation.repeatedPrefills)
 		}
 		saveCount := 0
 		for _, count := range simulation.storedCounts {
 			saveCount += count
 		}
 		if len(simulation.storedCounts) < 200 || saveCount > 2*len(simulation.storedCounts) {
-			t.Errorf("seed %d: %d distinct parts saved to the store in %d saves; want at least 200 parts and at most 2 saves per part", seed, len(simulation.storedCounts), saveCount)
+			t.Errorf("simulation with seed %d: %d distinct parts saved to the store in %d saves; want at least 200 parts and at most 2 saves per part", seed, len(simulation.storedCounts), saveCount)
 		}
 	}
 }
 
-// Shared parts are rarely prefilled twice even if a third of the prompt index lookups get no response.
+// Shared prompt parts are rarely prefilled twice even if a third of the prompt index lookups get no response.
 func TestSharedPartsArePrefilledOnceDespiteLostLookups(t *testing.T) {
 	simulation := newCacheSimulation(18, 9, 9)
 	simulation.lostLookupRatio = 1.0 / 3
 	simulation.run(4000, 250, 10*time.Millisecond)
 	if simulation.repeatedPrefills*20 > simulation.prefills {
-		t.Errorf("a third of lookups lost: %d prefills of which %d repeated an earlier one, want at most 5%%", simulation.prefills, simulation.repeatedPrefills)
+		t.Errorf("a third of prompt index lookups lost: %d prefills of shared parts, of which %d repeated an earlier one; want at most 5%% repeated", simulation.prefills, simulation.repeatedPrefills)
 	}
 }
 
-// Shared parts are spread over the workers: none caches more than three times the mean number of parts.
+// Shared prompt parts are spread over the workers: none caches more than three times the mean number of parts,
+// plus 5.
 func TestSharedPartsSpreadOverWorkers(t *testing.T) {
 	simulation := newCacheSimulation(18, 9, 4)
 	simulation.run(4000, 250, 10*time.Millisecond)
@@ -183,7 +186,7 @@
 		}
 	}
 	if greatest > 3*simulation.prefills/18+5 {
-		t.Errorf("one of 18 workers caches %d of %d prefilled parts, want at most %d", greatest, simulation.prefills, 3*simulation.prefills/18+5)
+		t.Errorf("worker with the most cached parts, of 18 workers: caches %d parts after %d prefills by all workers, want at most %d parts", greatest, simulation.prefills, 3*simulation.prefills/18+5)
 	}
 }
 
--- a/internal/data/selection/ejection_test.go
+++ b/internal/data/selection/ejection_test.go
@@ -23,10 +23,10 @@
 			}
 			left := withoutEjected(group, all, edge.now)
 			if len(left) == 0 || workers-len(left) > workers/3 {
-				t.Errorf("%d of %d workers failed: %d remain after ejections, want at least two thirds and at least 1", failing, workers, len(left))
+				t.Errorf("%d of %d workers failed: %d workers are not ejected, want at least two thirds and at least 1", failing, workers, len(left))
 			}
 			if failing > 0 && failing <= workers/3 && len(left) != workers-failing {
-				t.Errorf("%d of %d workers failed: %d are ejected, want %d", failing, workers, workers-len(left), failing)
+				t.Errorf("%d of %d workers failed: %d workers are ejected, want %d", failing, workers, workers-len(left), failing)
 			}
 		}
 	}
@@ -39,27 +39,27 @@
 	for i := range 4 {
 		edge.recordFailure(worker, edge.now)
 		if duration := worker.ejectedUntil - edge.now; duration <= last {
-			t.Errorf("failure %d: ejected for %v, want longer than the previous ejection of %v", i, duration, last)
+			t.Errorf("failure %d of a worker: ejected for %v, want longer than the previous ejection of %v", i+1, duration, last)
 		} else {
 			last = duration
 		}
 		edge.now = worker.ejectedUntil
 		if ratio := worker.slowStartRatio(edge.now); ratio <= 0 || worker.slowStartRatio(edge.now+worker.ejectionTime/2) >= ratio || worker.slowStartRatio(edge.now+worker.ejectionTime) != 0 {
-			t.Errorf("slow start ratio at the end of the ejection: %v, want above 0, decreasing, and 0 after the ejection's duration", ratio)
+			t.Errorf("slow start ratio of a worker after an ejection of %v: %v at its end, %v after half that time more and %v after all of it; want above 0, less than that, and 0", worker.ejectionTime, ratio, worker.slowStartRatio(edge.now+worker.ejectionTime/2), worker.slowStartRatio(edge.now+worker.ejectionTime))
 		}
 	}
 	for range 9 {
 		edge.recordFailure(worker, edge.now)
 	}
 	if worker.ejectedUntil-edge.now > edge.bounds.Heal(ejectionTuning.maxTimeRatio) {
-		t.Errorf("ejected for %v after 13 failures, want at most %v", worker.ejectedUntil-edge.now, edge.bounds.Heal(ejectionTuning.maxTimeRatio))
+		t.Errorf("worker ejected for %v after 13 failures, want at most %v", worker.ejectedUntil-edge.now, edge.bounds.Heal(ejectionTuning.maxTimeRatio))
 	}
 	edge.now = worker.ejectedUntil + time.Minute
 	for range 20 {
 		edge.recordSuccess(worker, edge.now)
 	}
 	if worker.recentFailures != 0 || worker.failureRatio > 0.05 {
-		t.Errorf("after 20 successes: %d recent failures and failure ratio %.2f, want 0 and at most 0.05", worker.recentFailures, worker.failureRatio)
+		t.Errorf("worker after 13 failures and 20 successes: %d recent failures and failure ratio %.2f, want 0 and at most 0.05", worker.recentFailures, worker.failureRatio)
 	}
 }
 
@@ -71,15 +71,15 @@
 		edge.recordSent(request, choice, edge.now)
 		edge.recordOutcome(request, choice, outcome, nil, 0, edge.now)
 		if next := edge.mustSelect(t, edge.newRequest("p", 13000)); (next.Worker.ID != choice.Worker.ID) != avoided {
-			t.Errorf("outcome %d at worker %s: next selected %s, want the worker to be avoided: %t", outcome, choice.Worker.ID, next.Worker.ID, avoided)
+			t.Errorf("after an attempt with outcome %d at worker %s: selected %s for the next request; want the first worker avoided: %t", outcome, choice.Worker.ID, next.Worker.ID, avoided)
 		}
 		if len(edge.inFlight) != 0 || edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight != 0 {
-			t.Errorf("outcome %d: the attempt still counts as in flight", outcome)
+			t.Errorf("after outcome %d of the only attempt: %d attempts in flight in the table and %d at its worker, want 0 and 0", outcome, len(edge.inFlight), edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight)
 		}
-		// A repeated record of the same outcome must have no effect.
+		// Recording the outcome of the same attempt again must have no effect.
 		edge.recordOutcome(request, choice, outcome, nil, 0, edge.now)
 		if edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight != 0 {
-			t.Errorf("outcome %d recorded twice: the number of attempts in flight is not 0", outcome)
+			t.Errorf("outcome %d of the only attempt recorded twice: %d attempts in flight at its worker, want 0", outcome, edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight)
 		}
 	}
 }
@@ -98,6 +98,6 @@
 		edge.serve(request, choice, first)
 	}
 	if selected["w2"]*3 > selected["w1"] {
-		t.Errorf("selections by worker: %v; want w2, which is 6 times slower, at most a third as often as w1", selected)
+		t.Errorf("number of selections by worker: %v; want w2, which is 6 times slower, at most a third as often as w1", selected)
 	}
 }
--- a/internal/data/selection/loadsharing_test.go
+++ b/internal/data/selection/loadsharing_test.go
@@ -20,7 +20,8 @@
 
 func newSharingEdges(workers, edges int) *sharingEdges {
 	sharing := &sharingEdges{aggregator: promptindex.NewLoadAggregator(settings.DefaultBounds()), now: processStart + time.Minute}
-	// The aggregator only returns loads after it received reports for some time.
+	// The load aggregator returns no loads until it has received reports for some time, so record two earlier
+	// reports.
 	for _, ratio := range []float64{1.0 / 15, 1.0 / 30} {
 		sharing.aggregator.Record("before", &wire.WorkerLoads{}, sharing.now-settings.DefaultBounds().Heal(ratio))
 	}
@@ -34,7 +35,7 @@
 	return sharing
 }
 
-// exchangeLoads makes every edge machine report its loads and receive those of the others.
+// exchangeLoads makes every edge machine report its loads and receive those of the other edge machines.
 func (sharing *sharingEdges) exchangeLoads() {
 	for i, edge := range sharing.edges {
 		edge.now = sharing.now
@@ -46,7 +47,7 @@
 	}
 }
 
-// sendTo sends an attempt of this edge machine to the given worker.
+// sendTo sends an attempt of a new request from this edge machine to the given worker.
 func (e *testEdge) sendTo(t *testing.T, worker string) (*Request, Choice) {
 	t.Helper()
 	request := e.newRequest("", 0)
@@ -58,7 +59,7 @@
 	}
 	choice, ok := e.selectWorker(e.snapshot, request, nil, others, e.now)
 	if !ok {
-		t.Fatalf("no worker selected, want %s", worker)
+		t.Fatalf("all workers but %s were tried: no worker selected, want that one", worker)
 	}
 	e.recordSent(request, choice, e.now)
 	return request, choice
@@ -86,16 +87,17 @@
 	}
 	sharing.exchangeLoads()
 	if n := sharing.countSelected(300)["w3"]; n > 0 {
-		t.Errorf("w3, which failed requests of 3 edge machines, selected %d of 300 times, want 0", n)
+		t.Errorf("worker w3, which failed requests of 3 edge machines, was selected for %d of 300 requests, want 0", n)
 	}
-	// w3's ejection has ended by then.
+	// Advance the clock until the ejection of worker w3 has ended.
 	sharing.now += settings.DefaultBounds().Heal(2)
 	if n := sharing.countSelected(300)["w3"]; n == 0 {
-		t.Error("w3 selected 0 of 300 times after its ejection ended, want at least 1")
+		t.Error("after the ejection of worker w3 ended, it was selected for 0 of 300 requests, want at least 1")
 	}
 }
 
-// Failures that are equally frequent on all workers eject none of them.
+// Failures that are equally frequent on all workers don't lead to an ejection by the outcomes that edge
+// machines report to each other.
 func TestFailuresOfAllWorkersEjectNone(t *testing.T) {
 	sharing := newSharingEdges(12, 30)
 	for i, edge := range sharing.edges {
@@ -116,7 +118,7 @@
 		edge.applyOthersLoads(sharing.aggregator.Others("none", edge.layout.workerListHash, sharing.now), sharing.now)
 		for id, worker := range edge.workers {
 			if worker.ejectedUntil > sharing.now {
-				t.Fatalf("half of the attempts failed on every worker: %s is ejected, want no ejection", id)
+				t.Fatalf("half of the attempts failed on every worker: worker %s is ejected, want no ejection", id)
 			}
 		}
 	}
@@ -131,32 +133,33 @@
 	}
 	sharing.exchangeLoads()
 	if sharing.edges[9].workers["w3"].ejectedUntil > sharing.now {
-		t.Error("w3 is ejected before any first response event is overdue")
+		t.Error("worker w3 is ejected before any of its first response events is overdue, want no ejection")
 	}
 	sharing.now += route.LatencyTarget + time.Millisecond
 	sharing.exchangeLoads()
 	if n := sharing.countSelected(300)["w3"]; n > 0 {
-		t.Errorf("w3, whose first response events are overdue, selected %d of 300 times, want 0", n)
+		t.Errorf("worker w3, whose first response events are overdue, was selected for %d of 300 requests, want 0", n)
 	}
 }
 
-// After its first response event an attempt has no pending prompt tokens and can't be overdue.
+// In load reports, an attempt whose first response event was received contributes no pending prompt tokens and
+// doesn't count as overdue.
 func TestFirstEventClearsPendingTokens(t *testing.T) {
 	sharing := newSharingEdges(4, 2)
 	edge := sharing.edges[0]
 	edge.now = sharing.now
 	request, choice := edge.sendTo(t, "w1")
 	if loads := edge.localLoads(sharing.now); len(loads.WorkerIndexes) != 1 || loads.PendingPrefill[0] != 1000/pendingTokensUnit || loads.InFlight[0] != 1 {
-		t.Fatalf("attempt sent: reported load %v, want 1 worker with 1 request in flight and %d units of pending prefill", loads, 1000/pendingTokensUnit)
+		t.Fatalf("after an attempt was sent: load report %v, want 1 worker with 1 request in flight and %d units of pending prefill", loads, 1000/pendingTokensUnit)
 	}
 	edge.recordFirstEvent(request, choice, nil, time.Millisecond, sharing.now+time.Millisecond)
 	sharing.now += time.Minute / 2
 	if loads := edge.localLoads(sharing.now); len(loads.WorkerIndexes) != 1 || loads.PendingPrefill[0] != 0 || loads.Failures[0] != 0 || loads.InFlight[0] != 1 {
-		t.Errorf("after the first event: reported load %v, want 1 request in flight, no pending prefill and no failures", loads)
+		t.Errorf("after the first event of the only attempt: load report %v, want 1 worker with 1 request in flight, no pending prefill and no failures", loads)
 	}
 	edge.recordOutcome(request, choice, Completed, nil, time.Millisecond, sharing.now)
 	if loads := edge.localLoads(sharing.now); len(loads.WorkerIndexes) != 1 || loads.InFlight[0] != 0 || loads.Successes[0] != outcomesPerCount {
-		t.Errorf("after completion: reported load %v, want no request in flight and a success count of %d", loads, outcomesPerCount)
+		t.Errorf("after the only attempt completed: load report %v, want 1 worker with no request in flight and a success count of %d", loads, outcomesPerCount)
 	}
 }
 
@@ -185,7 +188,7 @@
 		return greatest
 	}
 	if with, without := busiest(true), busiest(false); with > 14 || with >= without {
-		t.Errorf("busiest of 40 workers got %d of 400 requests with shared loads and %d without, want at most 14 and fewer than without", with, without)
+		t.Errorf("busiest of 40 workers got %d of 400 requests if edge machines share their loads and %d if not; want at most 14 if they do, and fewer than if not", with, without)
 	}
 }
 
@@ -200,12 +203,12 @@
 	loads.Reporters = 1
 	edge.applyOthersLoads(loads, sharing.now)
 	if edge.workers["w1"].othersLoad != 0 {
-		t.Error("applied a load report that refers to another list of workers")
+		t.Errorf("load report that refers to another list of workers: load of worker w1 from other edge machines is %v, want 0", edge.workers["w1"].othersLoad)
 	}
 	loads.WorkerListHash--
 	loads.InFlight = nil
 	edge.applyOthersLoads(loads, sharing.now)
 	if edge.workers["w1"].othersLoad != 0 {
-		t.Error("applied a load report with arrays of different lengths")
+		t.Errorf("load report with arrays of different lengths: load of worker w1 from other edge machines is %v, want 0", edge.workers["w1"].othersLoad)
 	}
 }
--- a/internal/data/selection/overload_test.go
+++ b/internal/data/selection/overload_test.go
@@ -11,7 +11,7 @@
 func TestLongWaitIsRejectedWithRetryAfter(t *testing.T) {
 	edge := newEdge(newFleet(18))
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, nil, edge.now); !ok {
-		t.Fatal("all workers idle: no worker selected")
+		t.Fatal("all workers idle: no worker selected, want one")
 	}
 	setLateness := func(ms float64, n int) {
 		for _, worker := range edge.layoutFor(edge.snapshot).groups["llm"].candidates[:n] {
@@ -21,27 +21,28 @@
 	longMs := 4 * route.LatencyTarget.Seconds() * 1e3
 	setLateness(longMs, 17)
 	if choice, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, nil, edge.now); !ok || choice.Worker.ID != "w17" {
-		t.Errorf("17 of 18 workers backlogged: selected %q, want the idle w17", choice.Worker.ID)
+		t.Errorf("17 of 18 workers backlogged: selected %q, want w17, the idle one", choice.Worker.ID)
 	}
 	setLateness(longMs, 18)
 	choice, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, nil, edge.now)
 	if want := 4 * route.LatencyTarget; ok || choice.RetryAfter < want/2 || choice.RetryAfter > 2*want {
-		t.Errorf("all workers backlogged: selected %t (worker %q), retry after %v; want no worker and a retry after %v to %v", ok, choice.Worker.ID, choice.RetryAfter, want/2, 2*want)
+		t.Errorf("all workers backlogged: selected a worker: %t (ID %q), retry after %v; want no worker and a retry after %v to %v", ok, choice.Worker.ID, choice.RetryAfter, want/2, 2*want)
 	}
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, map[string]bool{"w3": true}, edge.now); !ok {
-		t.Error("all workers backlogged: a retried request is rejected, want a worker")
+		t.Error("all workers backlogged: no worker selected for a request that was sent to worker w3 before, want one")
 	}
-	// Without new samples the lateness decays.
+	// Advance the clock until the workers' lateness, of which there are no new samples, has decayed.
 	edge.now += 9 * edge.bounds.Heal(loadTuning.decayRatio)
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, nil, edge.now); !ok {
-		t.Error("request rejected although the workers' lateness has decayed")
+		t.Error("after the lateness of all workers decayed: no worker selected, want one")
 	}
 }
 
-// Clients disconnect after a timeout. Workers that were offered more than they can prefill for some time
-// recover after the overload, rather than prefilling prompts of disconnected clients indefinitely.
+// Clients disconnect after a timeout. After an overload, in which requests arrived faster than workers could
+// prefill them, the workers recover rather than prefill prompts of disconnected clients indefinitely.
 func TestOverloadEndsWithItsCause(t *testing.T) {
-	// tokensPerMs is the prefill rate of a worker.
+	// tokensPerMs is the number of prompt tokens that a worker prefills per millisecond, and clientTimeout the
+	// time after which a client without a response event disconnects.
 	const workers, tokensPerMs, clientTimeout = 6, 100.0, 3 * time.Second
 	edge := newEdge(newFleet(workers))
 	freeAt := map[string]time.Duration{}
@@ -67,12 +68,12 @@
 			}
 		}
 		inFlight = stillInFlight
-		// Overload doubles the usual request rate for some time.
+		// A request arrives every 20 ms, and every 10 ms during the overload from 4 s to 8 s after the start.
 		isOverloaded := i > 800 && i < 1600
 		if i%4 != 0 && !(isOverloaded && i%4 == 2) {
 			continue
 		}
-		// Prefill of a request takes 90 ms, so the usual rate is 3/4 of the capacity.
+		// Prefill of a request takes 90 ms, so one request per 20 ms is 3/4 of what 6 workers can prefill.
 		request := edge.newRequest(fmt.Sprint("new", i), 8000)
 		choice, ok := edge.selectWorker(edge.snapshot, request, edge.found, nil, edge.now)
 		if i > 2800 {
@@ -90,6 +91,6 @@
 		}
 	}
 	if inTime*10 < offered*8 {
-		t.Errorf("after the overload ended, %d of %d requests got their first event within the latency target, want at least 80%%", inTime, offered)
+		t.Errorf("after the overload ended: %d of %d requests got their first event within the latency target, want at least 80%%", inTime, offered)
 	}
 }
