--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -14,10 +14,10 @@
 	"pebbleloom/internal/wire"
 )
 
-// Time of the simulated process's start on its clock.
+// processStart is the start of the simulated process, as a time of its clock.
 const processStart = time.Hour
 
-// testEdge is the table of one edge machine with a clock that advances manually.
+// testEdge is the selection table of one edge machine, with a clock that advances manually.
 type testEdge struct {
 	*table
 	snapshot     *fleet.Snapshot
@@ -63,12 +63,13 @@
 	}
 	choice, ok := e.selectWorker(e.snapshot, request, e.found, triedWorkers, e.now)
 	if !ok {
-		t.Fatalf("no worker selected for request %s", request.ID)
+		t.Fatalf("no worker selected for request %s, want one", request.ID)
 	}
 	return choice
 }
 
-// setHolders sets the holders of a part in the response of the prompt index.
+// setHolders sets the workers and stores that the prompt index lists as holders of a part in its response.
+// certainty is promptindex.Presumed or promptindex.Confirmed.
 func (e *testEdge) setHolders(part string, certainty uint32, holders ...string) {
 	found := &wire.LookupResult{Hotness: 1}
 	for _, holder := range holders {
@@ -83,7 +84,7 @@
 	e.recordOutcome(request, choice, Completed, nil, firstEvent, e.now)
 }
 
-// homeOf returns the worker that prefills the part while no worker caches it.
+// homeOf returns the part's home worker: the one that is selected to prefill it while no worker caches it.
 func (e *testEdge) homeOf(t *testing.T, part string) string {
 	return newEdge(e.snapshot).mustSelect(t, e.newRequest(part, 13000)).Worker.ID
 }
@@ -95,7 +96,8 @@
 	return "w7"
 }
 
-// Edge machines that share no information send a part that no worker caches to the same worker, from any zone.
+// Edge machines that share no information send a prompt part that no worker caches to the same worker, whatever
+// zone they are in.
 func TestColdPartIsPrefilledAtOneWorker(t *testing.T) {
 	snapshot := newFleet(18)
 	seen := map[string]bool{}
@@ -108,14 +110,14 @@
 			request.Zone = fmt.Sprint("d", d)
 			choice := edge.mustSelect(t, request)
 			if at != "" && at != choice.Worker.ID {
-				t.Errorf("part %s, cached nowhere: edge machines selected %s and %s, want the same worker", part, at, choice.Worker.ID)
+				t.Errorf("part %s, which no worker caches: edge machines selected %s and %s, want the same worker", part, at, choice.Worker.ID)
 			}
 			at = choice.Worker.ID
 		}
 		seen[at] = true
 	}
 	if len(seen) < 12 {
-		t.Errorf("40 parts were sent to %d of 18 workers, want at least 12", len(seen))
+		t.Errorf("40 requests with different parts were sent to %d of 18 workers, want at least 12", len(seen))
 	}
 }
 
@@ -125,12 +127,12 @@
 	edge.setHolders("p", promptindex.Confirmed, holder)
 	choice := edge.mustSelect(t, edge.newRequest("p", 13000))
 	if choice.Worker.ID == holder && choice.Fetch != "" || choice.Worker.ID != holder && choice.Fetch != holder+":1" {
-		t.Errorf("selected %s, fetching from %q; want holder %s, or a fetch from it", choice.Worker.ID, choice.Fetch, holder)
+		t.Errorf("selected %s, fetching from %q; want %s, which caches the part, or a fetch from it", choice.Worker.ID, choice.Fetch, holder)
 	}
-	// A presumed holder may not cache the part yet, so fetching from it isn't worth the risk.
+	// A worker that is only presumed to cache the part may lack it, so fetching from it isn't worth the risk.
 	edge.setHolders("p", promptindex.Presumed, holder)
 	if choice = edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != holder {
-		t.Errorf("selected %s, want presumed holder %s, which is prefilling the part", choice.Worker.ID, holder)
+		t.Errorf("selected %s, want %s, which is presumed to cache the part", choice.Worker.ID, holder)
 	}
 }
 
@@ -139,7 +141,7 @@
 	home := edge.homeOf(t, "p")
 	edge.setHolders("p", promptindex.Confirmed, home)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home || choice.Fetch != "" {
-		t.Fatalf("idle workers: selected %s, fetching from %q; want holder %s without a fetch", choice.Worker.ID, choice.Fetch, home)
+		t.Fatalf("all workers idle: selected %s, fetching from %q; want %s, which caches the part, without a fetch", choice.Worker.ID, choice.Fetch, home)
 	}
 	for _, worker := range edge.snapshot.Workers {
 		load := Load{Running: 10, Slots: 128}
@@ -151,12 +153,12 @@
 	}
 	choice := edge.mustSelect(t, edge.newRequest("p", 13000))
 	if choice.Worker.ID == home || choice.Fetch != home+":1" {
-		t.Errorf("holder %s is overloaded: selected %s, fetching from %q; want another worker, fetching from %q", home, choice.Worker.ID, choice.Fetch, home+":1")
+		t.Errorf("worker %s, which caches the part, is overloaded: selected %s, fetching from %q; want another worker, fetching from %q", home, choice.Worker.ID, choice.Fetch, home+":1")
 	}
-	// The load report has decayed by then.
+	// Advance the clock until the workers' load reports have decayed.
 	edge.now += edge.bounds.Heal(1)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home {
-		t.Errorf("after the load report decayed: selected %s, want holder %s", choice.Worker.ID, home)
+		t.Errorf("after the workers' load reports decayed: selected %s, want %s, which caches the part", choice.Worker.ID, home)
 	}
 }
 
@@ -186,20 +188,21 @@
 		}
 		choice, _ := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, tried, edge.now)
 		if choice.Worker.ID != home || choice.Fetch != test.want {
-			t.Errorf("holders %v: worker %s fetches from %q, want worker %s fetching from %q", test.holders, choice.Worker.ID, choice.Fetch, home, test.want)
+			t.Errorf("part cached by %v: selected %s, fetching from %q; want %s, fetching from %q", test.holders, choice.Worker.ID, choice.Fetch, home, test.want)
 		}
 	}
 	edge.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{}
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Fetch != "" || choice.Save != "" {
-		t.Errorf("store unavailable: choice has fetch address %q and save address %q, want none", choice.Fetch, choice.Save)
+		t.Errorf("only store is unavailable: choice has fetch address %q and save address %q, want neither", choice.Fetch, choice.Save)
 	}
 	edge.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{Holders: []*wire.Holder{{Worker: "store"}}}
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Fetch != "store:1" {
-		t.Errorf("store available again: choice has fetch address %q, want store:1", choice.Fetch)
+		t.Errorf("only store is available again: choice has fetch address %q, want store:1", choice.Fetch)
 	}
 }
 
-// A worker's transfers run one after another, so a source whose link is busy is replaced by another one.
+// Transfers over the network link of a worker run one after another, so parts are fetched from another source
+// if the link of the best one is busy.
 func TestSourceWithBusyLinkIsAvoided(t *testing.T) {
 	edge := newEdge(newFleet(4))
 	home := edge.homeOf(t, "p")
@@ -211,11 +214,11 @@
 	clear(edge.presumedParts)
 	first := s.bestSource(group.index[home], prompt, 0)
 	if first.source == nil {
-		t.Fatal("no source found for a part with 4 holders")
+		t.Fatal("part that several workers cache: no source found, want one")
 	}
 	first.source.stats.linkBusyUntil = edge.now + time.Second
 	if second := s.bestSource(group.index[home], prompt, 0); second.source == nil || second.source == first.source {
-		t.Errorf("link of the first source is busy: second source is %v, want a different one", second.source)
+		t.Errorf("link of the first source is busy: second source is %+v, want a different one", second.source)
 	}
 }
 
@@ -224,34 +227,34 @@
 	request := edge.newRequest("p", 13000)
 	choice := edge.mustSelect(t, request)
 	if choice.Save != "store:1" {
-		t.Fatalf("shared part that no worker caches: choice has save address %q, want store:1", choice.Save)
+		t.Fatalf("shared part that neither a worker nor the store caches: choice has save address %q, want store:1", choice.Save)
 	}
 	edge.serve(request, choice, 100*time.Millisecond)
 	if choice = edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Save != "" {
-		t.Errorf("part was just saved: choice has save address %q, want none", choice.Save)
+		t.Errorf("shared part that was just saved to the store: choice has save address %q, want none", choice.Save)
 	}
 	if choice = edge.mustSelect(t, edge.newRequest("", 0)); choice.Save != "" || choice.Fetch != "" {
-		t.Errorf("part that isn't shared: choice has save address %q and fetch address %q, want none", choice.Save, choice.Fetch)
+		t.Errorf("prompt without shared parts: choice has save address %q and fetch address %q, want neither", choice.Save, choice.Fetch)
 	}
 	edge.setHolders("q", promptindex.Confirmed, "store")
 	if choice = edge.mustSelect(t, edge.newRequest("q", 13000)); choice.Save != "" {
-		t.Errorf("prompt index lists the store as holder: choice has save address %q, want none", choice.Save)
+		t.Errorf("prompt index lists the part as cached by the store: choice has save address %q, want none", choice.Save)
 	}
-	// A repeated last part belongs to a session, so it is worth saving.
+	// The last part of a prompt is shared if a second request repeats it, so it is worth saving to the store.
 	first := edge.newRequest("", 0)
 	edge.serve(first, edge.mustSelect(t, first), 50*time.Millisecond)
 	repeated := edge.newRequest("", 0)
 	repeated.Parts[0].ID = first.Parts[0].ID
 	if choice := edge.mustSelect(t, repeated); choice.Save != "store:1" {
-		t.Errorf("part of a session: choice has save address %q, want store:1", choice.Save)
+		t.Errorf("last part of a prompt, which a second request repeats: choice has save address %q, want store:1", choice.Save)
 	}
-	// An attempt that was not executed saved no parts.
+	// An attempt that the worker rejected without executing it saved no parts to the store.
 	rejected := edge.newRequest("z", 13000)
 	choice = edge.mustSelect(t, rejected)
 	edge.recordSent(rejected, choice, edge.now)
 	edge.recordOutcome(rejected, choice, NoFreeSlot, nil, 0, edge.now)
 	if choice = edge.mustSelect(t, edge.newRequest("z", 13000)); choice.Save == "" {
-		t.Error("attempt was rejected, but its part counts as saved: the next choice has no save address")
+		t.Error("after an attempt that should save a part was rejected: next choice has no save address, want store:1")
 	}
 }
 
@@ -263,17 +266,17 @@
 	for range 20 {
 		choice := edge.mustSelect(t, edge.newRequest("p", 13000), "w1")
 		if choice.Worker.ID == "w0" || choice.Worker.ID == "w1" {
-			t.Fatalf("selected %s, which is draining (w0) or was tried (w1)", choice.Worker.ID)
+			t.Fatalf("worker w0 draining, w1 tried before: selected %s, want w2 or w3", choice.Worker.ID)
 		}
 		if choice.Fetch != "w0:1" {
-			t.Errorf("draining holder w0: choice has fetch address %q, want w0:1", choice.Fetch)
+			t.Errorf("draining worker w0 caches the part: choice has fetch address %q, want w0:1", choice.Fetch)
 		}
 	}
 	if _, ok := edge.selectWorker(snapshot, edge.newRequest("p", 100), nil, map[string]bool{"w1": true, "w2": true, "w3": true}, edge.now); ok {
-		t.Error("a worker was selected although all were tried or are draining")
+		t.Error("each worker is draining or was tried before: a worker was selected, want none")
 	}
 	if _, ok := edge.selectWorker(snapshot, &Request{ID: "x", Service: "none", Route: route}, nil, nil, edge.now); ok {
-		t.Error("a worker was selected for an unknown service")
+		t.Error("request to a service that the routing plan doesn't list: a worker was selected, want none")
 	}
 }
 
@@ -289,40 +292,40 @@
 		request := &Request{ID: fmt.Sprint("x", i), Service: "app", Route: route, Zone: "d0"}
 		choice := edge.mustSelect(t, request)
 		if choice.Salt+choice.Fetch+choice.Save != "" || choice.Urgency != -1 || choice.Weights != 0 {
-			t.Fatalf("service without a prompt cache: choice %+v, want neither salt, addresses nor weights version, and urgency -1", choice)
+			t.Fatalf("service without a prompt cache: choice %+v, want no salt, no fetch and save addresses, weights version 0 and urgency -1", choice)
 		}
 		edge.recordSent(request, choice, edge.now)
 		byZone[choice.Worker.Zone]++
 		if i < 2 && choice.Worker.Zone != "d0" {
-			t.Errorf("zone d0 has free slots: request %d was sent to zone %s", i, choice.Worker.Zone)
+			t.Errorf("request %d, from zone d0 with free slots: selected a worker in zone %s, want d0", i, choice.Worker.Zone)
 		}
 	}
 	if byZone["d0"] < 4 || byZone["d1"] == 0 {
-		t.Errorf("12 requests from zone d0: %v by zone, want at least 4 in d0 and some in d1", byZone)
+		t.Errorf("12 requests from zone d0: number of selections by the worker's zone is %v, want at least 4 in d0 and some in d1", byZone)
 	}
 }
 
-// A part that this edge machine sent to a worker recently needs no lookup in the prompt index.
+// A prompt part that this edge machine sent to a worker recently needs no lookup in the prompt index.
 func TestLookupOnlyForUnknownParts(t *testing.T) {
 	edge := newEdge(newFleet(6))
 	lookupCount := func(request *Request) int { return len(edge.table.lookupKeys(edge.snapshot, request, edge.now)) }
 	if lookupCount(edge.newRequest("", 0)) != 0 {
-		t.Error("looked up prompt index keys of a prompt without shared parts")
+		t.Error("prompt without shared parts: prompt index keys to look up, want none")
 	}
 	request := edge.newRequest("p", 1000)
-	// The looked up keys are those of both parts, and the health key of the store.
+	// The expected keys to look up are those of both prompt parts, and the health key of the store.
 	if lookupCount(request) != 3 {
-		t.Errorf("looked up %d prompt index keys of an unknown prompt, want 3", lookupCount(request))
+		t.Errorf("prompt of two parts that were never sent: %d prompt index keys to look up, want 3", lookupCount(request))
 	}
 	edge.serve(request, edge.mustSelect(t, request), 50*time.Millisecond)
 	if n := lookupCount(edge.newRequest("p", 1000)); n != 0 {
-		t.Errorf("looked up %d prompt index keys of a part that was just prefilled, want 0", n)
+		t.Errorf("prompt whose shared part was just prefilled: %d prompt index keys to look up, want 0", n)
 	}
 	edge.now += edge.bounds.Heal(recordTuning.lookupRatio)
 	if lookupCount(edge.newRequest("p", 1000)) == 0 {
-		t.Error("no prompt index lookup although the record of the part is too old")
+		t.Error("prompt whose shared part was last sent longer ago than the lookup limit: no prompt index keys to look up, want some")
 	}
 	if lookupCount(&Request{ID: "x", Service: "app", Route: route, Parts: request.Parts}) != 0 {
-		t.Error("looked up prompt index keys for a service without a prompt cache")
+		t.Error("request to a service without a prompt cache: prompt index keys to look up, want none")
 	}
 }
--- a/internal/data/selection/store_test.go
+++ b/internal/data/selection/store_test.go
@@ -19,8 +19,8 @@
 	return newEdge(snapshot)
 }
 
-// Each part is assigned to one of several stores, independently of the zone of the worker that prefills it,
-// and the parts are distributed over all stores.
+// Each prompt part is saved to one of several stores, the same one whatever the zone of the worker that
+// prefills it, and the parts are distributed over all stores.
 func TestPartsAreDistributedOverStores(t *testing.T) {
 	partsByStore := map[string]int{}
 	for p := range 60 {
@@ -30,7 +30,7 @@
 			edge.requestCount = 100 * d
 			request := edge.newRequest(fmt.Sprint("p", p), 13000)
 			tried := map[string]bool{}
-			// Leave only the workers of one zone.
+			// Exclude the workers of all zones but one from the selection.
 			for i, w := range edge.snapshot.Workers {
 				if i%4 != d {
 					tried[w.ID] = true
@@ -38,18 +38,18 @@
 			}
 			choice, ok := edge.selectWorker(edge.snapshot, request, nil, tried, edge.now)
 			if !ok || choice.Save == "" || store != "" && choice.Save != store {
-				t.Fatalf("part %d: choices have save addresses %q and %q, want the same store", p, store, choice.Save)
+				t.Fatalf("part %d: choices with workers in two zones have save addresses %q and %q, want the same store", p, store, choice.Save)
 			}
 			store = choice.Save
 		}
 		partsByStore[store]++
 	}
 	if len(partsByStore) != 3 || partsByStore["store0:1"] < 10 || partsByStore["store1:1"] < 10 || partsByStore["store2:1"] < 10 {
-		t.Errorf("60 parts by store: %v, want at least 10 in each of 3 stores", partsByStore)
+		t.Errorf("number of parts by store, of 60 parts: %v, want at least 10 in each of 3 stores", partsByStore)
 	}
 }
 
-// A part that one store has isn't saved to another store.
+// A prompt part that one store has isn't saved to another store.
 func TestPartInAnyStoreIsNotSavedAgain(t *testing.T) {
 	edge := newEdgeWithStores(3)
 	for i := range 3 {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Parts that are assigned to an unavailable store are saved to the other stores.
+// Prompt parts that are assigned to an unavailable store are saved to one of the other stores.
 func TestUnavailableStoreIsReplaced(t *testing.T) {
 	edge := newEdgeWithStores(3)
 	request := edge.newRequest("p", 13000)
@@ -73,7 +73,7 @@
 	}
 	edge.now += time.Second
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Save == "" || choice.Save == first {
-		t.Errorf("store %q is unavailable: choice has save address %q, want another store", first, choice.Save)
+		t.Errorf("store %q is unavailable: choice has save address %q, want the address of another store", first, choice.Save)
 	}
 }
 
@@ -83,6 +83,6 @@
 	request := edge.newRequest("", 0)
 	request.Parts = nil
 	if choice := edge.mustSelect(t, request); choice.Save != "" || choice.Fetch != "" {
-		t.Errorf("request without parts: choice has save address %q and fetch address %q, want none", choice.Save, choice.Fetch)
+		t.Errorf("request without prompt parts: choice has save address %q and fetch address %q, want neither", choice.Save, choice.Fetch)
 	}
 }
--- a/internal/data/selection/tuning_test.go
+++ b/internal/data/selection/tuning_test.go
@@ -6,12 +6,12 @@
 	"unsafe"
 )
 
-// Lower limit of ranges that exclude 0.
+// positive is the lower limit of parameter ranges that exclude 0, and the distance from an excluded limit.
 const positive = 1e-12
 
 var unbounded = math.Inf(1)
 
-// tunedParameters lists all parameters with the ranges that their comments give.
+// tunedParameters lists all parameters in tuning.go with the ranges that their comments give.
 var tunedParameters = map[string]struct{ value, lowest, highest float64 }{
 	"affinity.homeLoadRatio":         {affinityTuning.homeLoadRatio, 1, 4},
 	"affinity.homeSlotRatio":         {affinityTuning.homeSlotRatio, 0, 1},
@@ -84,12 +84,12 @@
 	"size.mediumRatio": {sizeTuning.mediumRatio, sizeTuning.smallRatio, unbounded},
 }
 
-// Each parameter is within the range that its comment gives.
+// Each parameter in tuning.go is within the range that its comment gives.
 func TestTuningIsInRange(t *testing.T) {
 	for name, parameter := range tunedParameters {
 		t.Run(name, func(t *testing.T) {
 			if parameter.value < parameter.lowest || parameter.value > parameter.highest {
-				t.Errorf("value %v is outside its range of %v to %v", parameter.value, parameter.lowest, parameter.highest)
+				t.Errorf("parameter %s is %v, want %v to %v", name, parameter.value, parameter.lowest, parameter.highest)
 			}
 		})
 	}
@@ -98,11 +98,12 @@
 	}
 }
 
-// Attempts are stored in maps by value, which needs an extra allocation per entry if they are too large.
+// Values of type attempt are stored in maps, which allocate an extra object per entry for values of more than
+// 128 bytes.
 func TestAttemptFitsIntoMapEntry(t *testing.T) {
-	// Size in bytes up to which Go's maps store values inline.
+	// maxInlineValue is the size in bytes up to which Go's maps store values inline.
 	const maxInlineValue = 128
 	if size := unsafe.Sizeof(attempt{}); size > maxInlineValue {
-		t.Errorf("attempt struct has %d bytes, want at most %d", size, maxInlineValue)
+		t.Errorf("struct attempt has %d bytes, want at most %d, so that maps store it inline", size, maxInlineValue)
 	}
 }
--- a/internal/data/selection/versions_test.go
+++ b/internal/data/selection/versions_test.go
@@ -22,7 +22,7 @@
 	for range 30 {
 		choice := edge.mustSelect(t, edge.newRequest("p"+fmt.Sprint(edge.requestCount), 1000))
 		if choice.Weights != choice.Worker.Weights["m"] || !strings.HasPrefix(choice.Salt, fmt.Sprint(choice.Weights, ".")) {
-			t.Fatalf("choice has weights version %d and salt %q, want those of version %d, which the worker serves", choice.Weights, choice.Salt, choice.Worker.Weights["m"])
+			t.Fatalf("choice has weights version %d and cache salt %q, want version %d, which the selected worker serves, and a salt with this version as prefix", choice.Weights, choice.Salt, choice.Worker.Weights["m"])
 		}
 	}
 }
@@ -37,7 +37,8 @@
 	return count
 }
 
-// upgrade replaces the edge machine's snapshot by a copy in which the given number of workers serve version 2.
+// upgrade replaces the edge machine's snapshot by a copy of snapshot in which the given number of workers serve
+// version 2 of the weights.
 func (e *testEdge) upgrade(snapshot *fleet.Snapshot, workers int) {
 	upgraded := *snapshot
 	upgraded.Workers = append([]fleet.Worker(nil), snapshot.Workers...)
@@ -47,58 +48,60 @@
 	e.snapshot = &upgraded
 }
 
-// Workers on older weights are selected until most of the rollout time limit has passed; then only those on
-// the newest weights are.
+// Workers on older weights are selected until 0.85 of the rollout time limit has passed since newer weights
+// were named; then only workers on the newer weights are.
 func TestOlderWeightsEndWithinTheirBound(t *testing.T) {
 	snapshot := newFleet(9)
 	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
 	edge := newEdge(snapshot)
 	if n := edge.countOlder(); n != 60 {
-		t.Errorf("no worker serves version 2: %d of 60 requests sent to older weights, want 60", n)
+		t.Errorf("no worker serves weights version 2: %d of 60 requests assigned to older weights, want 60", n)
 	}
 	if edge.upgrade(snapshot, 6); edge.countOlder() > 30 {
-		t.Errorf("6 of 9 workers serve version 2: %d of 60 requests sent to older weights, want at most 30", edge.countOlder())
+		t.Errorf("6 of 9 workers serve weights version 2: %d of 60 requests assigned to older weights, want at most 30", edge.countOlder())
 	}
 	edge.now = snapshot.NamedAt["m"] + edge.bounds.Weights(0.84)
 	if edge.upgrade(snapshot, 1); edge.countOlder() == 0 {
-		t.Error("1 of 9 workers serves version 2, before the rollout time limit: no request sent to older weights")
+		t.Error("1 of 9 workers serves weights version 2, 0.84 of the rollout time limit has passed: 0 of 60 requests assigned to older weights, want some")
 	}
 	edge.now = snapshot.NamedAt["m"] + edge.bounds.Weights(0.86)
 	if n := edge.countOlder(); n != 0 {
-		t.Errorf("after the rollout time limit: %d of 60 requests sent to older weights, want 0", n)
+		t.Errorf("1 of 9 workers serves weights version 2, 0.86 of the rollout time limit has passed: %d of 60 requests assigned to older weights, want 0", n)
 	}
 	edge.upgrade(snapshot, 0)
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 1000), nil, nil, edge.now); ok {
-		t.Error("after the rollout time limit: a worker on older weights was selected")
+		t.Error("all workers serve older weights, 0.86 of the rollout time limit has passed: a worker was selected, want none")
 	}
 }
 
-// A process that has just started doesn't know how much of the rollout time limit has passed.
+// A process that has just started doesn't know how long ago the newest weights version was named, so it doesn't
+// know how much of the rollout time limit has passed.
 func TestNewProcessBoundsOlderWeights(t *testing.T) {
 	snapshot := newFleet(9)
 	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart
 	edge := newEdge(snapshot)
 	edge.now = processStart + time.Second
 	if edge.upgrade(snapshot, 1); edge.countOlder() != 0 {
-		t.Error("process just started: older weights selected although a worker serves version 2")
+		t.Error("process started 1 s ago, a worker serves weights version 2: requests assigned to older weights, want none")
 	}
-	// While the process isn't in contact with the control state, the rollout time limit doesn't apply.
+	// Until the process counts as in contact with the control state, the rollout time limit doesn't apply.
 	edge.rolloutLimitAppliesFrom = processStart + 2*time.Second
 	if edge.upgrade(snapshot, 1); edge.countOlder() == 0 {
-		t.Error("process not in contact yet: no request sent to older weights")
+		t.Error("process not yet in contact with the control state: 0 of 60 requests assigned to older weights, want some")
 	}
 	edge.now = edge.rolloutLimitAppliesFrom
 	if edge.upgrade(snapshot, 1); edge.countOlder() != 0 {
-		t.Error("process in contact: older weights selected although a worker serves version 2")
+		t.Error("process in contact with the control state, a worker serves weights version 2: requests assigned to older weights, want none")
 	}
-	// The agent assumes that half of the rollout time limit had passed before the process started. Until the
-	// other half has, older weights are allowed if no worker serves the newer ones.
+	// Package agent, which supplies the snapshot, assumes that half of the rollout time limit had passed before
+	// the process started. Until 0.85 of the limit has, older weights are allowed if no worker serves newer
+	// ones.
 	snapshot.NamedAt["m"] = processStart - edge.bounds.Weights(0.5)
 	edge.upgrade(snapshot, 0)
 	for ratio, want := range map[float64]bool{0.01: true, 0.34: true, 0.36: false} {
 		edge.now = processStart + edge.bounds.Weights(ratio)
 		if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 1000), nil, nil, edge.now); ok != want {
-			t.Errorf("version 2 named before the process started, served by no worker; %v of the rollout time limit after the start: worker selected %t, want %t", ratio, ok, want)
+			t.Errorf("weights version 2 named before the process started, served by no worker; %v of the rollout time limit after the start: selected a worker: %t, want %t", ratio, ok, want)
 		}
 	}
 }
@@ -116,20 +119,20 @@
 		return byWorker
 	}
 	if byWorker := selected(); byWorker["w0"]+byWorker["w1"] != 0 {
-		t.Errorf("selections by worker: %v, want none of the cordoned w0 and w1", byWorker)
+		t.Errorf("number of selections by worker: %v, want none of w0 and w1, which are cordoned", byWorker)
 	}
 	request := edge.newRequest("p", 1000)
 	choice := edge.mustSelect(t, request, "w0", "w1", "w2")
 	if choice.Worker.ID != "w3" {
-		t.Fatalf("selected %s, want w3, the only worker that was not tried", choice.Worker.ID)
+		t.Fatalf("workers w0, w1 and w2 tried before: selected %s, want w3", choice.Worker.ID)
 	}
 	edge.recordSent(request, choice, edge.now)
 	edge.recordOutcome(request, choice, NotReady, nil, 0, edge.now)
 	if byWorker := selected(); byWorker["w3"] != 0 {
-		t.Errorf("selections by worker: %v, want none of w3, which is not ready", byWorker)
+		t.Errorf("number of selections by worker: %v, want none of w3, which rejected an attempt as not ready", byWorker)
 	}
 	if choice := edge.mustSelect(t, request, "w2", "w3"); choice.Worker.ID != "w0" && choice.Worker.ID != "w1" {
-		t.Errorf("only cordoned workers were not tried: selected %s, want w0 or w1", choice.Worker.ID)
+		t.Errorf("all workers but the cordoned w0 and w1 tried before: selected %s, want w0 or w1", choice.Worker.ID)
 	}
 	changed := *snapshot
 	changed.Workers = append([]fleet.Worker(nil), snapshot.Workers...)
@@ -137,16 +140,16 @@
 	changed.Placements = nil
 	edge.snapshot = &changed
 	if choice := edge.mustSelect(t, edge.newRequest("p", 1000), "w0", "w1", "w2"); choice.Worker.ID != "w3" || choice.Weights != 2 {
-		t.Errorf("w3 now serves version 2: selected %s on version %d, want w3 on version 2", choice.Worker.ID, choice.Weights)
+		t.Errorf("worker w3 serves weights version 2, after it rejected an attempt for version 1: selected %s on version %d, want w3 on version 2", choice.Worker.ID, choice.Weights)
 	}
 	edge.snapshot = snapshot
 	edge.now += edge.bounds.Heal(avoidanceTuning.notReadyRatio)
 	if byWorker := selected(); byWorker["w3"] == 0 {
-		t.Errorf("w3 is no longer avoided as not ready: selections by worker %v, want some of w3", byWorker)
+		t.Errorf("after the time for which w3 is avoided as not ready: number of selections by worker: %v, want some of w3", byWorker)
 	}
 }
 
-// Cache salts differ if the isolated tenants, models or versions differ, whatever characters the names
+// Cache salts differ if the isolated tenants, models or weights versions differ, whatever characters the names
 // contain.
 func TestCacheSaltsOfTenantsModelsAndVersionsDiffer(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
@@ -159,11 +162,11 @@
 	check := func(w domain, tenant *routingconfig.Tenant) {
 		s := CacheSalt(w.model, w.version, tenant)
 		if old, ok := seen[s]; ok && old != w {
-			t.Fatalf("salt %q is shared by %+v and %+v, want distinct salts", s, old, w)
+			t.Fatalf("cache salt %q belongs to both %+v and %+v, want distinct salts", s, old, w)
 		}
 		seen[s] = w
 		if strings.ContainsAny(s, "\x00 \r\n") {
-			t.Fatalf("salt %q isn't valid in an HTTP header", s)
+			t.Fatalf("cache salt %q contains a space, line break or NUL, want a valid HTTP header value", s)
 		}
 	}
 	for range 20000 {
@@ -177,8 +180,8 @@
 	}
 }
 
-// An isolated tenant never gets cached parts of other tenants, whatever the prompt index and the edge machine
-// know.
+// An isolated tenant never gets cached prompt parts of other tenants, whatever the prompt index and the edge
+// machine's records list.
 func TestIsolatedTenantsShareNothing(t *testing.T) {
 	edge := newEdge(newFleet(6))
 	edge.setHolders("p", promptindex.Confirmed, "w1", "w2", "store")
@@ -189,16 +192,17 @@
 	request.Tenant = isolated
 	choice := edge.mustSelect(t, request)
 	if choice.Fetch != "" && choice.Fetch != "store:1" || choice.Salt == CacheSalt("m", 1, nil) || choice.Save == "" {
-		t.Errorf("choice for an isolated tenant: %+v; want a fetch from store:1 or none, a salt of its own, and a save address", choice)
+		t.Errorf("request of an isolated tenant: choice %+v, want fetch address store:1 or none, a salt that other tenants don't use, and a save address", choice)
 	}
 	for _, selected := range edge.table.selected.current {
 		for _, key := range selected.keys {
 			if edge.found[key] != nil {
-				t.Errorf("attempt of an isolated tenant uses cache key %x of another tenant", key)
+				t.Errorf("attempt of an isolated tenant uses prompt index key %x, under which parts of other tenants are cached", key)
 			}
 		}
 	}
-	// Workers that don't report their weights version share no cached parts if the model has a named version.
+	// If the control state names a version of the model but no worker reports which version it serves, requests
+	// share no cached parts.
 	snapshot := newFleet(3)
 	for i := range snapshot.Workers {
 		snapshot.Workers[i].Weights = nil
@@ -206,7 +210,7 @@
 	snapshot.NamedVersions["m"] = 1
 	edge = newEdge(snapshot)
 	if first, second := edge.mustSelect(t, edge.newRequest("p", 100)), edge.mustSelect(t, edge.newRequest("p", 100)); first.Salt == second.Salt {
-		t.Errorf("workers of unknown version: two requests share salt %q, want distinct salts", first.Salt)
+		t.Errorf("no worker reports its weights version: two requests have the same cache salt %q, want distinct salts", first.Salt)
 	}
 }
 
@@ -214,16 +218,17 @@
 	for _, test := range []struct{ route, tenant, want int }{{4, -1, 4}, {4, 0, 0}, {0, 7, 7}, {12, -1, 9}, {-3, -1, 0}} {
 		request := &Request{Route: &routingconfig.Route{Priority: test.route}, Tenant: &routingconfig.Tenant{Priority: test.tenant}}
 		if got := urgency(request); got != test.want {
-			t.Errorf("urgency for route priority %d and tenant priority %d: got %d, want %d", test.route, test.tenant, got, test.want)
+			t.Errorf("request with route priority %d and tenant priority %d: got urgency %d, want %d", test.route, test.tenant, got, test.want)
 		}
 	}
 	if urgency(&Request{Route: &routingconfig.Route{Priority: 3}}) != 3 {
-		t.Errorf("public route of priority 3: got urgency %d, want 3", urgency(&Request{Route: &routingconfig.Route{Priority: 3}}))
+		t.Errorf("request without a tenant to a route of priority 3: got urgency %d, want 3", urgency(&Request{Route: &routingconfig.Route{Priority: 3}}))
 	}
 }
 
-// Within a priority shorter prompts get a better level; no prompt gets a better level than one of a higher
-// priority, however many priorities the routing plan has.
+// Within a priority of the routing plan, shorter prompts get a higher priority level at the worker. No prompt
+// gets a higher level than one of a higher priority, however many priorities the plan has. Level 0 is the
+// highest.
 func TestShorterPromptComesFirstWithinItsPriority(t *testing.T) {
 	for _, lowest := range []int{0, 1, 2, 4, 9, 20} {
 		snapshot := newFleet(18)
@@ -237,7 +242,7 @@
 				prioritized.Priority, request.Route, request.PromptTokens = priority, &prioritized, tokens
 				level := edge.mustSelect(t, request).Urgency
 				if level < last || level > 9 || i == 0 && level <= last || lowest < 3 && level <= last {
-					t.Errorf("plan with %d priorities: prompt of %d tokens and priority %d got level %d, previous prompt level %d; want increasing levels up to 9", lowest+1, tokens, priority, level, last)
+					t.Errorf("routing plan with %d priorities: prompt of %d tokens and priority %d got level %d, and the shorter or more urgent one before it level %d; want rising levels up to 9", lowest+1, tokens, priority, level, last)
 				}
 				last = level
 			}
@@ -245,11 +250,11 @@
 	}
 }
 
-// Naming another version before the rollout time limit of the previous one has passed doesn't extend that
-// limit: the version that was superseded first goes out of use on time, and a version that only the newest
-// supersedes has a time limit of its own.
+// Version 2 of the weights is named, and version 3 before the rollout time limit of version 2 has passed. This
+// doesn't extend the limit of version 2: no request starts on version 1 after it. Requests may start on version
+// 2 until the limit of version 3 has passed.
 func TestNamedAgainBeforeTheBoundIsOver(t *testing.T) {
-	// All workers serve version 1.
+	// newFleet returns workers that serve version 1 of the weights; one of them is changed to version 2 below.
 	snapshot := newFleet(4)
 	first, second := processStart+time.Minute, processStart+time.Minute+settings.DefaultBounds().Weights(0.6)
 	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 3, second
@@ -268,14 +273,14 @@
 	}
 	edge.now = first + edge.bounds.Weights(0.84)
 	if counts := countByVersion(); counts[1] == 0 {
-		t.Errorf("before the rollout time limit of version 2: requests by version %v, want some on version 1", counts)
+		t.Errorf("before the rollout time limit of weights version 2: number of requests by version: %v, want some on version 1", counts)
 	}
 	edge.now = first + edge.bounds.Weights(0.86)
 	if counts := countByVersion(); counts[1] != 0 || counts[2] == 0 {
-		t.Errorf("after the rollout time limit of version 2, before that of version 3: requests by version %v, want none on version 1 and some on version 2", counts)
+		t.Errorf("after the rollout time limit of weights version 2, before that of version 3: number of requests by version: %v, want none on version 1 and some on version 2", counts)
 	}
 	edge.now = second + edge.bounds.Weights(0.86)
 	if counts := countByVersion(); len(counts) != 0 {
-		t.Errorf("after the rollout time limits of versions 2 and 3: requests by version %v, want none", counts)
+		t.Errorf("after the rollout time limits of weights versions 2 and 3: number of requests by version: %v, want no requests", counts)
 	}
 }
