--- a/internal/data/selection/api.go
+++ b/internal/data/selection/api.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Request is the input of a selection.
+// Request describes a client's request, as far as the selection of its worker depends on it.
 type Request struct {
 	// Unique ID of the request.
 	ID string
@@ -50,7 +50,7 @@
 	Save string
 	// Priority level of the request in the worker's queue, 0 (highest) to 9; -1: the worker gets no level.
 	Urgency int
-	// If no worker was selected, after how long the client may retry; 0: unknown.
+	// Time after which the client may retry if no worker was selected; 0: unknown.
 	RetryAfter time.Duration
 }
 
@@ -60,7 +60,7 @@
 // Outcome is how an attempt ended. Outcomes influence which workers later requests are sent to.
 type Outcome int
 
-// Outcomes of attempts.
+// Outcomes of an attempt, which is one try to have a worker execute a request.
 const (
 	// Completed means that the worker sent a complete response.
 	Completed Outcome = iota
--- a/internal/data/selection/attempts.go
+++ b/internal/data/selection/attempts.go
@@ -13,7 +13,7 @@
 // attempt is one attempt of a request at a worker: the prefill, transfers and prompt parts that the selection
 // expected of it, and its progress.
 type attempt struct {
-	// Prompt tokens that the worker has to prefill.
+	// Number of prompt tokens that the worker has to prefill.
 	prefillTokens float64
 	// Milliseconds for which the transfer of fetched parts occupies the links of worker and source.
 	transferMs float64
--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -30,7 +30,7 @@
 	// The lateness of a first event still raises the worker's cost for some time after the event was received.
 	edge.recordFirstEvent(request, choice, &Load{Running: 2, Slots: 128}, 2*route.LatencyTarget, edge.now)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
-		t.Errorf("selected %s right after its first event came late, want another worker", home)
+		t.Errorf("right after a late first event of worker %s: selected it again, want another worker", home)
 	}
 	edge.now += 8 * edge.bounds.Heal(loadTuning.decayRatio)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home {
--- a/internal/data/selection/cachesimulation_test.go
+++ b/internal/data/selection/cachesimulation_test.go
@@ -19,7 +19,7 @@
 	snapshot *fleet.Snapshot
 	random   *rand.Rand
 	edges    []*testEdge
-	// By ID of a worker or store: time from which it caches each prompt part.
+	// By worker ID or store name: time from which each prompt part is cached there.
 	cachedAt map[string]map[prefix.Key]time.Duration
 	// Shared prompt parts that at least one worker prefilled.
 	everPrefilled map[prefix.Key]bool
--- a/internal/data/selection/choice.go
+++ b/internal/data/selection/choice.go
@@ -29,7 +29,8 @@
 		cached := consecutiveParts(t.presumedParts[index], 0)
 		if choice.Fetch == "" && cached < prompt.sharedParts && s.mayBeStored(prompt) &&
 			sharedTokens-s.cumulativeTokens[cached] >= 2*transferTuning.minSavedTokens {
-			// The store may have the parts, and a failed fetch costs next to nothing.
+			// The store isn't known to have the shared parts but may have them, and a failed fetch costs next
+			// to nothing.
 			choice.Fetch = store.Store.Addr
 		}
 	}
--- a/internal/data/selection/doc.go
+++ b/internal/data/selection/doc.go
@@ -5,9 +5,9 @@
 //
 // A prompt is split into parts, each identified by a hash of the prompt up to its end. A worker or store that
 // caches a part is a holder of it: confirmed if the holder reported the part or already responded to a request
-// that contains it, presumed if a request with the part, or an order to save it, was only sent there. The
-// affinity part of a prompt is the one by which rendezvous hashing assigns the prompt a home worker. An edge
-// machine runs the proxy that selects workers; several edge machines share the same workers.
+// that contains it, presumed if a request with the part, or an instruction to save it, was sent there but is
+// not confirmed. The affinity part of a prompt is the one by which rendezvous hashing assigns the prompt a home
+// worker. An edge machine runs the proxy that selects workers; several edge machines share the same workers.
 //
 // The prompt index is a service that records which workers and stores cache which prompt parts. The control
 // state is the replicated configuration of the site. It contains the cache placement, which lists the parts
--- a/internal/data/selection/ejection.go
+++ b/internal/data/selection/ejection.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// recordFailure ejects a worker for a time that doubles with each recent failure and grows with the worker's
-// failure ratio.
+// recordFailure ejects a worker, which excludes it from selection, for a time that doubles with each recent
+// failure and grows with the worker's failure ratio.
 func (t *table) recordFailure(w *workerStats, now time.Duration) {
 	w.failureRatio = movingAverage(w.failureRatio, 1, ejectionTuning.sampleWeight)
 	doublings := math.Exp2(float64(min(w.recentFailures, ejectionTuning.maxDoublings)))
@@ -16,8 +16,8 @@
 	w.ejectedUntil = max(w.ejectedUntil, now+w.ejectionTime)
 }
 
-// recordSuccess lowers a worker's failure ratio, and its count of recent failures by one unless the worker is
-// ejected.
+// recordSuccess lowers a worker's failure ratio and, unless the worker is ejected, its number of recent
+// failures by one.
 func (t *table) recordSuccess(w *workerStats, now time.Duration) {
 	w.failureRatio = movingAverage(w.failureRatio, 0, ejectionTuning.sampleWeight)
 	if now >= w.ejectedUntil && w.recentFailures > 0 {
--- a/internal/data/selection/eligibility.go
+++ b/internal/data/selection/eligibility.go
@@ -6,8 +6,8 @@
 	"pebbleloom/internal/fleet"
 )
 
-// avoidReason is why a worker is avoided while others may be selected, ordered from the weakest reason to the
-// strongest.
+// avoidReason is why a worker is avoided while there are others with a weaker reason or none. The values are
+// ordered from the weakest reason to the strongest.
 type avoidReason int
 
 const (
@@ -77,7 +77,7 @@
 	if ejected == 0 || maxEjected == 0 {
 		return usable
 	}
-	// until is the time such that candidates whose ejection ends later are removed.
+	// Candidates whose ejection ends later than until are removed.
 	until := now
 	for ejected > maxEjected {
 		until = nextEjectionEnd(group, usable, until)
--- a/internal/data/selection/layout.go
+++ b/internal/data/selection/layout.go
@@ -130,8 +130,8 @@
 	return built
 }
 
-// addServices adds a group for each service of the routing plan that isn't a store, and returns the plan's
-// stores.
+// addServices adds a service group to the layout for each service of the routing plan that isn't a store, and
+// returns the plan's stores.
 func (l *layout) addServices(carried *carriedStats) (stores []storeCandidate) {
 	if l.snapshot.Plan == nil {
 		return nil
--- a/internal/data/selection/loadsharing.go
+++ b/internal/data/selection/loadsharing.go
@@ -13,7 +13,7 @@
 // Units of the numbers in load reports between edge machines. All releases that run together have to agree on
 // them.
 const (
-	// Unit, in tokens, of the number of prompt tokens to prefill in load reports.
+	// Number of tokens in one unit of the pending prompt tokens, those still to be prefilled, in load reports.
 	pendingTokensUnit = 64
 	// Number by which outcome counts are multiplied in load reports: they are reported in eighths.
 	outcomesPerCount = 8
--- a/internal/data/selection/promptstate.go
+++ b/internal/data/selection/promptstate.go
@@ -56,7 +56,7 @@
 
 // holderEvidence is what is known of one holder of a prompt part, a worker or store that caches it.
 type holderEvidence struct {
-	// ID of the worker, or name of the store.
+	// ID of the holder if it is a worker, or its name if it is a store.
 	id string
 	// Whether the holder reported that it caches the prompt part, or responded to a request that contains it.
 	isConfirmed bool
@@ -112,7 +112,8 @@
 	known, isKnown := t.parts.get(key)
 	lifetime := t.bounds.Heal(recordTuning.lifetimeRatio)
 	if found.GetHotness() > 0 {
-		// The prompt index is more accurate than records of this edge machine that are older than its lag.
+		// If the prompt index knows the part, it is more accurate than records of this edge machine that are
+		// older than the lag of the index.
 		lifetime = t.bounds.Heal(recordTuning.indexLagRatio)
 	}
 	prefillTime := t.bounds.Heal(recordTuning.prefillRatio)
@@ -188,8 +189,8 @@
 	}
 }
 
-// addSource adds a worker to the prompt's sources. If there are already transferTuning.maxSources, it replaces
-// the worst source, provided the added one is better.
+// addSource adds a worker to the sources from which the prompt's parts can be fetched. If there are already
+// transferTuning.maxSources of them, it replaces the worst one, provided the added one is better.
 func (s *scorer) addSource(prompt *promptState, added source) {
 	if len(prompt.sources) < transferTuning.maxSources {
 		prompt.sources = append(prompt.sources, added)
--- a/internal/data/selection/score.go
+++ b/internal/data/selection/score.go
@@ -7,9 +7,9 @@
 
 // workerCost is the estimated cost of executing a request on one worker, with what it is derived from.
 type workerCost struct {
-	// Sum of all cost terms, in milliseconds.
+	// Sum of the cost terms that the package comment lists, in milliseconds.
 	totalMs float64
-	// Prompt tokens that the worker has to prefill.
+	// Number of prompt tokens that the worker has to prefill.
 	prefillTokens float64
 	// Milliseconds for which the transfer of fetched parts occupies the links of worker and source.
 	transferMs float64
@@ -27,7 +27,8 @@
 func (s *scorer) score(index int, prompt *promptState, bestMs float64) workerCost {
 	candidate := &s.group.candidates[index]
 	cached := min(consecutiveParts(s.table.presumedParts[index], 0), s.partCount())
-	// Prompt tokens that the worker doesn't cache.
+	// missing is the number of prompt tokens that the candidate doesn't cache, and shared the number of those
+	// that other requests use too.
 	missing := s.cumulativeTokens[s.partCount()] - s.cumulativeTokens[cached] + s.remainingTokens
 	shared := max(0, s.cumulativeTokens[min(prompt.sharedParts, s.partCount())]-s.cumulativeTokens[cached])
 
@@ -135,9 +136,9 @@
 // sourceChoice is a source of prompt parts, with the cost and the savings of fetching them from it.
 type sourceChoice struct {
 	source *source
-	// Prompt tokens that needn't be prefilled because they are fetched.
+	// Number of prompt tokens that needn't be prefilled because their cache is fetched from the source.
 	tokens float64
-	// Cost of the transfer, in milliseconds.
+	// Cost of the transfer from the source, in milliseconds.
 	costMs float64
 	// Milliseconds for which the transfer occupies the links of worker and source.
 	transferMs float64
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -127,12 +127,12 @@
 	edge.setHolders("p", promptindex.Confirmed, holder)
 	choice := edge.mustSelect(t, edge.newRequest("p", 13000))
 	if choice.Worker.ID == holder && choice.Fetch != "" || choice.Worker.ID != holder && choice.Fetch != holder+":1" {
-		t.Errorf("selected %s, fetching from %q; want %s, which caches the part, or a fetch from it", choice.Worker.ID, choice.Fetch, holder)
+		t.Errorf("part that one worker caches: selected %s, fetching from %q; want the worker that caches it, %s, or a fetch from it", choice.Worker.ID, choice.Fetch, holder)
 	}
 	// A worker that is only presumed to cache the part may lack it, so fetching from it isn't worth the risk.
 	edge.setHolders("p", promptindex.Presumed, holder)
 	if choice = edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != holder {
-		t.Errorf("selected %s, want %s, which is presumed to cache the part", choice.Worker.ID, holder)
+		t.Errorf("part that one worker is presumed to cache: selected %s, want that worker, %s", choice.Worker.ID, holder)
 	}
 }
 
@@ -218,7 +218,7 @@
 	}
 	first.source.stats.linkBusyUntil = edge.now + time.Second
 	if second := s.bestSource(group.index[home], prompt, 0); second.source == nil || second.source == first.source {
-		t.Errorf("link of the first source is busy: second source is %+v, want a different one", second.source)
+		t.Errorf("network link of the best source became busy: best source is now %+v, want another one", second.source)
 	}
 }
 
@@ -323,7 +323,7 @@
 	}
 	edge.now += edge.bounds.Heal(recordTuning.lookupRatio)
 	if lookupCount(edge.newRequest("p", 1000)) == 0 {
-		t.Error("prompt whose shared part was last sent longer ago than the lookup limit: no prompt index keys to look up, want some")
+		t.Error("prompt whose shared part was last sent longer ago than recordTuning.lookupRatio allows: no prompt index keys to look up, want some")
 	}
 	if lookupCount(&Request{ID: "x", Service: "app", Route: route, Parts: request.Parts}) != 0 {
 		t.Error("request to a service without a prompt cache: prompt index keys to look up, want none")
--- a/internal/data/selection/table.go
+++ b/internal/data/selection/table.go
@@ -29,7 +29,7 @@
 	selected *recentMap[attemptKey, attempt]
 	// Attempts that were sent and whose outcome is not recorded yet.
 	inFlight map[attemptKey]attempt
-	// By store name: whether the prompt index doesn't list the store as available.
+	// By store name: whether the store is unavailable according to the last response of the prompt index.
 	unavailableStores map[string]bool
 	// Time of the last removal of attempts whose outcome was never recorded.
 	lastSweep time.Duration
--- a/internal/data/selection/tuning.go
+++ b/internal/data/selection/tuning.go
@@ -299,12 +299,12 @@
 // weights of the samples that update the estimates.
 type estimatorParameters struct {
 	// priorFirstEventRatio is the prior of the time to the first response event of an empty prompt, and
-	// priorTokenRatio the prior of the prefill time per token. Ratios of the recovery time limit; range: above
-	// 0.
+	// priorTokenRatio the prior of the prefill time per token. Both are ratios of the recovery time limit;
+	// range: above 0.
 	priorFirstEventRatio, priorTokenRatio float64
 	// The regression of first event times starts with priorSamples samples of an empty prompt and as many of a
-	// prompt of priorTokens tokens, all with the priors' values. Range of priorSamples: 1 to 100; range of
-	// priorTokens: above 0. Higher values adapt more slowly.
+	// prompt of priorTokens tokens, all with the times that the priors predict. Range of priorSamples: 1 to
+	// 100; range of priorTokens: above 0. Higher values adapt more slowly.
 	priorSamples int
 	priorTokens  float64
 	// maxMultiple limits the estimates of first event times to between 1/maxMultiple and maxMultiple times
