--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -101,7 +101,8 @@
 }
 
 // A copy of a prompt part evicts another part from a worker's cache. So a worker that caches the part is
-// preferred even if it isn't the part's home worker, unless the wait there is much longer than the prefill.
+// preferred even if it isn't the part's home worker, as long as the wait there is short compared with the
+// prefill.
 func TestHolderWithShortWaitIsPreferredToCopy(t *testing.T) {
 	edge := newEdge(newFleet(18))
 	edge.mustSelect(t, edge.newRequest("p", 13000))
--- a/internal/data/selection/partrecord.go
+++ b/internal/data/selection/partrecord.go
@@ -31,8 +31,9 @@
 	confirmed  bool
 }
 
-// addHolder makes a worker the most recent holder of the prompt part. If there are too many holders, it removes
-// the oldest one. A confirmed holder stays confirmed.
+// addHolder records a worker as the most recent of those that cache the prompt part, and removes the least
+// recent one if there are more than maxRecentHolders. A worker that was confirmed to cache the part stays
+// confirmed.
 func (p *partRecord) addHolder(worker string, confirmed bool, now time.Duration) {
 	replaced := maxRecentHolders - 1
 	for i, holder := range p.holders {
@@ -45,7 +46,8 @@
 	p.holders[0] = recentHolder{worker, now, confirmed}
 }
 
-// removePresumedHolder removes a worker from the holders of the prompt part, unless it is a confirmed one.
+// removePresumedHolder removes a worker from those that cache the prompt part, unless it is confirmed to cache
+// it.
 func (p *partRecord) removePresumedHolder(worker string) {
 	for i, holder := range p.holders {
 		if holder.worker == worker && !holder.confirmed {
--- a/internal/data/selection/scorer.go
+++ b/internal/data/selection/scorer.go
@@ -70,7 +70,8 @@
 			best, bestIndex = cost, index
 		}
 	}
-	// Home workers are likely the best: scoring them first lets score stop early for the others.
+	// The home worker of the affinity part likely has the lowest cost: scoring home workers first lets score
+	// stop early for the other candidates.
 	for _, prompt := range prompts {
 		if prompt.home >= 0 {
 			evaluate(prompt.home)
--- a/internal/data/selection/table.go
+++ b/internal/data/selection/table.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// selectWorker selects a worker for a request, given the prompt index's response found and the IDs of the
-// workers that were tried before. It returns false if no worker is usable, or if the wait at the best worker
-// would be too long (see loadTuning.maxWaitRatio) and the request was not sent to any worker yet.
+// selectWorker selects a worker for a request. found is the response of the prompt index, and tried the set of
+// IDs of workers that got an earlier attempt of the request. It returns false if no worker is usable, or if the
+// wait at the best worker would be too long (see loadTuning.maxWaitRatio) and tried is empty.
 func (t *table) selectWorker(snapshot *fleet.Snapshot, request *Request, found map[prefix.Key]*wire.LookupResult, tried map[string]bool, now time.Duration) (Choice, bool) {
 	group := t.layoutFor(snapshot).groups[request.Service]
 	if group == nil || len(group.candidates) == 0 {
--- a/internal/data/selection/versions_test.go
+++ b/internal/data/selection/versions_test.go
@@ -251,8 +251,8 @@
 }
 
 // Version 2 of the weights is named, and version 3 before the rollout time limit of version 2 has passed. This
-// doesn't extend the limit of version 2: no request starts on version 1 after it. Requests may start on version
-// 2 until the limit of version 3 has passed.
+// doesn't extend the limit of version 2: once 0.85 of it has passed, no request starts on version 1. Requests
+// may start on version 2 until 0.85 of the limit of version 3 has passed.
 func TestNamedAgainBeforeTheBoundIsOver(t *testing.T) {
 	// newFleet returns workers that serve version 1 of the weights; one of them is changed to version 2 below.
 	snapshot := newFleet(4)
@@ -273,14 +273,14 @@
 	}
 	edge.now = first + edge.bounds.Weights(0.84)
 	if counts := countByVersion(); counts[1] == 0 {
-		t.Errorf("before the rollout time limit of weights version 2: number of requests by version: %v, want some on version 1", counts)
+		t.Errorf("after 0.84 of the rollout time limit of weights version 2: number of requests by version: %v, want some on version 1", counts)
 	}
 	edge.now = first + edge.bounds.Weights(0.86)
 	if counts := countByVersion(); counts[1] != 0 || counts[2] == 0 {
-		t.Errorf("after the rollout time limit of weights version 2, before that of version 3: number of requests by version: %v, want none on version 1 and some on version 2", counts)
+		t.Errorf("after 0.86 of the rollout time limit of weights version 2, before that of version 3: number of requests by version: %v, want none on version 1 and some on version 2", counts)
 	}
 	edge.now = second + edge.bounds.Weights(0.86)
 	if counts := countByVersion(); len(counts) != 0 {
-		t.Errorf("after the rollout time limits of weights versions 2 and 3: number of requests by version: %v, want no requests", counts)
+		t.Errorf("after 0.86 of the rollout time limit of weights version 3: number of requests by version: %v, want no requests", counts)
 	}
 }
