--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -27,19 +27,20 @@
 
 // Config is the configuration of one Core. Self, HeartbeatTicks, ElectionTicks, MaxBatchBytes and Rand are required.
 type Config struct {
-	Shard             uint32     // number of the shard; messages of other shards are ignored
+	Shard             uint32     // number of the shard; messages with another number are ignored
 	Self              string     // name of this member
 	Members           []string   // fixed voters, including Self; empty with DynamicMembership
-	DynamicMembership bool       // voters are named by log entries (see membership.go)
+	DynamicMembership bool       // the voters are those that log entries name, not Members (see membership.go)
 	HeartbeatTicks    int        // ticks between two heartbeats of a leader
 	ElectionTicks     int        // minimum election timeout in ticks; the maximum is twice as long
 	MaxBatchBytes     int        // size limit of the entries in one append request, and of one snapshot chunk
-	TrailingLogBytes  int        // size limit of compacted entries kept for lagging followers, at least the state's size; 0: none are kept
+	TrailingLogBytes  int        // size limit of the compacted entries kept for lagging followers; a larger state raises it to its size; 0: none are kept
 	Rand              *rand.Rand // source of randomized election timeouts
 }
 
-// Ready holds what the driver has to do for the steps taken so far. The driver must keep this order: Snapshot
-// and Records must be on disk before any of Messages is sent, and CommittedEntries are applied after that.
+// Ready holds what the driver has to do for the calls of Step, Tick and others since the last call of Core.Ready. The
+// driver must keep this order: Snapshot and Records must be on disk before any of Messages is sent, and
+// CommittedEntries are applied after that.
 type Ready struct {
 	Snapshot         *wire.Snapshot  // replaces the stored snapshot, the log and the applied state; nil: no replacement
 	Records          []*wire.Record  // records to append to the log, after Snapshot if there is one
@@ -56,10 +57,10 @@
 type Core struct {
 	cfg Config
 
-	// Persistent state, including records in ready that are not on disk yet (paper, figure 2).
+	// Persistent state of the member (paper, figure 2). It includes records in ready that are not on disk yet.
 	hardState *wire.HardState
 	snapshot  *wire.Snapshot
-	log       []*wire.Entry // entries after snapshot
+	log       []*wire.Entry // log entries after snapshot
 
 	trailing []*wire.Entry     // entries up to snapshot.Index that are kept for lagging followers
 	incoming *incomingSnapshot // snapshot that is being received; nil: none
@@ -76,7 +77,7 @@
 	votes             map[string]bool // on a candidate or pre-candidate: the voters that have granted their votes
 
 	voters                voterSet                 // newest voter set in the log, committed or not
-	peers                 map[string]*peerProgress // on a leader: replication progress of the other voters and the learners, by name
+	peers                 map[string]*peerProgress // on a leader: its replication progress to the other voters and the learners, by name
 	learnerHeartbeatCount int                      // heartbeats sent as leader; caught-up learners get only every learnerHeartbeats-th
 
 	readSequence uint64 // sequence number of the newest read; every request of a leader carries it as Probe
@@ -84,12 +85,12 @@
 	lastReadID   uint64
 
 	// State of rejoining after the loss of the disk, with fixed members only (rejoin.go).
-	generation      uint64                   // generation of its name that this member rejoins under; 0: not chosen yet
-	peerGenerations map[string]uint64        // by peer: the latest generation of this member's name that the peer has recorded
-	peerStates      map[string]*wire.Message // by peer: the state received from it for the chosen generation
+	generation      uint64                   // number of this incarnation of the member's name, chosen to rejoin; 0: not chosen yet
+	peerGenerations map[string]uint64        // by peer: number of the latest incarnation of this member's name that the peer has recorded
+	peerStates      map[string]*wire.Message // by peer: its response with its snapshot and log, sent after it recorded the chosen generation
 	rejoinFailure   string                   // reason that prevents rejoining; empty: none
 
-	supersededBy uint64 // later restore generation of the group, to which this member doesn't belong; 0: none is known (restore.go)
+	supersededBy uint64 // restore generation of a later restore of the group, which this member isn't part of; 0: none is known (restore.go)
 
 	ready Ready
 }
@@ -110,7 +111,7 @@
 	return c
 }
 
-// replay rebuilds the hard state and the log in memory from the records on disk.
+// replay rebuilds the hard state and the log in memory from the records that follow the snapshot on disk.
 func (c *Core) replay(records []*wire.Record) {
 	for _, record := range records {
 		switch kind := record.Kind.(type) {
@@ -125,7 +126,7 @@
 }
 
 // BlankSnapshot returns the initial snapshot of a fixed member that starts with an empty disk. The incarnation
-// distinguishes the member from earlier ones of the same name. It doesn't vote until it has rejoined (rejoin.go).
+// distinguishes the member from earlier ones of the same name. The member doesn't vote until it has rejoined (rejoin.go).
 //
 // Example: err := store.SaveSnapshot(consensus.BlankSnapshot("core-1/9f3a"), nil)
 func BlankSnapshot(incarnation string) *wire.Snapshot {
@@ -166,7 +167,7 @@
 	}
 }
 
-// tickElection starts a pre-vote once the election timer has run out.
+// tickElection starts a pre-vote if this member is a voter and its election timer has run out.
 func (c *Core) tickElection() {
 	if c.electionElapsed++; c.electionElapsed >= c.electionTimeout && c.IsVoter(c.cfg.Self) {
 		c.campaign(preCandidate)
@@ -192,13 +193,13 @@
 	c.persistEntry(entry)
 	c.forEachPeer(func(peer string) { c.replicate(peer, false) })
 	if len(c.voters.names) == 1 {
-		c.advanceCommit() // a single voter gets no response that would trigger it
+		c.advanceCommit() // a single voter gets no response of a peer, which advances the commit index otherwise
 	}
 	return entry.Index
 }
 
-// Ready returns the output of the steps since the last call. The driver must carry it out completely before it
-// calls Ready or Compact.
+// Ready returns what the driver has to do since the last call of Ready. The driver must carry it out completely before
+// it calls Ready again, or Compact.
 //
 // Example: ready := c.Ready()
 func (c *Core) Ready() Ready {
--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -29,7 +29,8 @@
 	return c.cfg.DynamicMembership && c.lastLeaderContact == 0 && c.ticks < c.cfg.ElectionTicks
 }
 
-// resetElectionTimer restarts the election timer with a new random timeout (paper, section 5.2).
+// resetElectionTimer restarts the election timer with a new random timeout of ElectionTicks to twice as many (paper,
+// section 5.2), or a shorter one if this member has just started.
 func (c *Core) resetElectionTimer() {
 	c.electionElapsed, c.electionTimeout = 0, c.cfg.ElectionTicks+c.cfg.Rand.IntN(c.cfg.ElectionTicks)
 	if c.justStarted() {
@@ -46,11 +47,11 @@
 	if c.role == leader {
 		c.abortReads()
 		for _, progress := range c.peers {
-			progress.transfer = nil // so that the memory of its snapshot can be freed
+			progress.transfer = nil // so that the snapshot being sent can be garbage-collected
 		}
 	}
 	if leaderName != "" {
-		c.lastLeaderContact = c.ticks // set before the reset of the timer, which is shorter before the first contact with a leader
+		c.lastLeaderContact = c.ticks // set before the election timer is reset, since a member that hasn't had contact with a leader gets shorter timeouts
 	}
 	if c.role != follower || leaderName != "" {
 		c.resetElectionTimer()
@@ -96,15 +97,15 @@
 	c.proposeEntry(nil, c.voters.storedNames(c.cfg.DynamicMembership))
 }
 
-// isLogUpToDate reports whether the log described by a vote request is at least as up to date as this one: its
-// last entry has a later term, or the same term and no lower index (paper, section 5.4.1).
+// isLogUpToDate reports whether the sender's log, as described by a vote request, is at least as up to date as this
+// member's: its last entry has a later term, or the same term and no lower index (paper, section 5.4.1).
 func (c *Core) isLogUpToDate(message *wire.Message) bool {
 	lastTerm := c.lastTerm()
 	return message.LogTerm > lastTerm || message.LogTerm == lastTerm && message.Index >= c.lastIndex()
 }
 
 // handlePreVoteRequest responds whether this member would vote for the sender. It wouldn't while it leads or
-// had recent contact with a leader, so that a member returning from a partition can't disrupt the leader
+// has had contact with a leader in the last ElectionTicks ticks, so that a member returning from a partition can't disrupt the leader
 // (thesis, sections 4.2.3 and 9.6). The request's term is the one that the sender would campaign in; it
 // isn't adopted.
 func (c *Core) handlePreVoteRequest(message *wire.Message) {
@@ -124,8 +125,8 @@
 	return message.From < c.cfg.Self || message.LogTerm > c.lastTerm() || message.Index > c.lastIndex()
 }
 
-// handlePreVoteResponse counts a granted pre-vote. Probe is the term that the pre-vote was requested for, by
-// which late responses to earlier pre-votes are recognized and ignored.
+// handlePreVoteResponse counts a granted pre-vote. Probe is the term that the pre-vote was requested for: a late
+// response to an earlier pre-vote request has an earlier term there and is ignored.
 func (c *Core) handlePreVoteResponse(message *wire.Message) {
 	if c.role != preCandidate || !message.Ok || message.Probe != c.hardState.Term+1 {
 		return
@@ -136,7 +137,7 @@
 }
 
 // handleVoteRequest grants at most one vote in a term, to a candidate whose log is at least as up to date
-// as this one (paper, sections 5.2 and 5.4.1). The vote is on disk before the response is sent.
+// as this member's (paper, sections 5.2 and 5.4.1). The vote is on disk before the response is sent.
 func (c *Core) handleVoteRequest(message *wire.Message) {
 	ok := message.Term == c.hardState.Term && (c.hardState.Vote == "" || c.hardState.Vote == message.From) && c.isLogUpToDate(message)
 	if ok {
--- a/internal/control/consensus/leadership_transfer.go
+++ b/internal/control/consensus/leadership_transfer.go
@@ -3,7 +3,7 @@
 import "pebbleloom/internal/wire"
 
 // TransferLeadership asks another voter that has every entry of this leader's log to start an election at once
-// (thesis, section 3.10). Of several it selects the one with the most recent contact. It returns false if this
+// (thesis, section 3.10). Of several such voters it selects the one with the most recent contact. It returns false if this
 // member isn't the leader or no other live voter has caught up. The voter still has to win the election by the
 // usual rules.
 //
--- a/internal/control/consensus/learner.go
+++ b/internal/control/consensus/learner.go
@@ -15,10 +15,10 @@
 	learnerTimeoutElections = 6
 
 	// learnerHeartbeats is the number of heartbeats between two requests to a learner that has caught
-	// up. A learner that hasn't is sent a request at each heartbeat: a membership change may wait for it.
+	// up. A learner that hasn't caught up is sent a request at each heartbeat: a membership change may wait for it.
 	learnerHeartbeats = 3
 
-	// maxLearners bounds the learners of a leader, and so its replication traffic.
+	// maxLearners is the maximum number of learners that a leader replicates to. It bounds the replication traffic.
 	maxLearners = 64
 )
 
@@ -66,8 +66,8 @@
 	return c.lastIndex()
 }
 
-// replicateToLearners sends requests to the learners that are due at a heartbeat, and drops learners that have
-// stopped responding.
+// replicateToLearners sends, at a heartbeat of a group's leader, requests to the learners that are due for one, and
+// drops learners that have stopped responding (learnerTimeoutElections).
 func (c *Core) replicateToLearners() {
 	if !c.cfg.DynamicMembership {
 		return
--- a/internal/control/consensus/log.go
+++ b/internal/control/consensus/log.go
@@ -21,7 +21,8 @@
 	return term
 }
 
-// termAt returns the term of the entry at an index; false if it is compacted or not in the log yet.
+// termAt returns the term of the entry at an index. The second result is false if the entry is compacted or not in the
+// log yet.
 func (c *Core) termAt(index uint64) (uint64, bool) {
 	if index == c.snapshot.Index {
 		return c.snapshot.Term, true
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -37,7 +37,7 @@
 // voterSet is a set of voters, with the index and term of the entry that names them.
 type voterSet struct {
 	names       []string // names of the voters, sorted
-	index, term uint64   // of the entry that names the voters; 0 for the voters that a group was bootstrapped with
+	index, term uint64   // index and term of the entry that names the voters; 0 for the voters that a group was bootstrapped with
 }
 
 // storedNames returns the names to store in an entry or a snapshot: nil for fixed members, which are part of the
@@ -81,7 +81,7 @@
 	return voterSet{c.snapshot.Members, c.snapshot.MembersIndex, c.snapshot.MembersTerm}
 }
 
-// applyVoters makes the voters that an appended entry names the current ones.
+// applyVoters puts the voters that an appended entry names into effect, if it names any.
 func (c *Core) applyVoters(entry *wire.Entry) {
 	if c.cfg.DynamicMembership && len(entry.Members) > 0 {
 		c.voters = voterSet{entry.Members, entry.Index, entry.Term}
@@ -119,7 +119,7 @@
 	return c.proposeEntry(nil, proposed), c.hardState.Term, true
 }
 
-// namesNotIn returns the names that are not among others.
+// namesNotIn returns those of names that are not in others.
 func namesNotIn(names, others []string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return slices.Contains(others, name) })
 }
--- a/internal/control/consensus/peer_status.go
+++ b/internal/control/consensus/peer_status.go
@@ -39,8 +39,8 @@
 	return statuses
 }
 
-// isNearCommit reports whether the committed entries after index match fit into one append request: they are
-// neither more than caughtUpEntries, nor larger than MaxBatchBytes, nor compacted.
+// isNearCommit reports whether the committed entries that a peer lacks, whose log matches up to index match, fit into
+// one append request: they are neither more than caughtUpEntries, nor larger than MaxBatchBytes, nor compacted.
 func (c *Core) isNearCommit(match uint64) bool {
 	if match == 0 || match+caughtUpEntries < c.commit {
 		return false
--- a/internal/control/consensus/progress.go
+++ b/internal/control/consensus/progress.go
@@ -7,9 +7,9 @@
 // Invariant: match < next.
 type peerProgress struct {
 	next  uint64 // index of the next entry to send
-	match uint64 // highest index up to which the peer's log is known to match
+	match uint64 // highest index up to which the peer's log is known to match the leader's
 
-	incarnation       string // incarnation of the peer that acknowledged match
+	incarnation       string // incarnation of the peer that acknowledged the entries up to match
 	ackedReadSequence uint64 // highest read sequence number that the peer has echoed
 	acceptsChunks     bool   // the peer's release can receive snapshots in chunks
 
@@ -17,11 +17,11 @@
 	ticksSinceResponse int  // ticks since the peer's last response arrived
 	contactAge         int  // age in ticks of the newest request that the peer has responded to
 
-	inFlight       bool // entries or a chunk were sent and not acknowledged yet
-	batchRetryAt   int  // tick from which a large batch in flight may be sent again
-	batchLosses    int  // consecutive large batches that weren't acknowledged in time
-	transfer       *outgoingTransfer
-	snapshotSentAt int // tick in which a snapshot was last sent in one message; 0: never
+	inFlight       bool              // entries or a snapshot chunk were sent and are not acknowledged yet
+	batchRetryAt   int               // tick from which a large batch of entries in flight may be sent again
+	batchLosses    int               // consecutive large batches of entries that weren't acknowledged in time
+	transfer       *outgoingTransfer // snapshot transfer to the peer; nil: none
+	snapshotSentAt int               // tick in which a snapshot was last sent in one message; 0: never
 }
 
 // newProgress returns the progress of a peer that hasn't responded yet.
@@ -33,9 +33,9 @@
 	return progress
 }
 
-// progressAtElection returns the initial progress of a peer for a newly elected leader. A peer that didn't vote
-// for it counts as silent since this member's last contact with a leader. Otherwise each election would
-// postpone the replacement of a member that is down.
+// progressAtElection returns the initial progress of a peer for this newly elected leader. In a group, a peer that
+// didn't vote for it counts as silent since this member's last contact with a leader, up to ElectionTicks. Otherwise
+// each election would postpone the replacement of a member that is down.
 func (c *Core) progressAtElection(peer string) *peerProgress {
 	progress := c.newProgress(peer)
 	if c.cfg.DynamicMembership && !c.votes[peer] {
@@ -45,15 +45,15 @@
 	return progress
 }
 
-// recordResponse updates and returns a peer's progress for a response. It returns nil if the response is to be
-// ignored.
+// recordResponse updates the progress of the peer that sent a response, and returns it. It returns nil if the rest of
+// the response is to be ignored.
 func (c *Core) recordResponse(message *wire.Message) *peerProgress {
 	if c.role != leader || message.Term != c.hardState.Term {
 		return nil
 	}
 	progress := c.peers[message.From]
 	if progress == nil {
-		return nil // a removed voter, or a dropped learner that has to join again
+		return nil // the sender is a removed voter, or a dropped learner that has to join again
 	}
 	if progress.incarnation != message.Incarnation { // the peer has a new disk: acknowledgements for the old one are invalid
 		*progress = peerProgress{next: c.lastIndex() + 1, incarnation: message.Incarnation, contactAge: c.requestAge(message), responded: true, acceptsChunks: message.AcceptsChunks}
--- a/internal/control/consensus/read_index.go
+++ b/internal/control/consensus/read_index.go
@@ -4,7 +4,7 @@
 // a quorum has responded to a request sent after it began, and the entries up to index are applied.
 type pendingRead struct {
 	id       uint64
-	sequence uint64 // sequence number of the read, which responses of peers echo
+	sequence uint64 // sequence number of the read; requests carry the newest one, and responses of peers echo it
 	index    uint64 // commit index when the read began
 }
 
@@ -25,7 +25,7 @@
 	return c.lastReadID, true
 }
 
-// confirmReads moves the pending reads that a quorum has confirmed and whose index is applied to ready.
+// confirmReads moves to Ready.ConfirmedReads the pending reads that a quorum has confirmed and whose index is applied.
 func (c *Core) confirmReads() {
 	var pending []pendingRead
 	for _, read := range c.pendingReads {
--- a/internal/control/consensus/rejoin.go
+++ b/internal/control/consensus/rejoin.go
@@ -5,11 +5,15 @@
 // Rejoining after the loss of a disk, with fixed members only. In a group, a machine that lost its disk joins
 // under another name as a learner (see membership.go).
 //
+// Each start with an empty disk makes a new incarnation of the member, identified by a string. The incarnations of a
+// name that the other members have admitted are numbered; the number of an incarnation is its generation, which is
+// unrelated to the restore generation of a group (restore.go).
+//
 // A member that has lost its disk starts blank, and so does a second machine that is started under a name
-// already in use. Both other members have to admit a blank member: it asks them for the latest generation of
-// its name that they have recorded, chooses the next one, and asks to be recorded under it. Each of them
-// persists the new generation before it sends its state, and ignores all earlier incarnations of the name from
-// then on. So of two machines with the same name at most one takes part, whichever was started later.
+// already in use. Both other members have to admit a blank member: it asks them for the latest generation that
+// they have recorded for its name, chooses the next one, and asks to be recorded with it. Each of them persists
+// the new incarnation and its generation before it sends its state, and ignores all earlier incarnations of the
+// name from then on. So of two machines with the same name at most one takes part, whichever was started later.
 
 // knownIncarnation returns the incarnation that this member has recorded for a peer; nil: none.
 func (c *Core) knownIncarnation(name string) *wire.KnownIncarnation {
@@ -21,7 +25,8 @@
 	return nil
 }
 
-// recordIncarnation persists the only incarnation of a peer whose messages are accepted from now on.
+// recordIncarnation persists the latest incarnation of a peer and its generation. From then on, this member ignores
+// messages of every other incarnation of the peer.
 func (c *Core) recordIncarnation(name, incarnation string, generation uint64) {
 	incarnations := []*wire.KnownIncarnation{{Name: name, Incarnation: incarnation, Generation: generation}}
 	for _, known := range c.hardState.KnownIncarnations {
@@ -34,7 +39,7 @@
 	c.persistHardState(hardState)
 }
 
-// Incarnations returns this member's own incarnation and the recorded ones of its peers.
+// Incarnations returns this member's own incarnation, and those of its peers that it has recorded.
 //
 // Example: own, others := c.Incarnations()
 func (c *Core) Incarnations() (own string, others []*wire.KnownIncarnation) {
@@ -48,16 +53,16 @@
 	}
 }
 
-// requestState asks the peers for the generations of this member's name that they have recorded or, once this
-// member has chosen its generation, for their states.
+// requestState asks the peers for the latest generation that they have recorded for this member's name or, once this
+// member has chosen its generation, for their states: snapshot, log and recorded incarnations.
 func (c *Core) requestState() {
 	c.forEachPeer(func(peer string) {
 		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_STATE_REQUEST, AboutIncarnation: c.hardState.Incarnation, Generation: c.generation})
 	})
 }
 
-// handleStateRequest responds to a blank member: first with the generation of its name that this member has
-// recorded; then, once the sender is recorded under the generation that it chose, with the complete state.
+// handleStateRequest responds to a blank member: first with the latest generation that this member has recorded for
+// the sender's name; then, once the sender is recorded with the generation that it chose, with the complete state.
 func (c *Core) handleStateRequest(message *wire.Message) {
 	if c.cfg.DynamicMembership {
 		return
@@ -79,14 +84,15 @@
 	c.send(response)
 }
 
-// resetProgress discards the acknowledgements of earlier incarnations of a peer.
+// resetProgress discards what earlier incarnations of a peer acknowledged to this leader, since a new incarnation has
+// none of these entries on its disk.
 func (c *Core) resetProgress(peer, incarnation string) {
 	progress := c.peers[peer]
 	*progress = peerProgress{next: c.lastIndex() + 1, incarnation: incarnation, ticksSinceResponse: progress.ticksSinceResponse, contactAge: progress.contactAge}
 }
 
-// handleStateResponse collects the responses of both peers: first the generations of this member's name that
-// they have recorded, by which this member chooses its own, then their states.
+// handleStateResponse collects the responses of both peers to this blank member: first the latest generations that
+// they have recorded for its name, by which it chooses its own, then their states.
 func (c *Core) handleStateResponse(message *wire.Message) {
 	if !c.isBlank() || message.AboutIncarnation != c.hardState.Incarnation {
 		return
@@ -95,7 +101,7 @@
 	case c.generation == 0:
 		c.collectGeneration(message)
 	case !message.Ok:
-		if message.Generation >= c.generation { // the peer has recorded another incarnation under this or a later generation
+		if message.Generation >= c.generation { // the peer has recorded another incarnation of this name with the chosen generation or a higher one: choose again
 			c.restartRejoin()
 		}
 	case message.Generation == c.generation:
@@ -105,8 +111,8 @@
 	}
 }
 
-// collectGeneration records the generation in a peer's response. Once both peers have responded, it chooses the
-// next generation after theirs.
+// collectGeneration records the latest generation that a peer knows for this member's name. Once both peers have
+// responded, this member chooses the generation after the higher of theirs, and requests the peers' states.
 func (c *Core) collectGeneration(message *wire.Message) {
 	if c.peerGenerations[message.From] = message.Generation; len(c.peerGenerations) < len(c.cfg.Members)-1 {
 		return
@@ -118,7 +124,7 @@
 	c.requestState()
 }
 
-// restartRejoin starts rejoining over, so that this member chooses another generation.
+// restartRejoin makes this member ask the peers for their recorded generations again, so that it chooses a new one.
 func (c *Core) restartRejoin() {
 	c.generation = 0
 	clear(c.peerGenerations)
@@ -126,7 +132,7 @@
 }
 
 // rejoin takes over the more up-to-date of the peers' states, or an empty one if both are blank, as in a new shard.
-// It starts over if the peers haven't recorded each other's current incarnations. If one peer is blank although
+// The protocol starts over if a peer has recorded another incarnation of the other peer than the one that sent its state. If one peer is blank although
 // the other has log entries, two disks are lost, and possibly committed entries with them: this member stays blank.
 func (c *Core) rejoin() {
 	if !c.peersRecognizeEachOther() {
@@ -135,7 +141,7 @@
 	}
 	best, term, hasBlank := c.bestPeerState()
 	if hasBlank && best != nil && best.Index > 0 {
-		c.rejoinFailure = "another member is blank too, but the log of the third has entries: two of three disks are lost"
+		c.rejoinFailure = "cannot rejoin: another member has an empty disk too, but the log of the third has entries, so two of three disks are lost"
 		clear(c.peerStates)
 		return
 	}
@@ -153,8 +159,8 @@
 	c.resetElectionTimer()
 }
 
-// peersRecognizeEachOther reports whether the states received are of the incarnations that the peers have
-// recorded of each other.
+// peersRecognizeEachOther reports whether each peer's state was sent by the incarnation that the other peer has
+// recorded for it, if it has recorded one.
 func (c *Core) peersRecognizeEachOther() bool {
 	recognized := true
 	c.forEachPeer(func(peer string) {
@@ -186,8 +192,9 @@
 	return best, term, hasBlank
 }
 
-// mergeIncarnations returns the incarnations of the peers as they have recorded them for each other. Incarnations
-// that this member has recorded itself while it was blank take precedence unless theirs are of a later generation.
+// mergeIncarnations returns the incarnation of each peer that this member records when it rejoins: the incarnation that
+// sent its state, with the generation that the other peer has recorded for it. If this member has recorded one for the
+// peer itself, while it was blank, with the same or a higher generation, it keeps that one.
 func (c *Core) mergeIncarnations() (merged []*wire.KnownIncarnation) {
 	c.forEachPeer(func(peer string) {
 		incarnation := &wire.KnownIncarnation{Name: peer, Incarnation: c.peerStates[peer].Incarnation}
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -2,8 +2,8 @@
 
 import "pebbleloom/internal/wire"
 
-// Unlike small batches, large ones aren't sent again at each heartbeat: on a slow link, duplicates would
-// be queued faster than they are transmitted. A large batch is retried once the driver reports it as
+// Unlike small batches of entries, large ones aren't sent again at each heartbeat: on a slow link, duplicates
+// would be queued faster than they are transmitted. A large batch is retried once the driver reports it as
 // lost, or after batchTimeout without a response.
 const (
 	// largeBatchBytes is the size from which a batch counts as large. The transmission of a smaller one
@@ -68,7 +68,7 @@
 }
 
 // batchFor returns the entries to send to a peer from an index on, up to MaxBatchBytes but at least one if there
-// is any, and their size in bytes.
+// is any, and the total size of the returned entries in bytes.
 func (c *Core) batchFor(peer string, from uint64) (entries []*wire.Entry, size int) {
 	for index := from; index <= c.replicationLimit(peer); index++ {
 		entry := c.entryAt(index)
@@ -123,7 +123,7 @@
 		c.sendAppend(peer, c.snapshot.Index, c.snapshot.Term, nil)
 	case progress.acceptsChunks:
 		c.beginTransfer(peer, progress)
-	case progress.snapshotSentAt > 0 && c.ticks-progress.snapshotSentAt < c.cfg.ElectionTicks/2: // the snapshot sent last is still in flight
+	case progress.snapshotSentAt > 0 && c.ticks-progress.snapshotSentAt < c.cfg.ElectionTicks/2: // the snapshot sent last may still be in flight
 	default:
 		progress.snapshotSentAt, progress.inFlight = c.ticks, true
 		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_SNAPSHOT_REQUEST, Snapshot: c.snapshot, Commit: c.commit, Probe: c.readSequence, SentTick: c.sentTick()})
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -92,7 +92,7 @@
 }
 
 // installSnapshot replaces this member's snapshot, state and log by the snapshot of a leader. A snapshot that ends
-// at or before the commit index is ignored: this member already has all of it, and the applied state may be newer.
+// at or before the commit index is ignored: this member already has all of its entries, and may have applied later ones.
 // Entries after the snapshot are retained if the log matches it (paper, section 7).
 func (c *Core) installSnapshot(snapshot *wire.Snapshot) {
 	if snapshot.Index <= c.commit {
--- a/internal/control/consensus/snapshot_send.go
+++ b/internal/control/consensus/snapshot_send.go
@@ -11,18 +11,19 @@
 // partition or a change of leader.
 //
 // A transfer keeps its snapshot when the leader compacts again; otherwise frequent compactions could
-// restart it indefinitely. In the wire format a chunk is called a piece.
+// restart it indefinitely.
 
 const (
 	// initialChunkBytes is the size of the first chunk. The size doubles, up to Config.MaxBatchBytes,
 	// with each chunk that is acknowledged within one heartbeat interval.
 	initialChunkBytes = 32 << 10
 
-	// minChunkBytes is the minimum size of chunks; a chunk that is lost is retried with half its size.
+	// minChunkBytes is the size below which chunks aren't halved further. After a loss, the next chunk is half as large.
 	minChunkBytes = 4 << 10
 
-	// maxOutgoingSnapshots bounds the number of snapshots that are kept for transfers in addition to the
-	// newest one, and so the leader's memory. A further peer is then sent one of the snapshots kept.
+	// maxOutgoingSnapshots is the maximum number of different snapshots in transfer at a time. It bounds the
+	// memory of the leader, which otherwise holds only its newest snapshot. Further transfers send the newest of the
+	// snapshots in transfer.
 	maxOutgoingSnapshots = 2
 
 	// chunkTimeoutHeartbeats is the time, in heartbeat intervals, after which a chunk counts as lost, in
@@ -35,7 +36,7 @@
 // outgoingTransfer is the transfer of a snapshot to one peer.
 type outgoingTransfer struct {
 	snapshot    *wire.Snapshot // header of the snapshot, without the state
-	state       []byte         // shared by all transfers of the snapshot; never changed
+	state       []byte         // state in the snapshot, shared by all transfers of the snapshot and never changed
 	checksum    uint32         // CRC-32C of state
 	ackedOffset uint64         // number of bytes of the state that the peer has acknowledged
 	chunkBytes  int            // size of the next chunk
--- a/internal/control/consensus/step.go
+++ b/internal/control/consensus/step.go
@@ -5,13 +5,13 @@
 // messageHandler defines how messages of one kind are handled, and which checks they have to pass first.
 type messageHandler struct {
 	handle     func(*Core, *wire.Message)
-	rejoin     bool // part of the rejoin protocol, exchanged with blank members: exempt from Step's checks of incarnation, blank state and term
-	isResponse bool // ignored unless it responds to a request of this incarnation
-	keepsTerm  bool // a later term in the message is not adopted
+	rejoin     bool // the messages are exchanged with blank members, which rejoin: Step skips its checks of incarnation, blank state and term
+	isResponse bool // the messages are responses: ignored unless they respond to the receiver's current incarnation
+	keepsTerm  bool // the receiver doesn't adopt a later term of the messages
 }
 
-// messageHandlers is the table of all message kinds. Kinds of later releases have no entry; of their
-// messages only the term is used.
+// messageHandlers has an entry for each message kind that this release knows. Step adopts a later term in a message of
+// an unknown kind, which a later release has sent, and otherwise ignores the message.
 var messageHandlers = map[wire.MessageKind]messageHandler{
 	wire.MessageKind_STATE_REQUEST:  {handle: (*Core).handleStateRequest, rejoin: true},
 	wire.MessageKind_STATE_RESPONSE: {handle: (*Core).handleStateResponse, rejoin: true},
@@ -25,7 +25,7 @@
 	wire.MessageKind_APPEND_REQUEST:  {handle: (*Core).handleAppendRequest},
 	wire.MessageKind_APPEND_RESPONSE: {handle: (*Core).handleAppendResponse, isResponse: true},
 
-	wire.MessageKind_RESTORE_NOTICE: {keepsTerm: true}, // only its restore generation matters, which Step has checked
+	wire.MessageKind_RESTORE_NOTICE: {keepsTerm: true}, // has no handler: only the restore generation of the message matters, which Step checks
 
 	wire.MessageKind_SNAPSHOT_REQUEST:        {handle: (*Core).handleSnapshotRequest},
 	wire.MessageKind_SNAPSHOT_CHUNK_REQUEST:  {handle: (*Core).handleChunkRequest},
@@ -70,12 +70,13 @@
 		(c.cfg.DynamicMembership || c.IsVoter(message.From))
 }
 
-// isFromSupersededIncarnation reports whether this member has recorded another incarnation of the sender's
-// name, which invalidates messages of the incarnation that sent this one.
+// isFromSupersededIncarnation reports whether a message was sent by another incarnation of the sender's name than the
+// one that this member has recorded, which is the only valid one.
 func (c *Core) isFromSupersededIncarnation(message *wire.Message) bool {
 	known := c.knownIncarnation(message.From)
 	return known != nil && known.Incarnation != message.Incarnation
 }
 
-// isBlank reports whether this member started with an empty disk, lost or new, and hasn't rejoined.
+// isBlank reports whether this member started with an empty disk, since it is new or its disk was lost, and hasn't
+// rejoined.
 func (c *Core) isBlank() bool { return c.hardState.DiskState == wire.DiskState_DISK_BLANK }
