--- a/internal/control/consensus/model_actions_test.go
+++ b/internal/control/consensus/model_actions_test.go
@@ -8,7 +8,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// initialState returns the state that a search begins with, according to its bounds.
+// initialState returns the state that a search begins with, as its bounds describe it.
 func (s *stateSpace) initialState() *groupState {
 	state := &groupState{history: s.internHistory(observedHistory{})}
 	for slot, name := range slotNames {
@@ -22,8 +22,8 @@
 		}
 		state.nodes[slot] = s.internNode(startNode(s.config(name), modelDisk{snapshot: first}))
 	}
-	if s.allowsRestore() { // no member has this name before the restore
-		state.nodes[s.restoredSlot()] = s.internNode(&modelNode{name: slotNames[s.restoredSlot()], wiped: true})
+	if s.allowsRestore() { // the member that a restore starts under a new name isn't running yet
+		state.nodes[s.restoredSlot()] = s.internNode(&modelNode{name: slotNames[s.restoredSlot()], absent: true})
 	}
 	if s.elected || s.conflictingLogs || s.pendingChange != (modelEvent{}) {
 		s.electFirstLeader(state)
@@ -48,7 +48,8 @@
 	return cfg
 }
 
-// applyEvent carries out an event in the preparation of the initial state, and returns the messages that it sends.
+// applyEvent carries out an event at the member in a slot while the initial state is prepared, and returns the numbers
+// of the messages that the member sends.
 func (s *stateSpace) applyEvent(state *groupState, slot int, event modelEvent) []int32 {
 	result := s.step(state.nodes[slot], event)
 	state.nodes[slot] = result.node
@@ -56,7 +57,7 @@
 	return result.messages
 }
 
-// electFirstLeader makes member a the leader, and leaves no messages in flight.
+// electFirstLeader makes member a the leader of term 1, and delivers all messages that result from its election.
 func (s *stateSpace) electFirstLeader(state *groupState) {
 	inFlight := s.applyEvent(state, 0, modelEvent{kind: electionTimeout})
 	for len(inFlight) > 0 {
@@ -65,8 +66,8 @@
 	}
 }
 
-// createLogConflict has member a propose an entry that no other member receives. The others then elect b in term 2,
-// and a is elected in term 3.
+// createLogConflict has member a propose an entry in term 1 that no other member receives. The others then elect b in
+// term 2, and a is elected again in term 3.
 func (s *stateSpace) createLogConflict(state *groupState) {
 	s.applyEvent(state, 0, modelEvent{kind: propose, arg: '0'})
 	s.runElection(state, 1)
@@ -84,7 +85,8 @@
 	}
 }
 
-// runElection delivers a member's vote requests and their responses, and returns the messages that it sends as leader.
+// runElection has the member in a slot campaign and delivers its vote requests and the responses to them. It returns the
+// numbers of the messages that the member sends as leader.
 func (s *stateSpace) runElection(state *groupState, slot int) (sent []int32) {
 	for _, request := range s.applyEvent(state, slot, modelEvent{kind: electionTimeout}) {
 		for _, response := range s.applyEvent(state, s.messages[request].to, modelEvent{kind: deliver, arg: request}) {
@@ -94,13 +96,14 @@
 	return sent
 }
 
-// modelAction is an event at the member in a slot, or a step of the client that asks for a proof of freshness.
+// modelAction is an event at the member in a slot, or a step of the client that asks the members for a proof that its
+// document is the newest.
 type modelAction struct {
 	modelEvent
 	slot       int8
 	budget     budget
 	cost       uint8
-	duplicated bool // the delivered message stays in flight
+	duplicated bool // the delivered message stays in flight, so that it can be delivered again
 }
 
 // actionList collects the actions that are possible in a state.
@@ -114,16 +117,16 @@
 func (s *stateSpace) actions(state *groupState) []modelAction {
 	list := &actionList{stateSpace: s, state: state}
 	for slot, id := range s.members(state) {
-		if s.nodes[id].wiped {
+		if s.nodes[id].absent {
 			continue
 		}
 		list.addElections(slot)
 		list.addLocalEvents(slot)
 		list.addMembershipChanges(slot)
-		list.addWithin(freshnessAttestations, slot, modelEvent{kind: attestFreshness})
+		list.addLimited(freshnessAttestations, slot, modelEvent{kind: attestFreshness})
 	}
 	if len(s.histories[state.history].bodies()) > 0 {
-		list.addWithin(freshnessQueries, 0, modelEvent{kind: queryFreshness})
+		list.addLimited(freshnessQueries, 0, modelEvent{kind: queryFreshness})
 	}
 	for _, id := range state.inFlight {
 		list.addDeliveries(id)
@@ -131,26 +134,27 @@
 	return list.actions
 }
 
-// add adds an event without a limit.
-func (l *actionList) add(slot int, event modelEvent) {
+// addUnlimited adds an event of a kind whose number the bounds of the search don't limit.
+func (l *actionList) addUnlimited(slot int, event modelEvent) {
 	l.actions = append(l.actions, modelAction{modelEvent: event, slot: int8(slot)})
 }
 
-// addWithin adds an event if the limit of its budget isn't reached.
-func (l *actionList) addWithin(budget budget, slot int, event modelEvent) {
+// addLimited adds an event unless the path to the state already has as many events of this kind as the bounds allow.
+func (l *actionList) addLimited(budget budget, slot int, event modelEvent) {
 	switch limit := l.stateSpace.limits[budget]; {
 	case limit == unlimited:
-		l.add(slot, event)
+		l.addUnlimited(slot, event)
 	case l.state.used[budget] < limit:
 		l.actions = append(l.actions, modelAction{modelEvent: event, slot: int8(slot), budget: budget, cost: 1})
 	}
 }
 
-// addElections adds the flush of delayed output, and the events that start an election in the next term.
+// addElections adds the flush of a member's delayed output, and the events that make it start an election in the next
+// term, or another member by a leadership transfer.
 func (l *actionList) addElections(slot int) {
 	node := l.stateSpace.nodes[l.state.nodes[slot]]
 	if node.pending() {
-		l.add(slot, modelEvent{kind: flush})
+		l.addUnlimited(slot, modelEvent{kind: flush})
 	}
 	if node.core.hardState.Term >= l.stateSpace.terms || l.stateSpace.candidates != "" && !strings.Contains(l.stateSpace.candidates, node.name) {
 		return
@@ -159,47 +163,47 @@
 	if l.stateSpace.preVotes {
 		kind = preVoteTimeout
 	}
-	l.addWithin(elections, slot, modelEvent{kind: kind})
+	l.addLimited(elections, slot, modelEvent{kind: kind})
 	for target := range l.stateSpace.memberCount() {
-		l.addWithin(transfers, slot, modelEvent{kind: transfer, arg: int32(target)})
+		l.addLimited(transfers, slot, modelEvent{kind: transfer, arg: int32(target)})
 	}
 }
 
-// addLocalEvents adds timer events, restarts, disk losses, compactions, restores and client requests.
+// addLocalEvents adds the timer events, restart, disk loss, compaction, restore and client requests of a member.
 func (l *actionList) addLocalEvents(slot int) {
-	l.addWithin(heartbeats, slot, modelEvent{kind: heartbeat})
-	l.addWithin(quorumTimeouts, slot, modelEvent{kind: quorumContactLost})
-	l.addWithin(restarts, slot, modelEvent{kind: restart})
-	l.addWithin(wipes, slot, modelEvent{kind: wipe})
-	l.addWithin(compactions, slot, modelEvent{kind: compact})
+	l.addLimited(heartbeats, slot, modelEvent{kind: heartbeat})
+	l.addLimited(quorumTimeouts, slot, modelEvent{kind: quorumContactLost})
+	l.addLimited(restarts, slot, modelEvent{kind: restart})
+	l.addLimited(diskLosses, slot, modelEvent{kind: diskLoss})
+	l.addLimited(compactions, slot, modelEvent{kind: compact})
 	if l.stateSpace.allowsRestore() {
-		l.addWithin(restores, slot, modelEvent{kind: restoreGroup, arg: int32(l.stateSpace.restoredSlot())})
+		l.addLimited(restores, slot, modelEvent{kind: restoreGroup, arg: int32(l.stateSpace.restoredSlot())})
 	}
-	l.addWithin(reads, slot, modelEvent{kind: requestRead, arg: int32(len(l.stateSpace.histories[l.state.history].committed))})
-	l.addWithin(proposals, slot, modelEvent{kind: propose, arg: int32('1' + l.state.used[proposals])})
+	l.addLimited(reads, slot, modelEvent{kind: requestRead, arg: int32(len(l.stateSpace.histories[l.state.history].committed))})
+	l.addLimited(proposals, slot, modelEvent{kind: propose, arg: int32('1' + l.state.used[proposals])})
 }
 
 // addMembershipChanges adds the events that add a learner, and the proposals to add, remove and replace voters.
 func (l *actionList) addMembershipChanges(slot int) {
 	if l.stateSpace.learner {
 		newcomer := int32(l.stateSpace.learnerSlot())
-		l.addWithin(learners, slot, modelEvent{kind: addLearner, arg: newcomer})
-		l.addWithin(changes, slot, modelEvent{kind: addMember, arg: newcomer})
+		l.addLimited(learners, slot, modelEvent{kind: addLearner, arg: newcomer})
+		l.addLimited(changes, slot, modelEvent{kind: addMember, arg: newcomer})
 	}
 	for member := range l.stateSpace.memberCount() {
-		l.addWithin(changes, slot, modelEvent{kind: removeMember, arg: int32(member)})
+		l.addLimited(changes, slot, modelEvent{kind: removeMember, arg: int32(member)})
 		if l.stateSpace.learner {
-			l.addWithin(changes, slot, modelEvent{kind: replaceMember, arg: int32(member)})
+			l.addLimited(changes, slot, modelEvent{kind: replaceMember, arg: int32(member)})
 		}
 	}
 }
 
-// addDeliveries adds the deliveries of a message: with its removal, as a duplicate that stays in flight, and with
-// delayed output.
+// addDeliveries adds the ways in which a message in flight can be delivered: once, as a duplicate that stays in flight,
+// and with the receiver's output delayed until a later flush.
 func (l *actionList) addDeliveries(id int32) {
 	slot := l.stateSpace.messages[id].to
 	node := l.stateSpace.nodes[l.state.nodes[slot]]
-	if node.wiped {
+	if node.absent {
 		return
 	}
 	event := modelEvent{kind: deliver, arg: id}
@@ -208,7 +212,7 @@
 	case limit == unlimited:
 		l.actions = append(l.actions, duplicate)
 	default:
-		l.add(slot, event)
+		l.addUnlimited(slot, event)
 		if l.state.used[duplicates] < limit {
 			duplicate.budget, duplicate.cost = duplicates, 1
 			l.actions = append(l.actions, duplicate)
@@ -216,12 +220,12 @@
 	}
 	if !node.pending() {
 		event.delayFlush = true
-		l.addWithin(delayedFlushes, slot, event)
+		l.addLimited(delayedFlushes, slot, event)
 	}
 }
 
-// applyAction returns the state after an action. changed is false if the action isn't possible or changes nothing;
-// violation describes the invariant that the action violates, if any.
+// applyAction returns the state that an action leads to. changed is false if the action isn't possible or leaves the
+// state as it is; violation describes the invariant that the action violates, empty if there is none.
 func (s *stateSpace) applyAction(state *groupState, action modelAction) (next *groupState, changed bool, violation string) {
 	copied := *state
 	next = &copied
--- a/internal/control/consensus/model_encoding_test.go
+++ b/internal/control/consensus/model_encoding_test.go
@@ -80,21 +80,22 @@
 	}
 }
 
-// renaming is a permutation of the members' names, by their letters. A name has one letter; the incarnation of a
-// fixed member is its name, a slash and a number.
-type renaming map[byte]byte
+// namePermutation replaces the one-letter names of the initial voters by each other. It also replaces the name at the
+// beginning of the incarnation of a fixed member, which is the name, a slash and a number.
+type namePermutation map[byte]byte
 
-func (r renaming) apply(s string) string {
+func (r namePermutation) apply(s string) string {
 	if len(s) == 0 || len(s) > 1 && s[1] != '/' || r[s[0]] == 0 {
 		return s
 	}
 	return string(r[s[0]]) + s[1:]
 }
 
-// canonicalEncoder encodes values in a canonical form, with the members renamed: equal values have equal encodings.
+// canonicalEncoder encodes values in a canonical form, so that equal values have equal encodings. It replaces the names
+// of members in them by a permutation.
 type canonicalEncoder struct {
 	bytes.Buffer
-	names renaming
+	names namePermutation
 }
 
 func (encoder *canonicalEncoder) number(n uint64) {
@@ -146,8 +147,8 @@
 	}
 }
 
-// encodedFields caches the indexes of the fields to encode, by type. Of a protocol message, these are its exported
-// fields, which are the ones on the wire.
+// encodedFields caches the indexes of the struct fields that canonicalEncoder encodes, by struct type. Of a protocol
+// message it encodes only the exported fields, which are the ones sent on the wire.
 var encodedFields sync.Map
 
 func fieldsOf(t reflect.Type) []int {
@@ -203,8 +204,8 @@
 	}
 }
 
-// fingerprint is a 128-bit hash. The fingerprint of a state is the sum of those of its parts, and so doesn't depend
-// on the order of the messages.
+// fingerprint is a 128-bit hash. The fingerprint of a group's state is the sum of those of its members, messages and
+// history, and so doesn't depend on the order of the messages in flight.
 type fingerprint struct{ high, low uint64 }
 
 func (f fingerprint) add(g fingerprint) fingerprint {
@@ -225,27 +226,27 @@
 }
 
 const (
-	maxPermutedVoters = 4  // maximum number of permuted initial voters: of five, only the last four, which finds fewer equivalent states
-	maxRenamings      = 24 // number of permutations of maxPermutedVoters names
+	maxPermutedVoters   = 4  // maximum number of voters whose names are permuted; the first of five keeps its name, so fewer equivalent states are found
+	maxNamePermutations = 24 // number of permutations of maxPermutedVoters names: 4!
 )
 
-// initialVoterRenamings returns the permutations of the initial voters, except for the first ones, which the bounds
-// distinguish. The first permutation is the identity.
-func initialVoterRenamings(initialVoters, distinguished int) []renaming {
+// initialVoterPermutations returns the permutations of the names of the initial voters. The first distinguished voters,
+// which have special roles in the bounds of the search, keep their names. The first permutation is the identity.
+func initialVoterPermutations(initialVoters, distinguished int) []namePermutation {
 	names := []byte(strings.Join(slotNames[:initialVoters], ""))
 	permuted := names[max(distinguished, initialVoters-maxPermutedVoters):]
-	renamings := []renaming{}
+	namePermutations := []namePermutation{}
 	for _, images := range permutations(permuted) {
-		names := renaming{}
+		names := namePermutation{}
 		for i, name := range permuted {
 			names[name] = images[i]
 		}
-		renamings = append(renamings, names)
+		namePermutations = append(namePermutations, names)
 	}
-	return renamings
+	return namePermutations
 }
 
-// permutations returns all orders of some letters, with the given order first.
+// permutations returns all orders of the letters, beginning with the order in which they are given.
 func permutations(letters []byte) (orders [][]byte) {
 	if len(letters) == 0 {
 		return [][]byte{{}}
@@ -259,11 +260,13 @@
 	return orders
 }
 
-// fingerprints are the fingerprints of a value under each renaming of a state space; unused elements are zero.
-type fingerprints [maxRenamings]fingerprint
+// fingerprints are the fingerprints of a member, a message or a history, one for each permutation of the names of the
+// initial voters in stateSpace.namePermutations; unused elements are zero.
+type fingerprints [maxNamePermutations]fingerprint
 
-// encodingOf returns the canonical encoding of values, prefixed with the kind of thing that they describe.
-func encodingOf(names renaming, kind string, values ...any) string {
+// encodingOf returns the canonical encoding of values after a prefix that says what they describe, such as a message,
+// so that values of different kinds never have the same encoding.
+func encodingOf(names namePermutation, kind string, values ...any) string {
 	e := canonicalEncoder{names: names}
 	e.text(kind)
 	for _, v := range values {
@@ -272,15 +275,15 @@
 	return e.String()
 }
 
-func (s *stateSpace) fingerprintsOf(encode func(renaming) string) (byRenaming fingerprints) {
-	for i, names := range s.renamings {
-		byRenaming[i] = hashOf([]byte(encode(names)))
+func (s *stateSpace) fingerprintsOf(encode func(namePermutation) string) (byPermutation fingerprints) {
+	for i, names := range s.namePermutations {
+		byPermutation[i] = hashOf([]byte(encode(names)))
 	}
-	return byRenaming
+	return byPermutation
 }
 
-// The copy of a core shares nothing with the original that a step changes, every field of a core is encoded, and
-// values that can't be encoded cause a panic. Otherwise the model checker would miss states.
+// The copy of a core that cloneCore returns shares nothing with the original that a step changes, every field of a core
+// is encoded, and values that can't be encoded cause a panic. Otherwise the model checker would miss states.
 func TestModelCopiesAndEncodesEveryField(t *testing.T) {
 	core := newTestCore(BootstrapSnapshot("a", []string{"a", "b", "c"}), 1)
 	core.campaign(candidate)
@@ -290,10 +293,10 @@
 	copied.Propose(nil)
 	copied.becomeLeader()
 	if after := encodingOf(nil, "core", core); after != before {
-		t.Fatal("steps of a copy of a core changed the encoding of the original")
+		t.Fatal("steps of a copy made by cloneCore changed the encoding of the original core")
 	}
 	if other := encodingOf(nil, "core", copied); other == before {
-		t.Fatal("a core has the same encoding before and after it became leader")
+		t.Fatal("the encoding of a core after it became leader is the same as before, want a different one")
 	}
 	for i := range reflect.TypeFor[Core]().NumField() {
 		changed := cloneCore(core)
@@ -311,7 +314,7 @@
 		default:
 			f.SetZero()
 			if settableField(reflect.ValueOf(core).Elem().Field(i)).IsZero() || f.Kind() == reflect.Map || f.Kind() == reflect.Slice {
-				continue // the field was empty before, or an empty map or slice may be encoded alike
+				continue // the field was empty before, or is a map or slice whose empty and nil values may have the same encoding
 			}
 		}
 		if after := encodingOf(nil, "core", changed); after == before {
--- a/internal/control/consensus/model_freshness_test.go
+++ b/internal/control/consensus/model_freshness_test.go
@@ -23,8 +23,8 @@
 	generation  uint64
 }
 
-// beginFreshnessQuery records that a client, whose document lacks the last committed command, begins to ask the
-// members for a proof that its document is the newest.
+// beginFreshnessQuery records that a client asks the members for a proof that its document is the newest. It isn't: it
+// lacks the last committed command.
 func (s *stateSpace) beginFreshnessQuery(id int32) int32 {
 	history := s.histories[id].observedHistory
 	if history.committedWhenAsked > 0 || history.bodies() == "" {
@@ -34,7 +34,7 @@
 	return s.internHistory(history)
 }
 
-// attest records the response of a member to the client, if the member has no newer document.
+// attest records that a member responds to the client that it has no newer document, if this is so.
 func (s *stateSpace) attest(id int32, node nodeEntry) int32 {
 	history := s.histories[id].observedHistory
 	if history.committedWhenAsked == 0 || !node.core.IsVoter(node.name) || node.pending() {
@@ -58,9 +58,9 @@
 	return s.internHistory(history)
 }
 
-// checkFreshnessProof checks that the responses don't prove that the client's document was the newest when the client
-// asked: one command was missing from it. A proof from members of earlier restore generations alone is not a
-// violation, since the client can't learn of the restore from them.
+// checkFreshnessProof checks that the members' responses don't prove to the client that its document was the newest
+// when it asked, since the document lacks one committed command. A proof by members of earlier restore generations
+// alone is no violation, since the client can't learn of the restore from them.
 func (history observedHistory) checkFreshnessProof() string {
 	const version, askedAt = 1, time.Second
 	p := agent.NewFreshnessProof()
@@ -72,5 +72,5 @@
 	if !knowsNewest || p.FreshUntil(version) == 0 {
 		return ""
 	}
-	return fmt.Sprintf("wrong proof of freshness: responses %+v prove that only %d commands are committed, but %d were committed before the query", history.attestations, history.committedWhenAsked-1, history.committedWhenAsked)
+	return fmt.Sprintf("wrong proof that a client's document is the newest: responses %+v prove that only %d commands are committed, but %d were committed before the query", history.attestations, history.committedWhenAsked-1, history.committedWhenAsked)
 }
--- a/internal/control/consensus/model_invariants_test.go
+++ b/internal/control/consensus/model_invariants_test.go
@@ -8,19 +8,20 @@
 	"pebbleloom/internal/wire"
 )
 
-// committedEntry is an entry that a member has committed, and the term of the first member that committed it.
+// committedEntry is a committed entry, and the term in which the first member that committed it was at that time.
 type committedEntry struct {
 	entry *wire.Entry
 	term  uint64
 }
 
-// observedHistory records past events of a group that its members may have lost since, but that the invariants depend on.
+// observedHistory records what the invariants need to know of past events in a group, since its members may have lost it
+// with their disks or in a restart.
 type observedHistory struct {
 	committed          []committedEntry
-	committedWhenAsked int // number of commands committed when the client asked for a freshness proof; 0: it hasn't asked
-	attestations       []attestation
-	votes              map[string]castVote // by incarnation: its latest vote
-	generation         uint64              // newest restore generation; committed holds the entries of this generation
+	committedWhenAsked int                 // number of commands committed when the client asked whether its document is the newest; 0: it hasn't asked
+	attestations       []attestation       // responses to the client that the responding member has no newer document
+	votes              map[string]castVote // by incarnation of a member: the latest vote that it granted
+	generation         uint64              // newest restore generation of the group; committed holds the entries committed in this generation
 }
 
 // castVote is a vote that a member has granted, possibly to itself.
@@ -48,8 +49,8 @@
 	violation string
 }
 
-// recordStep adds the entries that a step committed and the votes that it granted to a history, and returns the
-// number of the new history. violation describes the invariant that the step violates, if any.
+// recordStep adds the entries that a step committed and the votes that it granted to the history with number id, and
+// returns the number of the new history. violation describes the invariant that the step violates; empty: none.
 func (s *stateSpace) recordStep(id int32, result *stepResult) (now int32, violation string) {
 	key := historyKey{id, result}
 	old, known := s.historyCache[key]
@@ -68,7 +69,7 @@
 	}
 	changed, violation := history.addVotes(s, result)
 	if s.nodes[result.node].hasEarlierGeneration(history.generation) {
-		result = &stepResult{} // commits of members of an earlier generation don't count for the newest one
+		result = &stepResult{} // what members of an earlier restore generation commit doesn't count for the restored group
 	}
 	for _, entry := range result.committed {
 		if entry.Index == uint64(len(history.committed))+1 {
@@ -100,7 +101,7 @@
 		}
 		votes[message.Incarnation] = castVote{message.Term, message.votesFor}
 	}
-	if node := all.nodes[result.node]; !node.wiped {
+	if node := all.nodes[result.node]; !node.absent {
 		incarnation := node.core.hardState.Incarnation
 		if vote, voted := votes[incarnation]; voted && node.disk.term() > vote.term {
 			delete(votes, incarnation)
@@ -113,11 +114,12 @@
 	return true, violation
 }
 
-// checkStep checks the invariants that concern a step of one member. It returns the first violation; empty: none.
+// checkStep checks the invariants that concern a step of one member; before is the number of its node before the step.
+// It returns a description of the first violation; empty: none.
 func (s *stateSpace) checkStep(state *groupState, action modelAction, before int32, result *stepResult) string {
 	slot := int(action.slot)
 	if newest := s.histories[state.history].generation; s.nodes[result.node].hasEarlierGeneration(newest) {
-		return s.checkTermMonotonic(before, result) // the member belongs to a group that was abandoned by a restore
+		return s.checkTermMonotonic(before, result) // the member wasn't part of the newest restore: its entries and votes don't count for the restored group
 	}
 	for _, violation := range []string{
 		result.violation,
@@ -135,7 +137,8 @@
 	return ""
 }
 
-// checkState checks the invariants that concern a state of the group. It returns the first violation; empty: none.
+// checkState checks the invariants that concern a state of the whole group. It returns a description of the first
+// violation; empty: none.
 func (s *stateSpace) checkState(state *groupState) string {
 	history := s.histories[state.history].observedHistory
 	for _, violation := range []string{
@@ -168,7 +171,7 @@
 // checkAppliedMonotonic checks that the applied index of a member decreases only when it restarts.
 func (s *stateSpace) checkAppliedMonotonic(action modelAction, before int32, result *stepResult) string {
 	was, is := s.nodes[before], s.nodes[result.node]
-	if action.kind == restart || action.kind == wipe || is.wiped || is.core.applied >= was.core.applied {
+	if action.kind == restart || action.kind == diskLoss || is.absent || is.core.applied >= was.core.applied {
 		return ""
 	}
 	return fmt.Sprintf("applied index decreased: %s goes back from entry %d to entry %d without a restart", is.name, was.core.applied, is.core.applied)
@@ -177,10 +180,10 @@
 // checkTermMonotonic checks that the term on the disk of an incarnation never decreases.
 func (s *stateSpace) checkTermMonotonic(before int32, result *stepResult) string {
 	was, is := s.nodes[before], s.nodes[result.node]
-	if is.wiped || was.core.hardState.Incarnation != is.core.hardState.Incarnation || is.disk.term() >= was.disk.term() {
+	if is.absent || was.core.hardState.Incarnation != is.core.hardState.Incarnation || is.disk.term() >= was.disk.term() {
 		return ""
 	}
-	if is.core.cfg.DynamicMembership || was.core.hardState.DiskState == is.core.hardState.DiskState { // a fixed member that rejoins takes over the term of its peers
+	if is.core.cfg.DynamicMembership || was.core.hardState.DiskState == is.core.hardState.DiskState { // otherwise a fixed member has rejoined, which takes over the term of its peers
 		return fmt.Sprintf("term decreased: the term on the disk of %s changes from %d to %d", is.name, was.disk.term(), is.disk.term())
 	}
 	return ""
@@ -201,11 +204,11 @@
 }
 
 // checkCommitQuorum checks that the entries that a leader commits are on the disks of a majority of its voters. It
-// skips states after a wipe or a restore, since the lost disk may have had the entries, and delayed output, since
-// an earlier step may have committed the entries with other voters.
+// skips states after a disk loss or a restore, since the lost disk may have had the entries, and steps with delayed
+// output, since an earlier step may have committed the entries with other voters.
 func (s *stateSpace) checkCommitQuorum(state *groupState, slot int, before int32, result *stepResult) string {
 	after := s.nodes[result.node]
-	if len(result.committed) == 0 || after.wiped || state.used[wipes]+state.used[restores] > 0 || s.nodes[before].pending() || s.nodes[before].core.role != leader || s.nodes[before].core.applied >= after.core.applied {
+	if len(result.committed) == 0 || after.absent || state.used[diskLosses]+state.used[restores] > 0 || s.nodes[before].pending() || s.nodes[before].core.role != leader || s.nodes[before].core.applied >= after.core.applied {
 		return ""
 	}
 	last := result.committed[len(result.committed)-1]
@@ -224,10 +227,10 @@
 	return fmt.Sprintf("commit without a majority: leader %s commits entry %d, which is on %d disks of the voters %v", slotNames[slot], last.Index, holders, names)
 }
 
-// checkLeaderIsVoter checks that a member that becomes leader is a voter in its own log.
+// checkLeaderIsVoter checks that the newest voters in the log of a member that becomes leader include this member.
 func (s *stateSpace) checkLeaderIsVoter(slot int, before int32, result *stepResult) string {
 	was, is := s.nodes[before], s.nodes[result.node]
-	if is.wiped || is.core.role != leader || was.core.role == leader || is.core.IsVoter(is.name) {
+	if is.absent || is.core.role != leader || was.core.role == leader || is.core.IsVoter(is.name) {
 		return ""
 	}
 	return fmt.Sprintf("leader isn't a voter: %s became leader, but its own log doesn't name it as a voter", slotNames[slot])
@@ -238,12 +241,12 @@
 func (s *stateSpace) checkElectionSafety(state *groupState) string {
 	for _, id := range s.members(state) {
 		node := s.nodes[id]
-		if node.wiped || node.core.role != leader {
+		if node.absent || node.core.role != leader {
 			continue
 		}
 		term := node.core.hardState.Term
 		for _, otherID := range s.members(state) {
-			if other := s.nodes[otherID]; !other.wiped && other.name != node.name && other.core.role == leader && other.core.hardState.Term == term && sameGeneration(node, other) {
+			if other := s.nodes[otherID]; !other.absent && other.name != node.name && other.core.role == leader && other.core.hardState.Term == term && sameGeneration(node, other) {
 				return fmt.Sprintf("two leaders of term %d: %s and %s", term, node.name, other.name)
 			}
 		}
@@ -261,7 +264,7 @@
 func (s *stateSpace) checkLeaderCompleteness(state *groupState, history observedHistory) string {
 	for _, id := range s.members(state) {
 		node := s.nodes[id]
-		if node.wiped || node.core.role != leader || node.hasEarlierGeneration(history.generation) {
+		if node.absent || node.core.role != leader || node.hasEarlierGeneration(history.generation) {
 			continue
 		}
 		for _, committed := range history.committed {
@@ -281,7 +284,7 @@
 func (s *stateSpace) checkMembershipChanges(state *groupState, history observedHistory) string {
 	for _, id := range s.members(state) {
 		node := s.nodes[id]
-		if node.wiped || node.core.role != leader || s.fixed || node.hasEarlierGeneration(history.generation) {
+		if node.absent || node.core.role != leader || s.fixed || node.hasEarlierGeneration(history.generation) {
 			continue
 		}
 		voters, uncommitted := node.core.snapshot.Members, 0
@@ -303,7 +306,7 @@
 	return ""
 }
 
-// countDifferences returns the number of names that are in only one of two lists.
+// countDifferences returns the number of names that are in exactly one of two lists.
 func countDifferences(a, b []string) (count int) {
 	for _, name := range a {
 		if !slices.Contains(b, name) {
@@ -323,7 +326,7 @@
 func (s *stateSpace) checkAppliedState(state *groupState, history observedHistory) string {
 	for _, id := range s.members(state) {
 		node := s.nodes[id]
-		if node.wiped || node.hasEarlierGeneration(history.generation) || node.core.ready.Snapshot != nil { // with a snapshot in ready, the driver hasn't loaded its state yet
+		if node.absent || node.hasEarlierGeneration(history.generation) || node.core.ready.Snapshot != nil { // while a received snapshot is in ready, the driver hasn't loaded its state yet
 			continue
 		}
 		if node.core.applied > uint64(len(history.committed)) {
--- a/internal/control/consensus/model_node_test.go
+++ b/internal/control/consensus/model_node_test.go
@@ -7,8 +7,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// steadyStateTicks is the constant number of ticks since the start of every core in the model: the core has left
-// its startup phase, and had contact with a leader in the current tick.
+// steadyStateTicks is the value of Core.ticks and Core.lastLeaderContact of every core in the model. With it a core no
+// longer uses the short election timeouts after its start, and has had contact with a leader in the current tick.
 const steadyStateTicks = 1000
 
 // modelRand is a constant source of randomness. A core uses randomness only for timers, which the model ignores.
@@ -22,10 +22,10 @@
 	records  []*wire.Record
 }
 
-// modelNode is one member in a state of the model: its disk, its core, its applied state and its pending reads.
+// modelNode is one member (node) in a state of the model: its disk, its core, its applied state and its pending reads.
 type modelNode struct {
 	name         string
-	wiped        bool // the member lost its disk, and doesn't start again under this name
+	absent       bool // no member of this name runs: it lost its disk, which ends the use of the name, or a restore has yet to start it
 	disk         modelDisk
 	core         *Core
 	appliedState string           // the commands that the member has applied, one letter each
@@ -42,27 +42,27 @@
 	heartbeat
 	quorumContactLost
 	restart
-	wipe
+	diskLoss
 	propose
 	addLearner
 	addMember
 	removeMember
-	replaceMember // replaces a voter by the learner in a single change, which the core must reject
+	replaceMember // proposes to replace a voter by the learner in a single membership change, which the core must reject
 	transfer
 	compact
 	requestRead
 	flush
-	restoreGroup // restores the group from this member's disk alone
+	restoreGroup // restores the group from this member alone, under a new name
 )
 
-// eventNames describe events in the trace that leads to a violation.
+// eventNames describe the events at a member, after its name, in the trace that leads to a violation.
 var eventNames = map[eventKind]string{
-	electionTimeout:   "election timeout",
+	electionTimeout:   "campaigns at an election timeout",
 	preVoteTimeout:    "requests pre-votes",
-	heartbeat:         "heartbeat",
+	heartbeat:         "sends heartbeats, or state requests if it is blank",
 	quorumContactLost: "notices that it lost contact with a quorum",
 	restart:           "crashes and restarts",
-	wipe:              "loses its disk",
+	diskLoss:          "loses its disk",
 	propose:           "proposes",
 	addLearner:        "adds learner",
 	addMember:         "proposes to add",
@@ -72,7 +72,7 @@
 	compact:           "compacts its log",
 	requestRead:       "begins a read",
 	flush:             "persists and sends its delayed output",
-	restoreGroup:      "is restored as the only voter of the group",
+	restoreGroup:      "becomes, under a new name, the only voter of the restored group",
 }
 
 // modelEvent is an event at a node. An event is deterministic: equal events at equal nodes have equal outcomes.
@@ -87,7 +87,7 @@
 	delayFlush bool // the driver persists and sends the output of the step only at a later flush event
 }
 
-// eventOutcome is the result of an event at a node: the node afterwards, and the output that its driver carried out.
+// eventOutcome is the result of an event at a node: the node after the event, and the output that its driver carried out.
 type eventOutcome struct {
 	node      *modelNode
 	messages  []*wire.Message
@@ -95,7 +95,7 @@
 	term      uint64 // term of the node when it committed the entries
 	violation string // description of the invariant that the step violates; empty: none
 
-	restored    *modelNode    // the only member of the restored group; nil: the event isn't a restore
+	restored    *modelNode    // the member that the restored group begins with; nil: the event isn't a restore
 	carriedOver []*wire.Entry // unapplied entries that the restored group keeps, and an entry in place of its initial snapshot
 }
 
@@ -107,8 +107,8 @@
 	return node
 }
 
-// normalize sets all timers of a core to fixed values. The model has no time: whatever a timer triggers is an event
-// of its own.
+// normalize sets all timers of a node's core to fixed values. The model has no time: whatever a timer triggers is a
+// separate event that may happen in any state.
 func (node *modelNode) normalize() {
 	core := node.core
 	core.ticks, core.lastLeaderContact = steadyStateTicks, steadyStateTicks
@@ -117,7 +117,7 @@
 	for _, progress := range core.peers {
 		progress.ticksSinceResponse, progress.contactAge, progress.snapshotSentAt, progress.batchRetryAt = 0, 0, 0, 0
 		if progress.transfer == nil {
-			progress.inFlight = false // in-flight entries only delay further ones until the next heartbeat
+			progress.inFlight = false // entries in flight only delay the sending of further entries until the next heartbeat
 			continue
 		}
 		progress.transfer.sentAt, progress.transfer.retryAt = steadyStateTicks, steadyStateTicks
@@ -134,15 +134,15 @@
 	return &copied
 }
 
-func (node *modelNode) encoding(names renaming) string {
-	if node.wiped {
+func (node *modelNode) encoding(names namePermutation) string {
+	if node.absent {
 		return encodingOf(names, "gone", node.name)
 	}
 	return encodingOf(names, "node", node.core, node.disk, node.appliedState, node.reads)
 }
 
-// persist appends records to the disk. The disk is kept in a canonical form, the newest hard state and the entries
-// of the log, so that disks that a restart reads alike are equal.
+// persist appends records to the disk. Afterwards the disk holds one record with the newest hard state and one for each
+// entry of the log, so that two disks from which a restart reads the same state are equal.
 func (disk *modelDisk) persist(cfg Config, records []*wire.Record) {
 	if len(records) == 0 {
 		return
@@ -165,14 +165,14 @@
 
 // step carries out an event at a copy of the node. It returns nil if the event isn't possible at this node.
 func (node *modelNode) step(event modelEvent, message *wire.Message, learnerSlot int) *eventOutcome {
-	if node.wiped {
+	if node.absent {
 		return nil
 	}
 	after := node.clone()
 	switch event.kind {
 	case restart:
 		return &eventOutcome{node: startNode(node.core.cfg, node.disk)}
-	case wipe:
+	case diskLoss:
 		return &eventOutcome{node: after.loseDisk()}
 	case compact:
 		return after.compact()
@@ -182,7 +182,7 @@
 		return after.flush()
 	case deliver:
 		if node.core.role != leader {
-			after.core.electionElapsed = after.core.cfg.ElectionTicks // the election timeout has passed, so that a pre-vote can be granted
+			after.core.electionElapsed = after.core.cfg.ElectionTicks // as if the election timeout had passed, so that the member can grant a pre-vote
 		}
 		after.core.Step(message)
 	default:
@@ -278,7 +278,7 @@
 	}
 	core.Tick()
 	if core.role == leader && len(core.voters.names) > 1 {
-		panic("a leader that lost contact with a quorum doesn't step down: the model doesn't set all fields that the core checks")
+		panic("a leader without contact to a quorum for two election timeouts doesn't step down: tickWithoutQuorum doesn't set all fields of Core that Tick checks")
 	}
 	return true
 }
@@ -312,7 +312,8 @@
 	return out
 }
 
-// compact replaces the applied entries by a snapshot. It returns nil if there are none, or output is pending.
+// compact replaces the applied entries of a node by a snapshot. It returns nil if the node has none after its last
+// snapshot, or has output that isn't flushed yet.
 func (node *modelNode) compact() *eventOutcome {
 	if node.core.applied <= node.core.snapshot.Index || node.pending() {
 		return nil
@@ -322,17 +323,17 @@
 	return &eventOutcome{node: node}
 }
 
-// pending reports whether the core has output that wasn't flushed yet.
+// pending reports whether the node's core has output that the driver hasn't persisted, sent or applied yet.
 func (node *modelNode) pending() bool {
 	r := node.core.ready
 	return r.Snapshot != nil || len(r.Records)+len(r.Messages)+len(r.AbortedReads) > 0 || node.core.commit > node.core.applied
 }
 
-// loseDisk returns the member after the loss of its disk. In a group the name of the member isn't used again; a
-// fixed member starts blank under a new incarnation.
+// loseDisk returns the member after the loss of its disk. The name of a group's member isn't used again, so the member
+// is absent; a fixed member starts blank, with the next incarnation of its name.
 func (node *modelNode) loseDisk() *modelNode {
 	if node.core.cfg.DynamicMembership {
-		return &modelNode{name: node.name, wiped: true}
+		return &modelNode{name: node.name, absent: true}
 	}
 	incarnation := node.core.hardState.Incarnation
 	last := len(incarnation) - 1
--- a/internal/control/consensus/model_restore_test.go
+++ b/internal/control/consensus/model_restore_test.go
@@ -8,7 +8,7 @@
 )
 
 // restoreGroup restores the group from this member alone, under another name and with every entry of its log. It
-// returns nil if the log is empty, or output is pending.
+// returns nil if the log is empty, or the member has output that isn't flushed yet.
 func (node *modelNode) restoreGroup(name string) *eventOutcome {
 	if node.pending() || node.core.snapshot.Index == 0 && len(node.core.log) == 0 {
 		return nil
@@ -28,13 +28,14 @@
 	}
 }
 
-// hasEarlierGeneration reports whether a member that wasn't wiped has an earlier restore generation than the newest.
+// hasEarlierGeneration reports whether a member that isn't absent has an earlier restore generation than the newest one
+// of its group.
 func (node *modelNode) hasEarlierGeneration(newest uint64) bool {
-	return !node.wiped && node.core.hardState.RestoreGeneration < newest
+	return !node.absent && node.core.hardState.RestoreGeneration < newest
 }
 
 // afterRestore returns the history of a group after its restore from one member: the entries of that member count
-// as committed, later ones are lost, and a client's query for freshness is discarded.
+// as committed, later ones are lost, and a client's query whether its document is the newest is discarded.
 func (history observedHistory) afterRestore(result *stepResult) observedHistory {
 	restored := result.eventOutcome.restored
 	committed := history.committed[:min(len(history.committed), int(result.carriedOver[0].Index)-1)]
@@ -45,11 +46,11 @@
 }
 
 // checkPeerGenerations checks that a leader of the newest restore generation counts entries as replicated only to
-// members of that generation: a member of an earlier one has another log.
+// members of that generation. The log of a member of an earlier restore generation may differ.
 func (s *stateSpace) checkPeerGenerations(state *groupState, history observedHistory) string {
 	for _, id := range s.members(state) {
 		node := s.nodes[id]
-		if node.wiped || node.core.role != leader || node.hasEarlierGeneration(history.generation) {
+		if node.absent || node.core.role != leader || node.hasEarlierGeneration(history.generation) {
 			continue
 		}
 		for name, progress := range node.core.peers {
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -8,9 +8,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// pathStep is the action that leads from an earlier state to a new one.
+// pathStep is the action by which the search first reached a state, and the state before the action.
 type pathStep struct {
-	from int32 // number of the state before the action
+	from int32 // number of the state before the action; -1: none, at the initial state
 	modelAction
 }
 
@@ -33,9 +33,9 @@
 type searcher struct {
 	searchResult
 	stateSpace *stateSpace
-	maxStates  int // 0: no limit
+	maxStates  int // maximum number of states to visit; 0: no limit
 	visited    map[fingerprint]struct{}
-	path       []pathStep // by state number: how the state was reached first
+	path       []pathStep // by state number: the step by which the search first reached the state
 }
 
 // search visits every state within the bounds, breadth first, and stops at the first state that violates an
@@ -60,7 +60,8 @@
 
 func (s *searcher) ended() bool { return s.incomplete || s.violation != "" }
 
-// expand returns the states that are reached for the first time by one action from the states of a level.
+// expand returns the states that the search reaches for the first time by one action from the states of a level, which
+// are those at one depth of the search.
 func (s *searcher) expand(level []*groupState) (next []*groupState) {
 	for _, state := range level {
 		for _, action := range s.stateSpace.actions(state) {
@@ -101,7 +102,7 @@
 	return next
 }
 
-// trace describes the actions on the way from the initial state to the last state of a path.
+// trace describes, in order, the actions that lead from the initial state to the state that the search reached last.
 func (s *stateSpace) trace(path []pathStep) (l []string) {
 	for at := int32(len(path) - 1); at > 0; at = path[at].from {
 		l = append([]string{s.describe(path[at].modelAction)}, l...)
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -7,29 +7,30 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxSlots is the largest number of members in a state of the model. The initial voters have the first slots, then
-// the learner and the member that a restored group begins with, if the bounds allow them.
+// maxSlots is the largest number of members in a state of the model. A slot is the position of a member in the state:
+// the initial voters have the first slots, then the learner and the member that a restored group begins with, if the
+// bounds allow them.
 const maxSlots = 6
 
 var slotNames = [maxSlots]string{"a", "b", "c", "d", "e", "f"}
 
-// defaultInitialVoters is the number of initial voters if the bounds give none.
+// defaultInitialVoters is the number of initial voters if bounds.initialVoters is 0.
 const defaultInitialVoters = 3
 
-// budget is a kind of event whose number on the path to a state is limited.
+// budget is a kind of event. The bounds limit how many events of each kind the path from the initial state may have.
 type budget int
 
 const (
 	proposals budget = iota
 	restarts
-	wipes
+	diskLosses
 	learners // additions of a learner by a leader
 	changes  // membership changes proposed by a leader
 	transfers
 	compactions
 	reads
 	heartbeats
-	quorumTimeouts        // step-downs of a leader that lost contact with a quorum
+	quorumTimeouts        // step-downs of a leader that has lost contact with a quorum
 	elections             // campaigns started by a member
 	duplicates            // deliveries of a message that stays in flight
 	delayedFlushes        // steps whose output isn't persisted and sent at once
@@ -39,12 +40,12 @@
 	budgetCount           // number of budgets
 )
 
-// unlimited is the limit of a kind of event that may happen any number of times, and isn't counted in a state.
+// unlimited, as a limit in bounds.limits, allows any number of events of a kind; they aren't counted in groupState.used.
 const unlimited = 255
 
-// bounds limit a search, which visits every state within them.
+// bounds describe the initial state of a search and limit the events; the search visits every state within them.
 type bounds struct {
-	initialVoters   int                // initial voters, 5 at most; 0: defaultInitialVoters
+	initialVoters   int                // number of initial voters, 5 at most; 0: defaultInitialVoters
 	fixed           bool               // the members are fixed by the configuration, and can't change
 	conflictingLogs bool               // the search begins in term 3: a alone has an entry that it proposed in term 1, b was elected in term 2, and a in term 3
 	elected         bool               // the search begins with a as leader of term 1, its first entry committed on all members, and no message in flight
@@ -64,10 +65,10 @@
 type groupState struct {
 	nodes       [maxSlots]int32
 	history     int32
-	used        [budgetCount]uint8
-	inFlight    []int32      // numbers of the messages in flight, sorted
-	inFlightSum fingerprints // sum of the fingerprints of inFlight
-	number      int32        // number of the state in the order of discovery
+	used        [budgetCount]uint8 // number of limited events of each kind on the path to this state
+	inFlight    []int32            // numbers of the messages in flight, sorted
+	inFlightSum fingerprints       // sum of the fingerprints of inFlight
+	number      int32              // number of the state, in the order in which the search first reached the states
 }
 
 type nodeEntry struct {
@@ -78,9 +79,9 @@
 type messageEntry struct {
 	*wire.Message
 	permutedFingerprints fingerprints
-	to                   int
-	fromLeader           bool   // only the leader of its term sends such a message
-	votesFor             string // the candidate that the message is a vote for; empty: it is no vote
+	to                   int    // slot of the receiver
+	fromLeader           bool   // the message is of a kind that only the leader of its term sends
+	votesFor             string // name of the candidate that the sender votes for with this message; empty: the message isn't a vote
 }
 
 type historyEntry struct {
@@ -92,7 +93,7 @@
 // each event at each node.
 type stateSpace struct {
 	bounds
-	renamings        []renaming // permutations of the initial voters under which states are equivalent; the first is the identity
+	namePermutations []namePermutation // permutations of the initial voters' names under which states are equivalent; the first is the identity
 	nodes            []nodeEntry
 	messages         []messageEntry
 	histories        []historyEntry
@@ -120,7 +121,7 @@
 	if limits.initialVoters == 0 {
 		limits.initialVoters = defaultInitialVoters
 	}
-	s := &stateSpace{bounds: limits, renamings: initialVoterRenamings(limits.initialVoters, limits.distinguished()), nodeIDs: map[string]int32{}, messageIDs: map[string]int32{}, historyIDs: map[string]int32{}, steps: map[stepKey]*stepResult{}, historyCache: map[historyKey]historyResult{}}
+	s := &stateSpace{bounds: limits, namePermutations: initialVoterPermutations(limits.initialVoters, limits.distinguished()), nodeIDs: map[string]int32{}, messageIDs: map[string]int32{}, historyIDs: map[string]int32{}, steps: map[stepKey]*stepResult{}, historyCache: map[historyKey]historyResult{}}
 	for i := range s.usedFingerprints {
 		for n := range s.usedFingerprints[i] {
 			s.usedFingerprints[i][n] = hashOf([]byte{byte(i), byte(n)})
@@ -129,8 +130,8 @@
 	return s
 }
 
-// distinguished returns how many of the initial voters, from the first one on, have special roles in the bounds.
-// States that differ by a permutation of these aren't equivalent.
+// distinguished returns how many of the initial voters, from the first one on, have special roles in the bounds. Two
+// states that differ by a permutation of the names of these voters aren't equivalent.
 func (b bounds) distinguished() int {
 	if b.pendingChange != (modelEvent{}) {
 		return 2 // a, which proposed the pending change and may campaign, and b, which was elected
@@ -138,7 +139,7 @@
 	return 0
 }
 
-// memberCount returns the number of slots in use.
+// memberCount returns the number of members in each state: initial voters, learner, and member of a restored group.
 func (s *stateSpace) memberCount() int {
 	count := s.initialVoters
 	if s.learner {
@@ -153,13 +154,13 @@
 // allowsRestore reports whether the bounds allow the restore of the group from one member.
 func (s *stateSpace) allowsRestore() bool { return s.limits[restores] > 0 }
 
-// restoredSlot returns the slot of the only member of a restored group.
+// restoredSlot returns the slot of the member that a restored group begins with, the last one in use.
 func (s *stateSpace) restoredSlot() int { return s.memberCount() - 1 }
 
-// members returns the nodes of a state, by number, in the slots in use.
+// members returns the numbers of the nodes of a state, one for each slot in use.
 func (s *stateSpace) members(state *groupState) []int32 { return state.nodes[:s.memberCount()] }
 
-// learnerSlot returns the slot of the learner, which the bounds may leave unused.
+// learnerSlot returns the slot of the learner, if the bounds have one.
 func (s *stateSpace) learnerSlot() int { return s.initialVoters }
 
 func (s *stateSpace) internNode(node *modelNode) int32 {
@@ -174,7 +175,7 @@
 }
 
 func (s *stateSpace) internMessage(message *wire.Message) int32 {
-	encode := func(names renaming) string { return encodingOf(names, "message", message) }
+	encode := func(names namePermutation) string { return encodingOf(names, "message", message) }
 	encoding := encode(nil)
 	id, known := s.messageIDs[encoding]
 	if known {
@@ -198,7 +199,7 @@
 }
 
 func (s *stateSpace) internHistory(history observedHistory) int32 {
-	encode := func(names renaming) string { return encodingOf(names, "history", history) }
+	encode := func(names namePermutation) string { return encodingOf(names, "history", history) }
 	encoding := encode(nil)
 	id, known := s.historyIDs[encoding]
 	if !known {
@@ -209,7 +210,7 @@
 	return id
 }
 
-// step returns the outcome of an event at a node; nil if the event isn't possible there.
+// step returns the outcome of an event at the node with the given number; nil if the event isn't possible there.
 func (s *stateSpace) step(id int32, event modelEvent) *stepResult {
 	key := stepKey{id, event}
 	if result, known := s.steps[key]; known {
@@ -230,7 +231,7 @@
 	}
 	for _, message := range out.messages {
 		if !slices.Contains(slotNames[:], message.To) {
-			panic(fmt.Sprintf("message to %q, which is no member of the model", message.To))
+			panic(fmt.Sprintf("a core sent a message to %q, which is no member of the model", message.To))
 		}
 		result.messages = append(result.messages, s.internMessage(message))
 	}
@@ -238,15 +239,15 @@
 	return result
 }
 
-// fingerprint identifies a state up to a permutation of the initial voters: it is the smallest of the fingerprints
-// under all permutations.
+// fingerprint returns the same value for states that differ only by a permutation of the names of the initial voters:
+// the smallest of the fingerprints that the state has under each permutation.
 func (s *stateSpace) fingerprint(state *groupState) fingerprint {
 	var used fingerprint
 	for i, n := range state.used {
 		used = used.add(s.usedFingerprints[i][n])
 	}
 	var smallest fingerprint
-	for i := range s.renamings {
+	for i := range s.namePermutations {
 		sum := used.add(state.inFlightSum[i]).add(s.histories[state.history].permutedFingerprints[i])
 		for _, id := range s.members(state) {
 			sum = sum.add(s.nodes[id].permutedFingerprints[i])
@@ -255,14 +256,14 @@
 			smallest = sum
 		}
 		if s.preVotes {
-			break // a pre-candidate yields to a lower name, so permuted states aren't equivalent
+			break // a pre-candidate yields to one whose name sorts first, so states with permuted names aren't equivalent
 		}
 	}
 	return smallest
 }
 
 // updateInFlight adds the messages that an action sends to those in flight. It removes the message that the action
-// delivers, unless it is duplicated, and messages to the member of the action that no longer have any effect.
+// delivers, unless the action duplicates it, and the messages that no longer have an effect on the member of the action.
 func (s *stateSpace) updateInFlight(state *groupState, action modelAction, sent []int32) {
 	slot := int(action.slot)
 	remaining := make([]int32, 0, len(state.inFlight)+len(sent))
@@ -287,13 +288,13 @@
 }
 
 func (s *stateSpace) updateInFlightSum(state *groupState, id int32, with func(a, b fingerprint) fingerprint) {
-	for i := range s.renamings {
+	for i := range s.namePermutations {
 		state.inFlightSum[i] = with(state.inFlightSum[i], s.messages[id].permutedFingerprints[i])
 	}
 }
 
-// isDropped reports whether a message in flight is removed without delivery: it has no effect, or is a request of an
-// earlier term and the bounds exclude these.
+// isDropped reports whether a message in flight is removed without delivery: it has no effect on its receiver, or it is
+// a request of a term earlier than the receiver's and the bounds exclude such requests (bounds.lateRequests).
 func (s *stateSpace) isDropped(nodeID, messageID int32) bool {
 	node, message := s.nodes[nodeID], s.messages[messageID]
 	if s.hasNoEffect(nodeID, messageID) {
@@ -309,16 +310,17 @@
 	return false
 }
 
-// hasNoEffect reports whether a message can't change a member, now or later: the member is wiped, or the message is
-// a response to an earlier term or incarnation, or to a candidacy or leadership of this term that the member has
-// ended. verifyNoEffect checks that the core ignores these messages.
+// hasNoEffect reports whether a message can't change its receiver, now or later. This is so if the receiver is absent
+// for good, since it lost its disk and no member starts under its name again, or if the message responds to an earlier
+// term or incarnation of the receiver, or to a candidacy or leadership in the current term that the receiver has ended.
+// verifyNoEffect checks that the core ignores these messages.
 func (s *stateSpace) hasNoEffect(nodeID, messageID int32) bool {
 	node, message := s.nodes[nodeID], s.messages[messageID]
-	if node.wiped {
+	if node.absent {
 		return true
 	}
 	if message.RestoreGeneration != node.core.hardState.RestoreGeneration {
-		return false // sender or receiver learns of the restore
+		return false // by the message the receiver, or by its response the sender, learns that the group was restored
 	}
 	term := node.core.hardState.Term
 	switch message.Kind {
@@ -336,29 +338,29 @@
 	return false
 }
 
-// verifyNoEffect delivers every message that hasNoEffect excludes at a node to that node, and returns a description
-// of the first one that has an effect; empty: there is none.
+// verifyNoEffect delivers to each node the messages that have no effect on it according to hasNoEffect. It returns a
+// description of the first one that changes the node or makes it send messages; empty: there is none.
 func (s *stateSpace) verifyNoEffect() string {
 	for nodeID := range s.nodes {
 		for messageID := range s.messages {
 			node, message := s.nodes[nodeID], s.messages[messageID]
-			if node.wiped || message.To != node.name || !s.hasNoEffect(int32(nodeID), int32(messageID)) {
+			if node.absent || message.To != node.name || !s.hasNoEffect(int32(nodeID), int32(messageID)) {
 				continue
 			}
 			if result := s.step(int32(nodeID), modelEvent{kind: deliver, arg: int32(messageID)}); result.node != int32(nodeID) && !node.pending() || len(result.messages) > 0 && !node.pending() {
-				return fmt.Sprintf("a message that should have no effect changed member %s in term %d: %s from %s", node.name, node.core.hardState.Term, describeMessage(message.Message), message.From)
+				return fmt.Sprintf("hasNoEffect is true for a message that changes member %s in term %d or gets a response: %s from %s", node.name, node.core.hardState.Term, describeMessage(message.Message), message.From)
 			}
 		}
 	}
 	return ""
 }
 
-// verifyUnchanged checks that no step has changed a member or a message that is shared with other states. It returns
-// a description of the first one that was changed; empty: there is none.
+// verifyUnchanged checks that no step has changed a node or a message that the states share. It returns a description of
+// the first one that was changed; empty: there is none.
 func (s *stateSpace) verifyUnchanged() string {
 	for encoding, id := range s.nodeIDs {
 		if node := s.nodes[id]; node.encoding(nil) != encoding {
-			return fmt.Sprintf("a step from another state changed the shared copy of member %s", node.name)
+			return fmt.Sprintf("the stored state of member %s, which group states share, was changed by a step", node.name)
 		}
 	}
 	for encoding, id := range s.messageIDs {
--- a/internal/control/mutation/model_test.go
+++ b/internal/control/mutation/model_test.go
@@ -51,7 +51,7 @@
 	mutant{name: "members change before the last change is committed", file: memberFile,
 		original:    "return c.role == leader && term == c.hardState.Term && c.voters.index <= c.commit",
 		replacement: "return c.role == leader && term == c.hardState.Term",
-		pkg:         consensusPackage, run: modelChecker + "membership_changes_and_wipe"},
+		pkg:         consensusPackage, run: modelChecker + "membership_changes_and_disk_loss"},
 	mutant{name: "members change before the leader has committed in its term", file: memberFile,
 		original: "	return c.role == leader && term == c.hardState.Term && c.voters.index <= c.commit",
 		replacement: `	_, lastChange := term, uint64(0) // the rule of the thesis without its correction: the last change is committed
@@ -65,7 +65,7 @@
 	mutant{name: "two members are added or removed at once", file: memberFile,
 		original:    "len(added)+len(removed) != 1 || len(proposed) == 0",
 		replacement: "len(added)+len(removed) > 2 || len(proposed) == 0",
-		pkg:         consensusPackage, run: modelChecker + "membership_changes_and_wipe"},
+		pkg:         consensusPackage, run: modelChecker + "membership_changes_and_disk_loss"},
 	mutant{name: "a read is confirmed without asking a quorum", file: readFile,
 		original:    "return c.peers[voter].ackedReadSequence >= read.sequence",
 		replacement: "return true",
@@ -109,9 +109,9 @@
 	if !c.IsVoter(c.cfg.Self) {
 		count = 1
 	}`,
-		pkg: consensusPackage, run: modelChecker + "membership_changes_and_wipe"},
+		pkg: consensusPackage, run: modelChecker + "membership_changes_and_disk_loss"},
 	mutant{name: "unapplied entries are left out of a proof of freshness", file: statusFile,
 		original:    "return c.entriesFrom(c.applied + 1) }",
 		replacement: "return nil }",
-		pkg:         consensusPackage, run: modelChecker + "proofs_of_freshness"},
+		pkg:         consensusPackage, run: modelChecker + "proof_to_a_client_that_its_document_is_the_newest"},
 )
