--- a/internal/control/consensus/contact_test.go
+++ b/internal/control/consensus/contact_test.go
@@ -17,7 +17,7 @@
 	c.Step(&wire.Message{To: "a/0", From: "b/0", Incarnation: "b/0", DiskState: wire.DiskState_DISK_FOUNDED, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: true, Term: 1, AboutIncarnation: "a/0"})
 	c.Ready()
 	if !c.Status().IsLeader {
-		t.Fatal("a/0 isn't the leader after b/0 voted for it")
+		t.Fatal("member a/0 of three isn't the leader after it received the vote of b/0")
 	}
 	return c
 }
@@ -66,7 +66,7 @@
 			core.Ready()
 		}
 		if !core.Status().IsLeader {
-			continue // it stepped down: no contact with a quorum for two election timeouts
+			continue // the leader has already stepped down, after two election timeouts without contact to a quorum
 		}
 		core.Step(appendResponseTo(request))
 		if got := contactAgeOf(t, core, "c/0"); got != late {
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -13,8 +13,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// testGroup runs the cores of a group and delivers their messages in the order that a test asks for. Output of
-// a core counts as persisted at once. After every step it checks that a term has at most one leader and that all
+// testGroup runs the cores of a group and delivers their messages in the order that a test asks for. The output of
+// a core counts as persisted when collect takes it. After every step it checks that a term has at most one leader and that all
 // members commit the same entries.
 type testGroup struct {
 	t            testing.TB
@@ -54,8 +54,8 @@
 	return group
 }
 
-// collect carries out the output of a core: it queues the messages, applies the committed entries and checks both
-// invariants.
+// collect carries out the output of a member's core: it queues the messages and applies the committed entries. It fails
+// the test if two members lead in one term, or commit different entries at one index.
 func (g *testGroup) collect(name string) {
 	core := g.cores[name]
 	ready := core.Ready()
@@ -74,26 +74,26 @@
 	}
 }
 
-// checkCommitted fails the test if a different entry was committed at the same index before.
+// checkCommitted fails the test if a member commits another entry than one that was committed at the same index before.
 func (g *testGroup) checkCommitted(name string, entry *wire.Entry) {
-	description := fmt.Sprintf("term %d, body %q, members %v", entry.Term, entry.Body, entry.Members)
+	description := fmt.Sprintf("entry of term %d with body %q and members %v", entry.Term, entry.Body, entry.Members)
 	for uint64(len(g.committed)) < entry.Index {
 		g.committed = append(g.committed, "")
 	}
 	if earlier := g.committed[entry.Index-1]; earlier != "" && earlier != description {
-		g.t.Fatalf("entry %d was committed as (%s), but %s commits (%s)", entry.Index, earlier, name, description)
+		g.t.Fatalf("index %d: %s was committed there before, but member %s commits %s", entry.Index, earlier, name, description)
 	}
 	g.committed[entry.Index-1] = description
 }
 
-// drop removes a message in flight, by its position, and returns it.
+// drop removes the message at a position in inFlight, and returns it.
 func (g *testGroup) drop(i int) *wire.Message {
 	message := g.inFlight[i]
 	g.inFlight = append(append([]*wire.Message(nil), g.inFlight[:i]...), g.inFlight[i+1:]...)
 	return message
 }
 
-// deliver delivers a message in flight, by its position. A message to a member that doesn't exist is lost.
+// deliver delivers the message at a position in inFlight. A message to a member that doesn't exist is lost.
 func (g *testGroup) deliver(i int) {
 	message := g.drop(i)
 	if core := g.cores[message.To]; core != nil {
@@ -102,7 +102,8 @@
 	}
 }
 
-// deliverMatching delivers the matching messages in flight, and those sent in response that match too.
+// deliverMatching delivers the messages in flight for which matches is true, and those sent in response if it is true
+// for them too.
 func (g *testGroup) deliverMatching(matches func(*wire.Message) bool) {
 	for i := 0; i < len(g.inFlight); {
 		if matches(g.inFlight[i]) {
@@ -113,7 +114,8 @@
 	}
 }
 
-// deliverAll delivers messages until none is in flight. Messages to and from members that are down are lost.
+// deliverAll delivers up to 2000 messages, until none is in flight. Messages to and from the members that are down are
+// lost.
 func (g *testGroup) deliverAll(down ...string) {
 	for n := 0; len(g.inFlight) > 0 && n < 2000; n++ {
 		if message := g.inFlight[0]; slices.Contains(down, message.To) || slices.Contains(down, message.From) {
@@ -142,7 +144,7 @@
 	g.collect(name)
 }
 
-// elect makes a member the leader, and leaves no messages in flight.
+// elect makes a member campaign, and delivers all messages that result, so that it becomes the leader.
 func (g *testGroup) elect(name string) {
 	g.campaign(name)
 	g.deliverAll()
@@ -165,13 +167,13 @@
 	return ok
 }
 
-// members returns the newest voters in a member's log, separated by spaces.
+// members returns the names of the newest voters in a member's log, separated by spaces.
 func (g *testGroup) members(name string) string {
 	names, _, _ := g.cores[name].Members()
 	return strings.Join(names, " ")
 }
 
-// peerStatus returns the status of a peer as reported by the leader, or an empty one.
+// peerStatus returns the status of a peer as reported by the leader; an empty status if the leader reports none.
 func (g *testGroup) peerStatus(leader, name string) PeerStatus {
 	for _, status := range g.cores[leader].PeerStatuses() {
 		if status.Name == name {
--- a/internal/control/consensus/leadership_transfer_test.go
+++ b/internal/control/consensus/leadership_transfer_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Leadership is transferred to the peer with the most recent contact, not to the first one by name, which may
-// just have failed, and never to an excluded peer.
+// Leadership is transferred to the peer whose contact with the leader is the most recent, and never to an excluded
+// peer. The first peer by name may just have failed.
 func TestLeadershipIsTransferredToMostRecentContact(t *testing.T) {
 	group := newTestGroup(t, "a b c", "")
 	group.elect("a")
@@ -23,7 +23,7 @@
 			target = messages[len(messages)-1].To
 		}
 		if target != transfer.target {
-			t.Errorf("with excluded peers %q: leadership transferred to %q, want %q", transfer.excluded, target, transfer.target)
+			t.Errorf("TransferLeadershipExcept with excluded peers %q transferred the leadership to %q, want %q", transfer.excluded, target, transfer.target)
 		}
 	}
 }
--- a/internal/control/consensus/link_network_test.go
+++ b/internal/control/consensus/link_network_test.go
@@ -12,35 +12,35 @@
 )
 
 // linkNetwork connects the cores of a group. The incoming link of one member can be slow: small messages
-// overtake large ones on it, and a message that would take longer than sendTimeout is lost, as if the driver
-// gave up sending it.
+// overtake large ones on it, and a message that would take longer than sendTimeout is lost and reported to its
+// sender, as by a driver that gives up sending it.
 type linkNetwork struct {
 	t      testing.TB
 	random *rand.Rand
-	tick   int
+	tick   int // number of ticks since the start of the network
 
 	cores            map[string]*Core
 	disks            map[string]*memoryDisk
 	applied          map[string]uint64 // by member: index of the last applied entry
 	states           map[string][]byte // by member: the applied state, which is the body of the last applied entry
-	acknowledged     []byte            // body of the newest acknowledged entry
+	acknowledged     []byte            // body of the newest entry that propose has seen committed
 	trailingLogBytes int
 
 	slowPeer             string // the member whose incoming link is slow; empty: none
 	bytesPerTick         int    // throughput of the slow link
 	busyUntil            int    // tick until which the slow link is busy with queued messages
-	sendTimeout          int    // ticks after which a message on the slow link is lost
+	sendTimeout          int    // ticks that a message may take on the slow link; a message that would take longer is lost
 	lossProbability      float64
 	duplicateProbability float64
-	queued               []queuedMessage
+	queued               []queuedMessage // messages on the way, in no particular order
 
 	bytesSent          map[wire.MessageKind]int // payload bytes sent over the slow link
 	olderReleaseMember string                   // the member that runs the previous release; empty: none
-	unsupportedChunks  int                      // number of chunks sent to the member of the previous release
-	snapshotMessages   []*wire.Message          // all messages sent with a snapshot or a chunk
+	unsupportedChunks  int                      // number of snapshot chunks sent to the member of the previous release, which can't receive them
+	snapshotMessages   []*wire.Message          // all messages sent with a snapshot or a snapshot chunk, also those that were lost on the slow link
 }
 
-// queuedMessage is a message that arrives in arrivalTick, or whose loss is reported to its sender in that tick.
+// queuedMessage is a message that arrives in arrivalTick or, if lost is true, is reported as lost to its sender then.
 type queuedMessage struct {
 	arrivalTick int
 	message     *wire.Message
@@ -96,7 +96,7 @@
 	ready := core.Ready()
 	if ready.Snapshot != nil {
 		if ready.Snapshot.Index < n.applied[name] {
-			n.t.Fatalf("%s installs a snapshot up to entry %[3]d, but has already applied entry %[2]d", name, n.applied[name], ready.Snapshot.Index)
+			n.t.Fatalf("member %s installs a snapshot up to entry %[3]d, but has already applied entry %[2]d", name, n.applied[name], ready.Snapshot.Index)
 		}
 		disk.snapshot, disk.records = ready.Snapshot, nil
 		n.states[name], n.applied[name] = ready.Snapshot.State, ready.Snapshot.Index
@@ -107,7 +107,7 @@
 	}
 	for _, entry := range ready.CommittedEntries {
 		if entry.Index != n.applied[name]+1 {
-			n.t.Fatalf("%s applies entry %d directly after entry %d", name, entry.Index, n.applied[name])
+			n.t.Fatalf("member %s applies entry %d directly after entry %d, want the entries in order without a gap", name, entry.Index, n.applied[name])
 		}
 		n.applied[name] = entry.Index
 		if len(entry.Body) > 0 {
@@ -116,7 +116,7 @@
 	}
 }
 
-// compact replaces the applied log of a member by a snapshot.
+// compact replaces the applied entries in a member's log by a snapshot.
 func (n *linkNetwork) compact(name string) {
 	disk := n.disks[name]
 	disk.snapshot, disk.records = n.cores[name].Compact(n.states[name])
@@ -154,7 +154,7 @@
 	}
 }
 
-// advance delivers the messages of the next tick, and then ticks all members.
+// advance begins the next tick: it delivers the messages that are due, and then ticks all members.
 func (n *linkNetwork) advance() {
 	n.tick++
 	due, later := []queuedMessage(nil), []queuedMessage(nil)
@@ -194,7 +194,8 @@
 	return found
 }
 
-// propose proposes an entry with a body to the leader, until a leader has committed and applied it.
+// propose proposes an entry with a body to the current leader, again after a change of leader, until a leader has
+// committed and applied it. It fails the test after 400 attempts.
 func (n *linkNetwork) propose(body []byte) {
 	n.t.Helper()
 	for range 400 {
@@ -215,23 +216,23 @@
 			return
 		}
 	}
-	n.t.Fatal("no proposal was committed in 400 attempts")
+	n.t.Fatal("no leader committed the proposed entry in 400 attempts")
 }
 
-// runUntil advances the network until a condition holds, and returns the number of ticks that this took. It fails
-// the test after the given number of ticks.
+// runUntil advances the network until done returns true, and returns the number of ticks that this took. It fails the
+// test, with the description of the condition, if it takes more than the given number of ticks.
 func (n *linkNetwork) runUntil(condition string, ticks int, done func() bool) int {
 	n.t.Helper()
 	from := n.tick
 	for !done() {
 		if n.advance(); n.tick-from > ticks {
-			n.t.Fatalf("condition %[1]q doesn't hold after %[2]d ticks", condition, ticks)
+			n.t.Fatalf("condition %[1]q doesn't hold after %[2]d ticks of the simulated network", condition, ticks)
 		}
 	}
 	return n.tick - from
 }
 
-// hasCaughtUp reports whether a member has applied the newest acknowledged entry.
+// hasCaughtUp reports whether the last entry that a member has applied is the newest one that was acknowledged.
 func (n *linkNetwork) hasCaughtUp(name string) bool {
 	return bytes.Equal(n.states[name], n.acknowledged)
 }
@@ -244,7 +245,7 @@
 	return body
 }
 
-// otherMember returns the first of the voters a, b and c that isn't excluded.
+// otherMember returns the first of the voters a, b and c that isn't among the excluded ones; empty: all are excluded.
 func otherMember(excluded ...string) string {
 	for _, name := range []string{"a", "b", "c"} {
 		if !slices.Contains(excluded, name) {
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -9,8 +9,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// A learner receives committed entries only, doesn't campaign and isn't counted in a quorum. Once it is added as
-// a voter, it is counted; once a voter is removed, it no longer is.
+// A learner receives committed entries only, doesn't campaign and isn't counted in a quorum. It is counted once it is
+// added as a voter. A removed voter is no longer counted.
 func TestLearnerJoinsQuorumOnlyOnceAdded(t *testing.T) {
 	group := newTestGroup(t, "a b c", "d")
 	group.tick(60, "a", "b", "c")
@@ -39,7 +39,7 @@
 	}
 	group.tick(10, "c")
 	group.propose("a", "two")
-	group.tick(10, "b", "c") // a and d are a majority of a, b and d
+	group.tick(10, "b", "c") // b and c are down: a and d are a majority of the voters a, b and d
 	if status := group.cores["a"].Status(); status.Applied != status.LastIndex || group.members("b") != "a b d" {
 		t.Fatalf("with members b and c down, of which c was removed: status of leader a %+v, want all entries applied; voters in the log of b %q, want a b d", status, group.members("b"))
 	}
@@ -55,12 +55,12 @@
 	}
 }
 
-// Only the leader can change the members, one at a time, and only after it has committed an entry of its own
-// term and the previous change.
+// Only the leader can propose a membership change, of one member at a time, and only after it has committed an entry
+// of its own term and the previous membership change.
 func TestMembershipChangePreconditions(t *testing.T) {
 	group := newTestGroup(t, "a b c", "d e")
 	if group.proposeMembership("a", "a b c d") {
-		t.Error("a follower accepted a membership change")
+		t.Error("follower a accepted a membership change, want a rejection")
 	}
 	group.campaign("a")
 	group.deliverMatching(isVoteMessage)
@@ -78,7 +78,7 @@
 	}
 	group.deliverAll()
 	if !group.proposeMembership("a", "b c d") {
-		t.Error("the leader rejected its own removal")
+		t.Error("leader a rejected the proposal to remove itself from the voters")
 	}
 	group.deliverAll()
 	if status := group.cores["a"].Status(); status.IsLeader || group.members("b") != "b c d" {
@@ -90,8 +90,8 @@
 	}
 }
 
-// Voters named by an entry are no longer in effect once the entry is truncated. Applied voters survive a
-// compaction and a restart, and are part of a snapshot sent to a learner.
+// The voters that a log entry names are no longer in effect once the entry is truncated. Voters named by an applied
+// entry survive a compaction and a restart, and are part of a snapshot sent to a learner.
 func TestMembershipFollowsTruncationAndCompaction(t *testing.T) {
 	group := newTestGroup(t, "a b c", "d")
 	group.elect("a")
@@ -126,7 +126,7 @@
 	group.addLearner("a", "e")
 	group.tick(20)
 	if members, _, _ := group.cores["e"].Members(); fmt.Sprint(members) != "[a b c d]" || group.cores["e"].lastIndex() != group.cores["a"].lastIndex() {
-		t.Fatalf("learner e after it received the snapshot: voters %v, want [a b c d] and the same last index as the leader", members)
+		t.Fatalf("learner e after it received the snapshot: voters %v, want [a b c d]; last index %d, want the leader's last index %d", members, group.cores["e"].lastIndex(), group.cores["a"].lastIndex())
 	}
 }
 
@@ -145,7 +145,7 @@
 		group.addLearner("a", members[len(members)-1:])
 		group.tick(10)
 		if !group.proposeMembership("a", members) {
-			t.Fatalf("the leader rejected the change to the members %q", members)
+			t.Fatalf("the leader rejected the membership change to voters %q", members)
 		}
 		group.tick(10)
 	}
@@ -157,14 +157,14 @@
 // membershipRace is a scenario in a group of a, b and c, led by a, with the learner d: a proposes a membership
 // change and a command while b campaigns.
 type membershipRace struct {
-	proposed     string // members that leader a proposes
-	lostDelivery int    // number of the delivery that is dropped instead; -1: none
-	depth        int    // number of deliveries whose order varies
-	orders       int
-	outcomes     map[string]int // by final members: number of orders that end with them
+	proposed     string         // voters that leader a proposes, separated by spaces
+	lostDelivery int            // number of the delivery that is dropped instead; -1: none
+	depth        int            // number of deliveries whose order varies
+	orders       int            // number of delivery orders tried
+	outcomes     map[string]int // by the voters at the end, separated by spaces: number of delivery orders that end with them
 }
 
-// replay starts the scenario, and then delivers messages, each given by its position in flight.
+// replay starts the scenario, and then delivers messages, each given by its position in testGroup.inFlight at that time.
 func (r *membershipRace) replay(t *testing.T, deliveries []int) *testGroup {
 	t.Helper()
 	group := newTestGroup(t, "a b c", "d")
@@ -172,7 +172,7 @@
 	group.addLearner("a", "d")
 	group.deliverAll()
 	if !group.proposeMembership("a", r.proposed) || !group.propose("a", "one") {
-		t.Fatal("proposal rejected: member a isn't the leader")
+		t.Fatal("member a rejected a proposal: it isn't the leader, want it as leader after its election")
 	}
 	group.campaign("b")
 	for step, i := range deliveries {
@@ -185,8 +185,9 @@
 	return group
 }
 
-// explore tries every continuation of some deliveries, up to depth of them, each of one of the first six messages in
-// flight, and checks that the group can commit afterwards.
+// explore tries every sequence of deliveries that begins with the given ones and has depth deliveries, or fewer if no
+// message is left. Each delivery is one of the first six messages in flight. It checks that the group can commit a
+// command after each sequence.
 func (r *membershipRace) explore(t *testing.T, deliveries []int) {
 	t.Helper()
 	group := r.replay(t, deliveries)
@@ -221,9 +222,9 @@
 	return members
 }
 
-// A member is added or removed while another one campaigns under the previous membership. Every order of the
-// first messages is tried, without loss and with the loss of one of them. A term has at most one leader, all
-// members commit the same entries, and in the end one membership is in effect and commands are committed again.
+// Leader a adds or removes a voter while b campaigns with the previous voters in its log. Every order of the first four
+// or six deliveries is tried, without loss and with the loss of one of the first three. A term has at most one leader,
+// all members commit the same entries, and in the end one voter set is in effect and commands are committed again.
 func TestEveryOrderOfMembershipChangeAndElection(t *testing.T) {
 	for _, change := range []struct {
 		proposed string
--- a/internal/control/consensus/message_order_test.go
+++ b/internal/control/consensus/message_order_test.go
@@ -9,7 +9,7 @@
 )
 
 // contestedElection has members a and b campaign in the same term, and then delivers messages, each given by its
-// position in flight. The delivery with number lostDelivery is dropped instead; -1: none.
+// position in testGroup.inFlight at that time. The message of the delivery with number lostDelivery is lost; -1: none.
 func contestedElection(t *testing.T, deliveries []int, lostDelivery int) *testGroup {
 	t.Helper()
 	group := newFixedGroup(t)
@@ -25,9 +25,9 @@
 	return group
 }
 
-// Two members campaign in the same term. Every order in which vote requests and responses can arrive is tried,
-// without loss and with the loss of one of them: a term never has two leaders, and if no message is lost, it
-// has one.
+// Two of three members campaign in the same term. Every order in which vote requests and responses can arrive is
+// tried, without loss and with the loss of one of them: the term never has two leaders, and if no message is lost,
+// it has one.
 func TestEveryOrderOfTwoCandidatesVotes(t *testing.T) {
 	for lostDelivery := -1; lostDelivery < 8; lostDelivery++ {
 		orders, wins := 0, map[string]int{}
@@ -53,13 +53,14 @@
 			t.Errorf("with delivery %d lost (-1: none): %d orders tried, want at least 300; wins by member %v, want some of both a and b", lostDelivery, orders, wins)
 		}
 		if lostDelivery < 0 && wins[""] > 0 {
-			t.Errorf("%d message orders end without a leader, although no message was lost and the vote of c decides the election", wins[""])
+			t.Errorf("%d orders of vote messages end without a leader, want 0: no message was lost, and the vote of c decides the election", wins[""])
 		}
 	}
 }
 
-// twoAppends has leader a propose two commands, duplicates the first message, delivers messages by their positions
-// in flight, and counts the remaining messages in flight. Finally it delivers all of these.
+// twoAppends has leader a propose two commands, duplicates the first message in flight, and delivers messages, each
+// given by its position in testGroup.inFlight at that time. It returns how many messages are then in flight, after it
+// has delivered these too and ticked the leader four times.
 func twoAppends(t *testing.T, deliveries []int) (group *testGroup, remaining int) {
 	t.Helper()
 	group = newFixedGroup(t)
@@ -99,13 +100,13 @@
 		orders++
 		for _, name := range []string{"a", "b", "c"} {
 			if fmt.Sprint(group.applied[name]) != "[one two]" {
-				t.Fatalf("deliveries in order %v: %s applied %v, want [one two]", deliveries, name, group.applied[name])
+				t.Fatalf("deliveries in order %v: member %s applied commands %v, want [one two]", deliveries, name, group.applied[name])
 			}
 		}
 	}
 	explore(nil)
 	if orders < 500 {
-		t.Fatalf("%d message orders were tried, want at least 500", orders)
+		t.Fatalf("%d orders of append messages were tried, want at least 500", orders)
 	}
 }
 
--- a/internal/control/consensus/peer_status_test.go
+++ b/internal/control/consensus/peer_status_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A learner counts as caught up only if one append request can carry all that it lacks. If it lacks large
-// entries, however few, or needs a snapshot, it doesn't.
+// A learner counts as caught up only if one append request can carry all the entries that it lacks. It doesn't if the
+// entries are large, however few, or are compacted, so that it needs a snapshot.
 func TestLearnerLackingLargeEntriesIsNotCaughtUp(t *testing.T) {
 	for _, lacking := range []struct {
 		name      string
@@ -14,9 +14,9 @@
 		compacted bool
 		caughtUp  bool
 	}{
-		{name: "two small entries", bodyBytes: 10, caughtUp: true},
-		{name: "two large entries", bodyBytes: 1 << 16},
-		{name: "a snapshot", bodyBytes: 10, compacted: true},
+		{name: "lacks two small entries", bodyBytes: 10, caughtUp: true},
+		{name: "lacks two large entries", bodyBytes: 1 << 16},
+		{name: "lacks compacted entries", bodyBytes: 10, compacted: true},
 	} {
 		t.Run(lacking.name, func(t *testing.T) {
 			group := newTestGroup(t, "a b c", "d")
@@ -25,7 +25,7 @@
 			group.deliverAll()
 			group.tick(6)
 			if status := group.peerStatus("a", "d"); !status.CaughtUp || !status.Responded {
-				t.Fatalf("the learner lacks no entry, but isn't reported as responding and caught up: %+v", status)
+				t.Fatalf("status of a learner that lacks no entry: %+v, want Responded and CaughtUp true", status)
 			}
 			for range 2 {
 				group.propose("a", strings.Repeat("x", lacking.bodyBytes))
@@ -36,13 +36,13 @@
 				group.cores["a"].Compact(nil)
 			}
 			if status := group.peerStatus("a", "d"); status.CaughtUp != lacking.caughtUp {
-				t.Errorf("status of the learner %+v, want CaughtUp %v", status, lacking.caughtUp)
+				t.Errorf("status of a learner that %s: %+v, want CaughtUp %v", lacking.name, status, lacking.caughtUp)
 			}
 		})
 	}
 }
 
-// The status distinguishes a learner that was added but never responded from a peer that is up.
+// The leader's status of a peer says whether the peer has ever responded: a learner that was added but is down hasn't.
 func TestSilentLearnerHasNotResponded(t *testing.T) {
 	group := newTestGroup(t, "a b c", "")
 	group.elect("a")
--- a/internal/control/consensus/prevote_test.go
+++ b/internal/control/consensus/prevote_test.go
@@ -23,20 +23,20 @@
 				return message
 			}
 		}
-		t.Fatal("no response to a pre-vote request was sent")
+		t.Fatal("member b/0 sent no response to a pre-vote request")
 		return nil
 	}
 	heartbeat := &wire.Message{To: "b/0", From: "a/0", Incarnation: "a/0", Kind: wire.MessageKind_APPEND_REQUEST, Term: 3}
-	core.Tick() // the driver also ticks before it delivers the first message
+	core.Tick() // as the driver does, tick before the first message is delivered
 	core.Step(heartbeat)
 	for tick := range cfg.ElectionTicks {
 		if response().Ok {
-			t.Fatalf("a pre-vote is granted %d ticks after a heartbeat, want a rejection before the election timeout", tick)
+			t.Fatalf("a pre-vote was granted %d ticks after a heartbeat of the leader, want a rejection before the election timeout of %d ticks", tick, cfg.ElectionTicks)
 		}
 		core.Tick()
 	}
 	if !response().Ok {
-		t.Error("a pre-vote is rejected although an election timeout has passed since the last heartbeat")
+		t.Error("a pre-vote was rejected although an election timeout has passed since the leader's last heartbeat")
 	}
 	if term := core.Status().Term; term != 3 {
 		t.Errorf("a pre-vote request has changed the receiver's term to %d, want 3", term)
--- a/internal/control/consensus/snapshot_receive_test.go
+++ b/internal/control/consensus/snapshot_receive_test.go
@@ -10,7 +10,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// newChunkRequest returns a leader's request with a chunk of a state: the bytes between two offsets.
+// newChunkRequest returns a leader's request with a chunk of the snapshot that ends at an index and holds a state: the
+// bytes of the state between two offsets.
 func newChunkRequest(state []byte, index uint64, from, to int) *wire.Message {
 	return &wire.Message{From: "b", To: "a", Incarnation: "b", Kind: wire.MessageKind_SNAPSHOT_CHUNK_REQUEST, Term: 7,
 		Snapshot: &wire.Snapshot{Format: 1, Index: index, Term: 6, Members: []string{"a", "b", "c"}},
@@ -18,8 +19,8 @@
 			StateChecksum: crc32.Checksum(state, castagnoliTable)}}
 }
 
-// receivedAfter delivers a chunk to a follower. It returns the number of bytes that the follower reports as
-// received, and the snapshot that it installs, if any.
+// receivedAfter delivers a chunk request to a follower. It returns the number of bytes of the snapshot that the follower
+// reports as received, 0 if it reports none, and the snapshot that it installs; nil: none.
 func receivedAfter(t *testing.T, c *Core, message *wire.Message) (offset uint64, installed *wire.Snapshot) {
 	t.Helper()
 	c.Step(message)
@@ -44,29 +45,29 @@
 		chunk    *wire.Message
 		received uint64 // bytes received in total after the step
 	}{
-		{"query without data", newChunkRequest(state, 9, 0, 0), 0},
-		{"out of order", newChunkRequest(state, 9, 1000, 2000), 0},
-		{"damaged", damaged, 0},
-		{"first", newChunkRequest(state, 9, 0, 1000), 1000},
-		{"duplicate", newChunkRequest(state, 9, 0, 1000), 1000},
-		{"overlapping", newChunkRequest(state, 9, 500, 1500), 1000},
-		{"gap", newChunkRequest(state, 9, 2000, 3000), 1000},
-		{"second", newChunkRequest(state, 9, 1000, 2000), 2000},
+		{"request without data, which asks for the received size", newChunkRequest(state, 9, 0, 0), 0},
+		{"second chunk before the first", newChunkRequest(state, 9, 1000, 2000), 0},
+		{"first chunk, corrupted in transit", damaged, 0},
+		{"first chunk", newChunkRequest(state, 9, 0, 1000), 1000},
+		{"duplicate of the first chunk", newChunkRequest(state, 9, 0, 1000), 1000},
+		{"chunk that overlaps the first", newChunkRequest(state, 9, 500, 1500), 1000},
+		{"third chunk before the second", newChunkRequest(state, 9, 2000, 3000), 1000},
+		{"second chunk", newChunkRequest(state, 9, 1000, 2000), 2000},
 	} {
 		if received, installed := receivedAfter(t, core, step.chunk); received != step.received || installed != nil {
-			t.Fatalf("chunk %q: the follower reports %d received bytes, want %d, and installs snapshot %v, want none", step.name, received, step.received, installed)
+			t.Fatalf("after %s: the follower reports %d received bytes, want %d, and installs snapshot %v, want none", step.name, received, step.received, installed)
 		}
 	}
 	if _, installed := receivedAfter(t, core, newChunkRequest(state, 9, 2000, 3000)); installed == nil || !bytes.Equal(installed.State, state) || installed.Index != 9 {
 		t.Fatal("the completely received snapshot isn't installed, or its state or index differs from what was sent")
 	}
 	if installedTerm := core.snapshot.Term; installedTerm != 6 || core.commit != 9 || core.hardState.Term != 7 {
-		t.Fatalf("after the installation: snapshot term %d, commit index %d, member's term %d; want 6, 9 and 7", installedTerm, core.commit, core.hardState.Term)
+		t.Fatalf("after the installation of a snapshot: snapshot term %d, commit index %d, member's term %d; want 6, 9 and 7", installedTerm, core.commit, core.hardState.Term)
 	}
 }
 
-// A snapshot whose chunks match their checksums, but whose state doesn't match its own, is never installed. It
-// is received again from its beginning.
+// A snapshot is never installed if the received state doesn't match its checksum, even if each chunk matches its own.
+// The state is then received again from its beginning.
 func TestCorruptSnapshotIsNotInstalled(t *testing.T) {
 	network := newLinkNetwork(t, 1, 0)
 	core, state := network.cores["a"], randomBody(network.random, 2000)
@@ -115,7 +116,7 @@
 	for _, message := range delayed {
 		if message.To == lagging {
 			network.cores[lagging].Step(proto.Clone(message).(*wire.Message))
-			network.drive(lagging) // fails if an older snapshot is installed
+			network.drive(lagging) // drive fails the test if the core installs a snapshot older than the applied state
 		}
 	}
 	if !network.hasCaughtUp(lagging) {
@@ -123,20 +124,22 @@
 	}
 }
 
-// A follower that lacks no more than the trailing entries is sent these instead of a snapshot.
+// A follower that lacks only compacted entries that the leader still keeps in memory, its trailing entries, is sent
+// these entries instead of a snapshot.
 func TestLaggingFollowerCatchesUpFromTrailingLog(t *testing.T) {
 	network, lagging := newLaggingNetwork(t, 12, 100<<10, 1<<20)
 	network.start(lagging)
 	network.runUntil("the lagging follower catches up", 100, func() bool { return network.hasCaughtUp(lagging) })
 	if len(network.snapshotMessages) > 0 {
-		t.Errorf("%d messages with a snapshot were sent, want 0", len(network.snapshotMessages))
+		t.Errorf("%d messages with a snapshot were sent to a follower that can catch up from the leader's log, want 0", len(network.snapshotMessages))
 	}
 	if len(network.leader().trailing) == 0 {
-		t.Error("the leader keeps no trailing entries after a compaction")
+		t.Error("the leader keeps no compacted entries for lagging followers, want some: TrailingLogBytes isn't 0")
 	}
 }
 
-// The size of the trailing entries is bounded by TrailingLogBytes, or by the size of the state if that is more.
+// The size of the trailing entries, which are the compacted entries that a leader keeps for lagging followers, is bounded
+// by TrailingLogBytes, or by the size of the state if that is more.
 func TestTrailingLogIsBounded(t *testing.T) {
 	network := newLinkNetwork(t, 13, 64<<10)
 	for range 20 {
@@ -147,11 +150,11 @@
 			size += entryBytes(entry)
 		}
 		if size > 64<<10 {
-			t.Fatalf("the leader keeps trailing entries of %d bytes, want at most 65536", size)
+			t.Fatalf("the leader keeps %d bytes of compacted entries for lagging followers, want at most 65536", size)
 		}
 	}
 	if len(network.leader().trailing) < 3 {
-		t.Errorf("the leader keeps %d trailing entries, want at least 3", len(network.leader().trailing))
+		t.Errorf("the leader keeps %d compacted entries for lagging followers, want at least 3", len(network.leader().trailing))
 	}
 }
 
@@ -174,7 +177,7 @@
 			t.Fatalf("no snapshot transfer to learner %s has begun", name)
 		}
 		if active := len(leader.activeTransfers()); active > maxOutgoingSnapshots {
-			t.Fatalf("%d different snapshots are being transferred, want at most maxOutgoingSnapshots", active)
+			t.Fatalf("the leader keeps %d different snapshots for transfers to learners, want at most %d", active, maxOutgoingSnapshots)
 		}
 	}
 }
--- a/internal/control/consensus/snapshot_transfer_test.go
+++ b/internal/control/consensus/snapshot_transfer_test.go
@@ -14,7 +14,7 @@
 // change of leader.
 func TestSnapshotTransferOverSlowLink(t *testing.T) {
 	for _, size := range []int{100 << 10, 700 << 10, 4 << 20} {
-		t.Run(fmt.Sprintf("%d bytes", size), func(t *testing.T) {
+		t.Run(fmt.Sprintf("state of %d bytes", size), func(t *testing.T) {
 			network, lagging := newLaggingNetwork(t, 1, size, 0)
 			network.slowPeer, network.bytesPerTick = lagging, 10<<10 // 100 KB/s at ten ticks a second; the timeout of a message is 5 ticks
 			term := network.leader().hardState.Term
@@ -28,7 +28,7 @@
 	}
 }
 
-// A snapshot transfer completes although messages are lost, delayed and duplicated.
+// A snapshot transfer completes although 20% of all messages are lost, and 20% are duplicated and arrive late.
 func TestSnapshotTransferWithLostAndDuplicatedChunks(t *testing.T) {
 	for seed := range uint64(40) {
 		network, lagging := newLaggingNetwork(t, seed, 600<<10, 0)
@@ -38,7 +38,7 @@
 	}
 }
 
-// A lagging follower receives snapshots and catches up while the leader keeps committing and compacting.
+// A lagging follower receives snapshots and catches up while the leader keeps committing entries and compacting its log.
 func TestSnapshotTransferCompletesDuringCompactions(t *testing.T) {
 	const size = 600 << 10
 	network, lagging := newLaggingNetwork(t, 3, size, 1<<20)
@@ -77,12 +77,12 @@
 		network.advance()
 	}
 	if !installed() {
-		t.Fatalf("no snapshot was installed in %d ticks; bytes sent by message kind: %v", network.tick, network.bytesSent)
+		t.Fatalf("the lagging member installed no snapshot in %d ticks; bytes sent to it by message kind: %v", network.tick, network.bytesSent)
 	}
-	t.Logf("snapshot installed at tick %d; bytes sent by message kind: %v", network.tick, network.bytesSent)
+	t.Logf("the lagging member installed a snapshot at tick %d; bytes sent to it by message kind: %v", network.tick, network.bytesSent)
 }
 
-// A snapshot transfer resumes where it stopped if the new leader has the same snapshot.
+// A snapshot transfer resumes where it stopped after a change of leader, if the new leader has the same snapshot.
 func TestSnapshotTransferResumesUnderNewLeader(t *testing.T) {
 	const size = 1 << 20
 	network, lagging := newLaggingNetwork(t, 5, size, 0)
@@ -92,7 +92,7 @@
 	network.compact(second)
 	network.slowPeer, network.bytesPerTick = lagging, 10<<10
 	network.start(lagging)
-	network.runUntil("half of the snapshot has arrived", 300, func() bool {
+	network.runUntil("the lagging member has received half of the snapshot", 300, func() bool {
 		incoming := network.cores[lagging].incoming
 		return incoming != nil && len(incoming.received) > size/2
 	})
@@ -104,7 +104,7 @@
 		t.Fatalf("the leader after the leadership transfer is %s, want %s", now, second)
 	}
 	if again := network.bytesSent[wire.MessageKind_SNAPSHOT_CHUNK_REQUEST] - before; again > size*3/4 {
-		t.Errorf("%d bytes were sent after the change of leader, want at most 3/4 of the snapshot: the transfer was restarted", again)
+		t.Errorf("%d bytes of chunks were sent after the change of leader, want at most %d: the snapshot transfer was restarted, not resumed", again, size*3/4)
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 	network.compact(network.leader().cfg.Self)
 	ticks := network.runUntil("the member behind the slow link catches up", 400, func() bool { return network.hasCaughtUp(network.slowPeer) })
-	t.Logf("large entries transferred in %d ticks; bytes sent by message kind: %v", ticks, network.bytesSent)
+	t.Logf("the member behind the slow link caught up with large entries in %d ticks; bytes sent to it by message kind: %v", ticks, network.bytesSent)
 }
 
 // A member of the previous release is sent a snapshot in one message, and a member of this release also installs
@@ -127,10 +127,10 @@
 func TestSnapshotTransferBetweenReleases(t *testing.T) {
 	network, lagging := newLaggingNetwork(t, 9, 100<<10, 0)
 	network.start(lagging)
-	network.olderReleaseMember = lagging // the responses of this member don't say that it accepts chunks
+	network.olderReleaseMember = lagging // the network clears AcceptsChunks in the responses of this member
 	network.runUntil("the member of the older release catches up", 100, func() bool { return network.hasCaughtUp(lagging) })
 	if network.unsupportedChunks > 0 {
-		t.Errorf("%d chunks were sent to a member of a release that doesn't support them, want 0", network.unsupportedChunks)
+		t.Errorf("%d snapshot chunks were sent to a member of a release that doesn't support them, want 0", network.unsupportedChunks)
 	}
 
 	network, lagging = newLaggingNetwork(t, 10, 100<<10, 0)
@@ -156,7 +156,7 @@
 	network.drive(network.leader().cfg.Self)
 	ticks := network.runUntil("the learner applies the snapshot", 3*size/network.bytesPerTick, func() bool { return network.hasCaughtUp("d") })
 	if sent := network.bytesSent[wire.MessageKind_SNAPSHOT_CHUNK_REQUEST]; sent > size+size/10 {
-		t.Errorf("%d bytes were sent for a snapshot of %d bytes, want at most a tenth more", sent, size)
+		t.Errorf("%d bytes of chunks were sent for a snapshot of %d bytes, want at most a tenth more", sent, size)
 	}
-	t.Logf("snapshot transferred to a learner in %d ticks; bytes sent by message kind: %v", ticks, network.bytesSent)
+	t.Logf("snapshot transferred to a learner in %d ticks; bytes sent to it by message kind: %v", ticks, network.bytesSent)
 }
--- a/internal/control/consensus/startup_election_test.go
+++ b/internal/control/consensus/startup_election_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// After a restart of all members one of them leads within a few ticks, whichever of them starts last. Guards
-// against an election that starts only after a full election timeout, although no leader exists.
+// After a restart of all members one of them leads within 9 ticks, whichever of them starts last. Guards against an
+// election that starts only after a full election timeout, although no leader exists.
 func TestLeaderIsElectedSoonAfterFullRestart(t *testing.T) {
 	for seed := range uint64(200) {
 		group := newTestGroup(t, "a b c", "")
@@ -42,13 +42,13 @@
 		group.cores["b"] = New(Config{Self: "b", DynamicMembership: true, HeartbeatTicks: 2, ElectionTicks: 10, MaxBatchBytes: 1 << 16, Rand: rand.New(rand.NewPCG(seed, 2))}, snapshot, records)
 		group.tick(40)
 		if group.cores["a"].role != leader || group.cores["b"].leader != "a" || group.cores["a"].hardState.Term != term {
-			t.Fatalf("seed %d: leader disrupted by the restart of b: the status of b is %+v, the leader a was in term %d before", seed, group.cores["b"].Status(), term)
+			t.Fatalf("seed %d: after the restart of follower b, the leader a no longer leads in term %[3]d, or b doesn't follow it: status of b %+[2]v", seed, group.cores["b"].Status(), term)
 		}
 	}
 }
 
-// Members that campaign at the same time don't split the vote: in nearly every order of the messages, one of
-// them wins without another election timeout.
+// Members that campaign at the same time don't split the vote: in at least 90% of the tested orders of their messages,
+// one of them wins without another election timeout.
 func TestSimultaneousPreCandidatesYieldToOne(t *testing.T) {
 	won := 0
 	const orders = 300
