--- a/internal/control/consensus/contact_test.go
+++ b/internal/control/consensus/contact_test.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// newElectedLeader returns the core of a/0, just elected as the leader of a group of three by the vote of b/0.
+// newElectedLeader returns the core of member a/0, just elected as the leader of a group of three by the vote of b/0.
 func newElectedLeader(t *testing.T) *Core {
 	t.Helper()
 	members := []string{"a/0", "b/0", "c/0"}
@@ -22,7 +22,8 @@
 	return c
 }
 
-// nextAppendTo ticks the leader until it sends an append request to a peer, and returns the request.
+// nextAppendTo ticks the leader until it sends an append request to a peer, and returns the request. It fails the test
+// if the leader sends none within a heartbeat interval.
 func nextAppendTo(t *testing.T, c *Core, peer string) *wire.Message {
 	t.Helper()
 	for range c.cfg.HeartbeatTicks {
@@ -50,7 +51,7 @@
 			return status.ContactAge
 		}
 	}
-	t.Fatalf("the leader reports no status of peer %s", peer)
+	t.Fatalf("PeerStatuses of the leader has no entry for peer %s", peer)
 	return 0
 }
 
@@ -82,7 +83,8 @@
 	}
 }
 
-// A response that echoes no tick, or a tick in the future, counts as a contact at the time when it arrives.
+// A response that echoes no tick, or one later than the leader's current tick, counts as a contact at the time when it
+// arrives.
 func TestResponseWithoutSentTickCountsAsFresh(t *testing.T) {
 	for _, tick := range []uint64{0, 1 << 40} {
 		c := newElectedLeader(t)
--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -72,7 +72,7 @@
 	ticks             int             // calls of Tick since New
 	electionElapsed   int             // ticks since the election timer was reset
 	electionTimeout   int             // randomized timeout that electionElapsed is compared with
-	heartbeatElapsed  int             // ticks since the last heartbeat
+	heartbeatElapsed  int             // ticks since this member last became leader or sent heartbeats, or since New
 	lastLeaderContact int             // value of ticks at the last contact with a leader
 	votes             map[string]bool // on a candidate or pre-candidate: the voters that have granted their votes
 
@@ -88,7 +88,7 @@
 	generation      uint64                   // number of this incarnation of the member's name, chosen to rejoin; 0: not chosen yet
 	peerGenerations map[string]uint64        // by peer: number of the latest incarnation of this member's name that the peer has recorded
 	peerStates      map[string]*wire.Message // by peer: its response with its snapshot and log, sent after it recorded the chosen generation
-	rejoinFailure   string                   // reason that prevents rejoining; empty: none
+	rejoinFailure   string                   // reason why this member can't rejoin; empty: none is known
 
 	supersededBy uint64 // restore generation of a later restore of the group, which this member isn't part of; 0: none is known (restore.go)
 
@@ -193,7 +193,7 @@
 	c.persistEntry(entry)
 	c.forEachPeer(func(peer string) { c.replicate(peer, false) })
 	if len(c.voters.names) == 1 {
-		c.advanceCommit() // a single voter gets no response of a peer, which advances the commit index otherwise
+		c.advanceCommit() // there is no other voter whose response would advance the commit index
 	}
 	return entry.Index
 }
--- a/internal/control/consensus/group_test.go
+++ b/internal/control/consensus/group_test.go
@@ -43,7 +43,7 @@
 	return group
 }
 
-// newFixedGroup returns the three fixed members of a shard, none of them blank.
+// newFixedGroup returns the three fixed members of a shard, which can vote: none of them has to rejoin after a disk loss.
 func newFixedGroup(t testing.TB) *testGroup {
 	group := &testGroup{t: t, cores: map[string]*Core{}, leaderOfTerm: map[uint64]string{}, applied: map[string][]string{}}
 	for i, name := range []string{"a", "b", "c"} {
--- a/internal/control/consensus/leadership_transfer.go
+++ b/internal/control/consensus/leadership_transfer.go
@@ -4,8 +4,8 @@
 
 // TransferLeadership asks another voter that has every entry of this leader's log to start an election at once
 // (thesis, section 3.10). Of several such voters it selects the one with the most recent contact. It returns false if this
-// member isn't the leader or no other live voter has caught up. The voter still has to win the election by the
-// usual rules.
+// member isn't the leader, or no other voter has every entry and has responded to a request of the last
+// ElectionTicks ticks. The selected voter still has to win the election by the usual rules.
 //
 // Example: if c.TransferLeadership() { drive(c.Ready()) }
 func (c *Core) TransferLeadership() bool {
--- a/internal/control/consensus/leadership_transfer_test.go
+++ b/internal/control/consensus/leadership_transfer_test.go
@@ -6,7 +6,7 @@
 )
 
 // Leadership is transferred to the peer whose contact with the leader is the most recent, and never to an excluded
-// peer. The first peer by name may just have failed.
+// peer. Guards against a transfer to the first peer by name, which may just have failed.
 func TestLeadershipIsTransferredToMostRecentContact(t *testing.T) {
 	group := newTestGroup(t, "a b c", "")
 	group.elect("a")
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -27,7 +27,7 @@
 	group.deliverAll("b", "c")
 	group.tick(8, "b", "c")
 	if status := group.cores["a"].Status(); status.Applied == status.LastIndex || group.cores["d"].lastIndex() == status.LastIndex {
-		t.Fatalf("a learner was counted in a quorum, or was sent an uncommitted entry: status of the leader %+v", status)
+		t.Fatalf("a learner was counted in a quorum, or was sent an uncommitted entry: status of the leader %+v, want an uncommitted entry that only the leader has", status)
 	}
 	group.tick(10)
 	if !group.proposeMembership("a", "a b c d") {
@@ -119,7 +119,7 @@
 	restarted := New(Config{Self: "a", DynamicMembership: true, HeartbeatTicks: 2, ElectionTicks: 10, Rand: rand.New(rand.NewPCG(1, 1))}, snapshot, records)
 	members, term, index := restarted.Members()
 	if fmt.Sprint(members) != "[a b c d]" || term != 1 || index != 2 || len(records) != 0 {
-		t.Fatalf("voters after a compaction and a restart: %v of term %d, index %d; want [a b c d] of term 1, index 2 and no records", members, term, index)
+		t.Fatalf("voters after a compaction and a restart: %v of term %d, index %d, with %d records after the snapshot; want [a b c d] of term 1, index 2, with none", members, term, index, len(records))
 	}
 	// A learner that lacks compacted entries receives the snapshot.
 	group.cores["e"] = newTestCore(LearnerSnapshot("e"), 3)
@@ -158,8 +158,8 @@
 // change and a command while b campaigns.
 type membershipRace struct {
 	proposed     string         // voters that leader a proposes, separated by spaces
-	lostDelivery int            // number of the delivery that is dropped instead; -1: none
-	depth        int            // number of deliveries whose order varies
+	lostDelivery int            // number of the delivery, counted from 0, whose message is lost; -1: none
+	depth        int            // number of deliveries, from the first one on, that are tried in every order
 	orders       int            // number of delivery orders tried
 	outcomes     map[string]int // by the voters at the end, separated by spaces: number of delivery orders that end with them
 }
@@ -172,7 +172,7 @@
 	group.addLearner("a", "d")
 	group.deliverAll()
 	if !group.proposeMembership("a", r.proposed) || !group.propose("a", "one") {
-		t.Fatal("member a rejected a proposal: it isn't the leader, want it as leader after its election")
+		t.Fatal("member a rejected a proposal, want it accepted: a was elected as the leader")
 	}
 	group.campaign("b")
 	for step, i := range deliveries {
--- a/internal/control/consensus/message_order_test.go
+++ b/internal/control/consensus/message_order_test.go
@@ -9,7 +9,8 @@
 )
 
 // contestedElection has members a and b campaign in the same term, and then delivers messages, each given by its
-// position in testGroup.inFlight at that time. The message of the delivery with number lostDelivery is lost; -1: none.
+// position in testGroup.inFlight at that time. The message of delivery number lostDelivery, counted from 0, is lost; -1:
+// none.
 func contestedElection(t *testing.T, deliveries []int, lostDelivery int) *testGroup {
 	t.Helper()
 	group := newFixedGroup(t)
@@ -67,7 +68,7 @@
 	group.elect("a")
 	for _, body := range []string{"one", "two"} {
 		if _, _, ok := group.cores["a"].Propose([]byte(body)); !ok {
-			t.Fatal("proposal rejected: member a isn't the leader")
+			t.Fatal("member a rejected a proposal, want it accepted: a was elected as the leader")
 		}
 	}
 	group.collect("a")
@@ -111,7 +112,8 @@
 }
 
 // A request of an earlier term is rejected with a response of the current term. The response may reach a later
-// incarnation of the old leader, whose reads it must not confirm, so it must not echo the request's probe.
+// incarnation of the old leader, whose reads it must not confirm, so it must not echo the request's read
+// sequence number (Probe).
 func TestRejectionOfOldTermConfirmsNoRead(t *testing.T) {
 	group := newFixedGroup(t)
 	b := group.cores["b"]
@@ -120,7 +122,7 @@
 	b.Step(&wire.Message{From: "a", To: "b", Kind: wire.MessageKind_APPEND_REQUEST, Term: 5, Probe: 50})
 	for _, message := range b.Ready().Messages {
 		if message.Kind != wire.MessageKind_APPEND_RESPONSE || message.Ok || message.Term != 6 || message.Probe != 0 {
-			t.Errorf("the response to a request of term 5 is %v, want a rejection in term 6 without a probe", message)
+			t.Errorf("the response to a request of term 5 is %v, want a rejection of term 6 with probe 0", message)
 		}
 	}
 }
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -79,7 +79,8 @@
 	return next
 }
 
-// follow returns the state after an action, or nil if the state was visited before. It records the first violation.
+// follow returns the state after an action, or nil if the action changes nothing or leads to a state that was visited
+// before. It records the first violation of an invariant.
 func (s *searcher) follow(state *groupState, action modelAction) *groupState {
 	next, changed, violation := s.stateSpace.applyAction(state, action)
 	if !changed {
@@ -141,6 +142,6 @@
 	if message.Snapshot != nil {
 		fmt.Fprintf(&b, ", snapshot term/index %d/%d", message.Snapshot.Term, message.Snapshot.Index)
 	}
-	fmt.Fprintf(&b, ", commit %d, ok %v, probe %d", message.Commit, message.Ok, message.Probe)
+	fmt.Fprintf(&b, ", commit index %d, ok %v, probe %d", message.Commit, message.Ok, message.Probe)
 	return b.String()
 }
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -35,9 +35,9 @@
 	duplicates            // deliveries of a message that stays in flight
 	delayedFlushes        // steps whose output isn't persisted and sent at once
 	freshnessQueries      // queries of a client for a proof that its document is the newest
-	freshnessAttestations // responses of members to such a query
+	freshnessAttestations // responses of members to a client that they have no newer document
 	restores              // restores of the group from one member
-	budgetCount           // number of budgets
+	budgetCount           // number of kinds of events that the bounds can limit
 )
 
 // unlimited, as a limit in bounds.limits, allows any number of events of a kind; they aren't counted in groupState.used.
@@ -54,7 +54,7 @@
 	lateRequests    bool               // requests of earlier terms are delivered, to be rejected by the core; otherwise they are dropped
 	smallMessages   bool               // a message carries only one entry or one byte of a snapshot, instead of as many as needed
 	preVotes        bool               // elections start with pre-votes; otherwise any member may campaign at any time
-	candidates      string             // names of the members that may campaign (see distinguished); empty: all
+	candidates      string             // names of the members that may campaign, which must be among those that distinguished counts; empty: all
 	terms           uint64             // highest term that a member may campaign in
 	limits          [budgetCount]uint8 // maximum number of events of each kind, by budget
 }
@@ -113,7 +113,7 @@
 type stepResult struct {
 	eventOutcome
 	node     int32
-	restored int32 // number of the only member of the restored group, if this step is a restore
+	restored int32 // number of the node that a restored group begins with; unused unless the event is a restore
 	messages []int32
 }
 
@@ -320,7 +320,7 @@
 		return true
 	}
 	if message.RestoreGeneration != node.core.hardState.RestoreGeneration {
-		return false // by the message the receiver, or by its response the sender, learns that the group was restored
+		return false // the receiver learns from the message that the group was restored, or the sender learns it from the response
 	}
 	term := node.core.hardState.Term
 	switch message.Kind {
--- a/internal/control/consensus/model_test.go
+++ b/internal/control/consensus/model_test.go
@@ -94,7 +94,7 @@
 	{"proof that a document is the newest during membership changes",
 		bounds{terms: 1, elected: true, limits: [budgetCount]uint8{duplicates: unlimited, proposals: 1, freshnessQueries: 1, freshnessAttestations: 2, changes: 2}},
 		bounds{terms: 1, elected: true, learner: true, limits: [budgetCount]uint8{duplicates: unlimited, proposals: 1, freshnessQueries: 1, freshnessAttestations: 2, changes: 1, diskLosses: 1}}},
-	{"output of several steps persisted together",
+	{"output of several steps of a member persisted together",
 		bounds{terms: 2, elected: true, limits: [budgetCount]uint8{elections: 1, duplicates: unlimited, delayedFlushes: 1, compactions: 1}},
 		bounds{terms: 2, elected: true, limits: [budgetCount]uint8{elections: 1, duplicates: unlimited, delayedFlushes: 1, proposals: 1}}},
 	{"group restored from one of two members",
@@ -121,7 +121,7 @@
 )
 
 const (
-	boundsVariable = "CONSENSUS_MODEL" // environment variable; the value "wide" selects the wider bounds
+	boundsVariable = "CONSENSUS_MODEL" // name of the environment variable; its value "wide" selects the wider bounds
 	maxModelStates = 4_000_000         // maximum number of states that a search may visit
 )
 
--- a/internal/control/consensus/peer_status.go
+++ b/internal/control/consensus/peer_status.go
@@ -12,10 +12,10 @@
 // PeerStatus describes a peer as seen by the leader that replicates to it.
 type PeerStatus struct {
 	Name       string
-	IsVoter    bool // false: a learner
+	IsVoter    bool // whether the peer is a voter in the leader's log; otherwise it is a learner
 	ContactAge int  // age in ticks of the newest request that the peer has responded to
 	Responded  bool // whether the peer has responded to this leader in the current term
-	CaughtUp   bool // whether the committed entries that the peer lacks, if any, fit into one request
+	CaughtUp   bool // whether the committed entries that the peer lacks, if any, fit into one append request
 }
 
 // PeerStatuses returns the status of each peer that the leader replicates to, voters and learners, sorted by
--- a/internal/control/consensus/rejoin.go
+++ b/internal/control/consensus/rejoin.go
@@ -9,8 +9,8 @@
 // name that the other members have admitted are numbered; the number of an incarnation is its generation, which is
 // unrelated to the restore generation of a group (restore.go).
 //
-// A member that has lost its disk starts blank, and so does a second machine that is started under a name
-// already in use. Both other members have to admit a blank member: it asks them for the latest generation that
+// A member that has lost its disk starts blank, that is without log, term and vote, and so does a second machine
+// that is started under a name already in use. Both other members have to admit a blank member: it asks them for the latest generation that
 // they have recorded for its name, chooses the next one, and asks to be recorded with it. Each of them persists
 // the new incarnation and its generation before it sends its state, and ignores all earlier incarnations of the
 // name from then on. So of two machines with the same name at most one takes part, whichever was started later.
@@ -46,7 +46,7 @@
 	return c.hardState.Incarnation, c.hardState.KnownIncarnations
 }
 
-// tickBlank sends state requests to the peers once in every two heartbeat intervals.
+// tickBlank sends the peers of this blank member a state request once in every two heartbeat intervals.
 func (c *Core) tickBlank() {
 	if c.heartbeatElapsed%(2*c.cfg.HeartbeatTicks) == 1 {
 		c.requestState()
@@ -131,7 +131,8 @@
 	clear(c.peerStates)
 }
 
-// rejoin takes over the more up-to-date of the peers' states, or an empty one if both are blank, as in a new shard.
+// rejoin takes over the more up-to-date of the peers' states, or an empty one if both are blank (see isBlank), as in a
+// new shard.
 // The protocol starts over if a peer has recorded another incarnation of the other peer than the one that sent its state. If one peer is blank although
 // the other has log entries, two disks are lost, and possibly committed entries with them: this member stays blank.
 func (c *Core) rejoin() {
@@ -176,7 +177,7 @@
 }
 
 // bestPeerState returns the most up-to-date of the states received, as compared in elections (paper, section
-// 5.4.1); nil if all peers are blank. term is the highest term of the peers that aren't blank.
+// 5.4.1); nil if all peers are blank (see isBlank). term is the highest term of the peers that aren't blank.
 func (c *Core) bestPeerState() (best *wire.Message, term uint64, hasBlank bool) {
 	c.forEachPeer(func(peer string) {
 		state := c.peerStates[peer]
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -23,7 +23,7 @@
 )
 
 // batchTimeout returns how many ticks the response to a batch of size bytes may take. The timeout doubles with
-// each consecutive loss, up to maxBatchTimeoutElections.
+// each consecutive loss, up to maxBatchTimeoutElections minimum election timeouts.
 func (c *Core) batchTimeout(size, losses int) int {
 	timeout := (c.cfg.ElectionTicks + size/assumedLinkBytesPerTick) << min(losses, maxBatchTimeoutElections)
 	return min(timeout, maxBatchTimeoutElections*c.cfg.ElectionTicks)
--- a/internal/control/consensus/restore.go
+++ b/internal/control/consensus/restore.go
@@ -4,7 +4,7 @@
 
 // Restoring a group that has lost the majority of its disks permanently. An operator selects one surviving member,
 // which continues as the only voter of the group, under a new name and with every entry of its log. Other machines
-// join the group as after the loss of a disk. Entries that only the lost members had are lost.
+// join the group as learners, as after the loss of a disk. Entries that only the lost members had are lost.
 //
 // The restored group has a higher restore generation, which is persisted and part of every message. Members of
 // an earlier generation, even a majority of them, may return without knowing of the restore:
@@ -55,9 +55,9 @@
 // Example: if c.SupersededBy() != 0 { stop() }
 func (c *Core) SupersededBy() uint64 { return c.supersededBy }
 
-// acceptsGeneration reports whether this member handles a message, by its restore generation. It responds to an
-// earlier generation with a notice. A later one is adopted if this member has no log entries and no voters, and
-// supersedes this member otherwise.
+// acceptsGeneration reports whether this member handles a message, by the restore generation of the message. It responds
+// to a message of an earlier generation with a notice of the restore. It adopts a later generation if it has no log
+// entries and no voters; otherwise it is superseded and handles no messages any more.
 func (c *Core) acceptsGeneration(message *wire.Message) bool {
 	own := c.hardState.RestoreGeneration
 	switch {
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -8,8 +8,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxSnapshotBytes bounds the memory for a snapshot that is being received. It is twice the limit that the
-// driver sets on the size of its state.
+// maxSnapshotBytes is the maximum size of the state in a snapshot that is received, and bounds the memory for it. It is
+// twice the limit that the driver sets on the size of its state.
 const maxSnapshotBytes = 16 << 20
 
 // incomingSnapshot is a snapshot that is being received in chunks (paper, section 7). A member receives at
@@ -56,7 +56,7 @@
 	}
 	if !c.incoming.matches(message) {
 		if c.incoming != nil && c.incoming.leaderTerm == message.Term && c.incoming.snapshot.Index >= message.Snapshot.Index {
-			return // a delayed chunk of a transfer that this leader has abandoned
+			return // a delayed chunk of an older snapshot, whose transfer the leader has abandoned
 		}
 		c.incoming = &incomingSnapshot{snapshot: message.Snapshot, totalBytes: message.Chunk.Total, checksum: message.Chunk.StateChecksum}
 	}
--- a/internal/control/consensus/snapshot_receive_test.go
+++ b/internal/control/consensus/snapshot_receive_test.go
@@ -81,7 +81,7 @@
 	}
 	receivedAfter(t, core, newChunkRequest(state, 9, 0, 1000))
 	if _, installed := receivedAfter(t, core, newChunkRequest(state, 9, 1000, 2000)); installed == nil {
-		t.Fatal("the snapshot isn't installed when it is received again with the right checksum")
+		t.Fatal("the snapshot isn't installed after its state was received again with a matching checksum")
 	}
 }
 
@@ -99,7 +99,7 @@
 		t.Fatalf("the follower reports %d received bytes of the newer snapshot after a delayed chunk of the older one, want 1000", received)
 	}
 	if _, installed := receivedAfter(t, core, newChunkRequest(second, 12, 1000, 2000)); installed == nil || installed.Index != 12 {
-		t.Fatal("the newer snapshot isn't installed although it is complete")
+		t.Fatal("the newer snapshot, up to entry 12, isn't installed after its last chunk")
 	}
 }
 
@@ -120,7 +120,7 @@
 		}
 	}
 	if !network.hasCaughtUp(lagging) {
-		t.Fatal("the lagging member's state is older than before the delayed snapshot messages")
+		t.Fatal("after delayed snapshot messages, the state of the lagging member isn't that of the newest acknowledged entry")
 	}
 }
 
@@ -166,7 +166,7 @@
 	for i := range 12 {
 		name := string(rune('k' + i))
 		if !leader.AddLearner(name) {
-			t.Fatalf("the leader rejected learner %s", name)
+			t.Fatalf("AddLearner returned false on the leader for learner %s, want true", name)
 		}
 		progress := leader.peers[name]
 		progress.next, progress.responded, progress.acceptsChunks = 1, true, true
--- a/internal/control/consensus/snapshot_transfer_test.go
+++ b/internal/control/consensus/snapshot_transfer_test.go
@@ -16,7 +16,7 @@
 	for _, size := range []int{100 << 10, 700 << 10, 4 << 20} {
 		t.Run(fmt.Sprintf("state of %d bytes", size), func(t *testing.T) {
 			network, lagging := newLaggingNetwork(t, 1, size, 0)
-			network.slowPeer, network.bytesPerTick = lagging, 10<<10 // 100 KB/s at ten ticks a second; the timeout of a message is 5 ticks
+			network.slowPeer, network.bytesPerTick = lagging, 10<<10 // a link of 100 KB/s at ten ticks a second; a message is lost if it takes longer than 5 ticks
 			term := network.leader().hardState.Term
 			network.start(lagging)
 			ticks := network.runUntil("the lagging member applies the snapshot", 100+4*size/network.bytesPerTick, func() bool { return network.hasCaughtUp(lagging) })
@@ -42,7 +42,7 @@
 func TestSnapshotTransferCompletesDuringCompactions(t *testing.T) {
 	const size = 600 << 10
 	network, lagging := newLaggingNetwork(t, 3, size, 1<<20)
-	network.slowPeer, network.bytesPerTick = lagging, 40<<10 // 15 ticks for each snapshot
+	network.slowPeer, network.bytesPerTick = lagging, 40<<10 // the slow link takes 15 ticks for each snapshot
 	network.start(lagging)
 	installed := 0
 	for range 20 {
@@ -68,7 +68,7 @@
 func TestSnapshotTransferIsNotRestartedByCompactions(t *testing.T) {
 	const size = 600 << 10
 	network, lagging := newLaggingNetwork(t, 3, size, 0)
-	network.slowPeer, network.bytesPerTick = lagging, 4<<10 // 150 ticks for each snapshot
+	network.slowPeer, network.bytesPerTick = lagging, 4<<10 // the slow link takes 150 ticks for each snapshot
 	network.start(lagging)
 	installed := func() bool { return network.disks[lagging].snapshot.Index > 0 }
 	for network.tick < 600 && !installed() {
@@ -88,7 +88,7 @@
 	network, lagging := newLaggingNetwork(t, 5, size, 0)
 	first := network.leader().cfg.Self
 	second := otherMember(first, lagging)
-	network.runUntil("the second member has applied what the leader has", 50, func() bool { return network.applied[second] == network.applied[first] })
+	network.runUntil("the follower that leads next has applied every entry that the leader has applied", 50, func() bool { return network.applied[second] == network.applied[first] })
 	network.compact(second)
 	network.slowPeer, network.bytesPerTick = lagging, 10<<10
 	network.start(lagging)
@@ -151,7 +151,7 @@
 	network.start("d")
 	network.slowPeer, network.bytesPerTick, network.sendTimeout = "d", 2<<10, 100
 	if !network.leader().AddLearner("d") {
-		t.Fatal("the leader rejected learner d")
+		t.Fatal("AddLearner returned false on the leader for learner d, want true")
 	}
 	network.drive(network.leader().cfg.Self)
 	ticks := network.runUntil("the learner applies the snapshot", 3*size/network.bytesPerTick, func() bool { return network.hasCaughtUp("d") })
--- a/internal/control/consensus/status.go
+++ b/internal/control/consensus/status.go
@@ -17,7 +17,7 @@
 	LastIndex        uint64 // index of the last entry in the log
 	LastLogTerm      uint64 // term of the last entry in the log
 	LogEntries       int    // number of entries after the snapshot
-	TicksSinceLeader int    // ticks since the last contact with a leader, or since the start
+	TicksSinceLeader int    // ticks since the last contact with a leader, or since New if there was none
 
 	RestoreGeneration uint64 // restore generation of the group as known to this member; 0: the group was never restored
 	RestoredFrom      string // this member's name before the group was restored from it; empty: the group wasn't restored from it
--- a/internal/control/consensus/step.go
+++ b/internal/control/consensus/step.go
@@ -53,7 +53,7 @@
 		return
 	}
 	if c.isBlank() {
-		return // a blank member doesn't vote or acknowledge entries before both peers have sent their states
+		return // a member that started with an empty disk doesn't vote or acknowledge entries before it has rejoined
 	}
 	if message.Term > c.hardState.Term && !handler.keepsTerm {
 		c.becomeFollower(message.Term, "")
