--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -78,14 +78,14 @@
 
 	voters                voterSet                 // newest voter set in the log, committed or not
 	peers                 map[string]*peerProgress // on a leader: its replication progress to the other voters and the learners, by name
-	learnerHeartbeatCount int                      // heartbeats sent as leader; caught-up learners get only every learnerHeartbeats-th
+	learnerHeartbeatCount int                      // number of heartbeats sent as leader; a learner that has caught up is sent only every learnerHeartbeats-th
 
 	readSequence uint64 // sequence number of the newest read; every request of a leader carries it as Probe
 	pendingReads []pendingRead
 	lastReadID   uint64
 
 	// State of rejoining after the loss of the disk, with fixed members only (rejoin.go).
-	generation      uint64                   // number of this incarnation of the member's name, chosen to rejoin; 0: not chosen yet
+	generation      uint64                   // number that this member has chosen for its current incarnation, to rejoin; 0: none yet
 	peerGenerations map[string]uint64        // by peer: number of the latest incarnation of this member's name that the peer has recorded
 	peerStates      map[string]*wire.Message // by peer: its response with its snapshot and log, sent after it recorded the chosen generation
 	rejoinFailure   string                   // reason why this member can't rejoin; empty: none is known
--- a/internal/control/consensus/message_order_test.go
+++ b/internal/control/consensus/message_order_test.go
@@ -51,7 +51,7 @@
 		}
 		explore(nil)
 		if orders < 300 || wins["a"] == 0 || wins["b"] == 0 {
-			t.Errorf("with delivery %d lost (-1: none): %d orders tried, want at least 300; wins by member %v, want some of both a and b", lostDelivery, orders, wins)
+			t.Errorf("two candidates, delivery %d lost (-1: none): %d message orders tried, want at least 300; wins by member %v, want some of both a and b", lostDelivery, orders, wins)
 		}
 		if lostDelivery < 0 && wins[""] > 0 {
 			t.Errorf("%d orders of vote messages end without a leader, want 0: no message was lost, and the vote of c decides the election", wins[""])
@@ -85,8 +85,8 @@
 	return group, remaining
 }
 
-// Two commands are committed on all three members exactly once, in every order of the first six deliveries,
-// with one message duplicated.
+// Two proposed commands are applied by all three members, each once and in the order of the proposals, whatever the
+// order of the first six deliveries, with one message duplicated.
 func TestEveryOrderOfTwoAppends(t *testing.T) {
 	orders := 0
 	var explore func(deliveries []int)
--- a/internal/control/consensus/model_invariants_test.go
+++ b/internal/control/consensus/model_invariants_test.go
@@ -162,7 +162,7 @@
 	node := s.nodes[result.node]
 	for _, id := range result.messages {
 		if message := s.messages[id]; message.Kind != wire.MessageKind_PRE_VOTE_REQUEST && message.Term > node.disk.term() {
-			return fmt.Sprintf("sent before persisted: %s sends a message of term %d while its disk has term %d", node.name, message.Term, node.disk.term())
+			return fmt.Sprintf("message sent before its term was persisted: %s sends a message of term %d while its disk has term %d", node.name, message.Term, node.disk.term())
 		}
 	}
 	return ""
@@ -177,7 +177,8 @@
 	return fmt.Sprintf("applied index decreased: %s goes back from entry %d to entry %d without a restart", is.name, was.core.applied, is.core.applied)
 }
 
-// checkTermMonotonic checks that the term on the disk of an incarnation never decreases.
+// checkTermMonotonic checks that the term on a member's disk never decreases, except by the loss of the disk or when a
+// fixed member rejoins after the loss.
 func (s *stateSpace) checkTermMonotonic(before int32, result *stepResult) string {
 	was, is := s.nodes[before], s.nodes[result.node]
 	if is.absent || was.core.hardState.Incarnation != is.core.hardState.Incarnation || is.disk.term() >= was.disk.term() {
--- a/internal/control/consensus/model_node_test.go
+++ b/internal/control/consensus/model_node_test.go
@@ -65,12 +65,12 @@
 	diskLoss:          "loses its disk",
 	propose:           "proposes",
 	addLearner:        "adds learner",
-	addMember:         "proposes to add",
-	removeMember:      "proposes to remove",
-	replaceMember:     "proposes to replace",
+	addMember:         "proposes to add voter",
+	removeMember:      "proposes to remove voter",
+	replaceMember:     "proposes, in a single change, that the learner replaces voter",
 	transfer:          "transfers leadership to",
 	compact:           "compacts its log",
-	requestRead:       "begins a read",
+	requestRead:       "begins a linearizable read",
 	flush:             "persists and sends its delayed output",
 	restoreGroup:      "becomes, under a new name, the only voter of the restored group",
 }
@@ -96,7 +96,7 @@
 	violation string // description of the invariant that the step violates; empty: none
 
 	restored    *modelNode    // the member that the restored group begins with; nil: the event isn't a restore
-	carriedOver []*wire.Entry // unapplied entries that the restored group keeps, and an entry in place of its initial snapshot
+	carriedOver []*wire.Entry // unapplied entries that the restored group keeps, and an empty one with the index and term of its initial snapshot
 }
 
 // startNode starts a member from its disk.
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -115,7 +115,7 @@
 	name := slotNames[action.slot]
 	delayed := ""
 	if action.delayFlush {
-		delayed = ", and persists its output only later"
+		delayed = ", and persists and sends its output only at a later flush"
 	}
 	switch action.kind {
 	case deliver:
--- a/internal/control/consensus/snapshot_send.go
+++ b/internal/control/consensus/snapshot_send.go
@@ -98,8 +98,8 @@
 	return active
 }
 
-// dropSilentTransfers abandons the transfers to peers that have stopped responding. A transfer begins again
-// once its peer responds.
+// dropSilentTransfers abandons the snapshot transfers to peers that haven't responded for two election timeouts. A
+// transfer begins again once its peer responds.
 func (c *Core) dropSilentTransfers() {
 	for _, progress := range c.peers {
 		if progress.transfer != nil && progress.ticksSinceResponse >= 2*c.cfg.ElectionTicks {
