--- a/internal/control/consensus/model_encoding_test.go
+++ b/internal/control/consensus/model_encoding_test.go
@@ -49,32 +49,32 @@
 		if value.IsNil() {
 			return
 		}
-		l := reflect.MakeSlice(value.Type(), value.Len(), value.Len())
-		reflect.Copy(l, value)
-		for i := range l.Len() {
-			copyReferences(l.Index(i))
+		elements := reflect.MakeSlice(value.Type(), value.Len(), value.Len())
+		reflect.Copy(elements, value)
+		for i := range elements.Len() {
+			copyReferences(elements.Index(i))
 		}
-		value.Set(l)
+		value.Set(elements)
 	case reflect.Map:
 		if value.IsNil() {
 			return
 		}
-		m := reflect.MakeMap(value.Type())
-		for _, k := range value.MapKeys() {
-			e := reflect.New(value.Type().Elem()).Elem()
-			e.Set(value.MapIndex(k))
-			copyReferences(e)
-			m.SetMapIndex(k, e)
+		mapping := reflect.MakeMap(value.Type())
+		for _, key := range value.MapKeys() {
+			element := reflect.New(value.Type().Elem()).Elem()
+			element.Set(value.MapIndex(key))
+			copyReferences(element)
+			mapping.SetMapIndex(key, element)
 		}
-		value.Set(m)
+		value.Set(mapping)
 	case reflect.Pointer:
 		if value.IsNil() || value.Type() == randType || value.Type().Implements(protoType) {
 			return
 		}
-		p := reflect.New(value.Type().Elem())
-		p.Elem().Set(value.Elem())
-		copyReferences(p.Elem())
-		value.Set(p)
+		pointee := reflect.New(value.Type().Elem())
+		pointee.Elem().Set(value.Elem())
+		copyReferences(pointee.Elem())
+		value.Set(pointee)
 	default:
 		panic(fmt.Sprintf("the model checker can't copy a field of type %s", value.Type()))
 	}
@@ -152,18 +152,18 @@
 var encodedFields sync.Map
 
 func fieldsOf(t reflect.Type) []int {
-	if l, known := encodedFields.Load(t); known {
-		return l.([]int)
+	if indexes, known := encodedFields.Load(t); known {
+		return indexes.([]int)
 	}
 	onWire := reflect.PointerTo(t).Implements(protoType)
-	l := []int{}
+	indexes := []int{}
 	for i := range t.NumField() {
 		if !onWire || t.Field(i).IsExported() {
-			l = append(l, i)
+			indexes = append(indexes, i)
 		}
 	}
-	encodedFields.Store(t, l)
-	return l
+	encodedFields.Store(t, indexes)
+	return indexes
 }
 
 func (encoder *canonicalEncoder) fields(value reflect.Value) {
@@ -267,12 +267,12 @@
 // encodingOf returns the canonical encoding of values after a prefix that says what they describe, such as a message,
 // so that values of different kinds never have the same encoding.
 func encodingOf(names namePermutation, kind string, values ...any) string {
-	e := canonicalEncoder{names: names}
-	e.text(kind)
-	for _, v := range values {
-		e.value(reflect.ValueOf(v))
+	encoder := canonicalEncoder{names: names}
+	encoder.text(kind)
+	for _, described := range values {
+		encoder.value(reflect.ValueOf(described))
 	}
-	return e.String()
+	return encoder.String()
 }
 
 func (s *stateSpace) fingerprintsOf(encode func(namePermutation) string) (byPermutation fingerprints) {
--- a/internal/control/consensus/model_freshness_test.go
+++ b/internal/control/consensus/model_freshness_test.go
@@ -47,14 +47,14 @@
 	if newest >= history.committedWhenAsked {
 		return id
 	}
-	v := attestation{member: node.name, generation: node.core.hardState.RestoreGeneration}
-	v.members, v.term, v.index = node.core.Members()
-	for _, old := range history.attestations {
-		if old.member == v.member && old.term == v.term && old.index == v.index && old.generation == v.generation {
+	response := attestation{member: node.name, generation: node.core.hardState.RestoreGeneration}
+	response.members, response.term, response.index = node.core.Members()
+	for _, earlier := range history.attestations {
+		if earlier.member == response.member && earlier.term == response.term && earlier.index == response.index && earlier.generation == response.generation {
 			return id
 		}
 	}
-	history.attestations = append(slices.Clip(history.attestations), v)
+	history.attestations = append(slices.Clip(history.attestations), response)
 	return s.internHistory(history)
 }
 
@@ -63,13 +63,13 @@
 // alone is no violation, since the client can't learn of the restore from them.
 func (history observedHistory) checkFreshnessProof() string {
 	const version, askedAt = 1, time.Second
-	p := agent.NewFreshnessProof()
+	proof := agent.NewFreshnessProof()
 	knowsNewest := history.generation == 0
-	for _, v := range history.attestations {
-		knowsNewest = knowsNewest || v.generation == history.generation
-		p.AddResponse(&wire.FollowResponse{Member: v.member, Members: v.members, MembersTerm: v.term, MembersIndex: v.index, RestoreGeneration: v.generation, NothingNewer: true}, version, askedAt)
+	for _, response := range history.attestations {
+		knowsNewest = knowsNewest || response.generation == history.generation
+		proof.AddResponse(&wire.FollowResponse{Member: response.member, Members: response.members, MembersTerm: response.term, MembersIndex: response.index, RestoreGeneration: response.generation, NothingNewer: true}, version, askedAt)
 	}
-	if !knowsNewest || p.FreshUntil(version) == 0 {
+	if !knowsNewest || proof.FreshUntil(version) == 0 {
 		return ""
 	}
 	return fmt.Sprintf("wrong proof that a client's document is the newest: responses %+v prove that only %d commands are committed, but %d were committed before the query", history.attestations, history.committedWhenAsked-1, history.committedWhenAsked)
--- a/internal/control/consensus/model_invariants_test.go
+++ b/internal/control/consensus/model_invariants_test.go
@@ -216,9 +216,9 @@
 	holders := 0
 	names, _, _ := after.core.Members()
 	for _, name := range names {
-		m := s.nodes[state.nodes[slices.Index(slotNames[:], name)]]
-		read := New(m.core.cfg, m.disk.snapshot, m.disk.records)
-		if t, ok := read.termAt(last.Index); ok && t == last.Term || read.snapshot.Index > last.Index {
+		voter := s.nodes[state.nodes[slices.Index(slotNames[:], name)]]
+		restarted := New(voter.core.cfg, voter.disk.snapshot, voter.disk.records)
+		if term, ok := restarted.termAt(last.Index); ok && term == last.Term || restarted.snapshot.Index > last.Index {
 			holders++
 		}
 	}
--- a/internal/control/consensus/model_node_test.go
+++ b/internal/control/consensus/model_node_test.go
@@ -295,13 +295,13 @@
 		node.appliedState = string(ready.Snapshot.State)
 	}
 	node.disk.persist(node.core.cfg, ready.Records)
-	out := &eventOutcome{node: node, messages: ready.Messages, committed: ready.CommittedEntries, term: node.core.hardState.Term}
+	outcome := &eventOutcome{node: node, messages: ready.Messages, committed: ready.CommittedEntries, term: node.core.hardState.Term}
 	for _, entry := range ready.CommittedEntries {
 		node.appliedState += string(entry.Body)
 	}
 	for _, id := range ready.ConfirmedReads {
-		if asked := node.reads[id]; node.core.applied < uint64(asked) {
-			out.violation = fmt.Sprintf("stale read: %s confirms a read after applying %d entries, but %d were committed before the read began", node.name, node.core.applied, asked)
+		if committedBefore := node.reads[id]; node.core.applied < uint64(committedBefore) {
+			outcome.violation = fmt.Sprintf("stale read: %s confirms a read after applying %d entries, but %d were committed before the read began", node.name, node.core.applied, committedBefore)
 		}
 		delete(node.reads, id)
 	}
@@ -309,7 +309,7 @@
 		delete(node.reads, id)
 	}
 	node.normalize()
-	return out
+	return outcome
 }
 
 // compact replaces the applied entries of a node by a snapshot. It returns nil if the node has none after its last
@@ -325,8 +325,8 @@
 
 // pending reports whether the node's core has output that the driver hasn't persisted, sent or applied yet.
 func (node *modelNode) pending() bool {
-	r := node.core.ready
-	return r.Snapshot != nil || len(r.Records)+len(r.Messages)+len(r.AbortedReads) > 0 || node.core.commit > node.core.applied
+	output := node.core.ready
+	return output.Snapshot != nil || len(output.Records)+len(output.Messages)+len(output.AbortedReads) > 0 || node.core.commit > node.core.applied
 }
 
 // loseDisk returns the member after the loss of its disk. The name of a group's member isn't used again, so the member
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -104,11 +104,11 @@
 }
 
 // trace describes, in order, the actions that lead from the initial state to the state that the search reached last.
-func (s *stateSpace) trace(path []pathStep) (l []string) {
-	for at := int32(len(path) - 1); at > 0; at = path[at].from {
-		l = append([]string{s.describe(path[at].modelAction)}, l...)
+func (s *stateSpace) trace(path []pathStep) (actions []string) {
+	for number := int32(len(path) - 1); number > 0; number = path[number].from {
+		actions = append([]string{s.describe(path[number].modelAction)}, actions...)
 	}
-	return l
+	return actions
 }
 
 func (s *stateSpace) describe(action modelAction) string {
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -220,16 +220,16 @@
 	if event.kind == deliver {
 		message = s.messages[event.arg].Message
 	}
-	out := s.nodes[id].step(event, message, s.learnerSlot())
-	if out == nil {
+	outcome := s.nodes[id].step(event, message, s.learnerSlot())
+	if outcome == nil {
 		s.steps[key] = nil
 		return nil
 	}
-	result := &stepResult{eventOutcome: *out, node: s.internNode(out.node)}
-	if out.restored != nil {
-		result.restored = s.internNode(out.restored)
+	result := &stepResult{eventOutcome: *outcome, node: s.internNode(outcome.node)}
+	if outcome.restored != nil {
+		result.restored = s.internNode(outcome.restored)
 	}
-	for _, message := range out.messages {
+	for _, message := range outcome.messages {
 		if !slices.Contains(slotNames[:], message.To) {
 			panic(fmt.Sprintf("a core sent a message to %q, which is no member of the model", message.To))
 		}
