--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -225,7 +225,7 @@
 	c.persistHardState(hardState)
 }
 
-// nextHardState returns a copy of the hard state, to be changed and persisted.
+// nextHardState returns a copy of the current hard state, which the caller changes and persists.
 func (c *Core) nextHardState() *wire.HardState {
 	return &wire.HardState{
 		Term:              c.hardState.Term,
--- a/internal/control/consensus/log.go
+++ b/internal/control/consensus/log.go
@@ -104,7 +104,7 @@
 		}
 		first--
 	}
-	c.trailing = append([]*wire.Entry(nil), all[first:]...) // copied, so that the dropped entries can be garbage-collected
+	c.trailing = append([]*wire.Entry(nil), all[first:]...) // the retained entries are copied, so that the dropped ones can be garbage-collected
 }
 
 // entryOverheadBytes is the approximate size of an entry in addition to its body.
--- a/internal/control/consensus/model_invariants_test.go
+++ b/internal/control/consensus/model_invariants_test.go
@@ -8,7 +8,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// committedEntry is a committed entry, and the term in which the first member that committed it was at that time.
+// committedEntry is a committed entry, with the term that the first member to commit it had at that time.
 type committedEntry struct {
 	entry *wire.Entry
 	term  uint64
--- a/internal/control/consensus/model_restore_test.go
+++ b/internal/control/consensus/model_restore_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// hasEarlierGeneration reports whether a member that isn't absent has an earlier restore generation than the newest one
-// of its group.
+// hasEarlierGeneration reports whether a member isn't absent, and its restore generation is earlier than the newest one
+// of the group.
 func (node *modelNode) hasEarlierGeneration(newest uint64) bool {
 	return !node.absent && node.core.hardState.RestoreGeneration < newest
 }
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -24,7 +24,7 @@
 	proposals budget = iota
 	restarts
 	diskLosses
-	learners // additions of a learner by a leader
+	learners // additions of a learner by a leader, which then replicates to it
 	changes  // membership changes proposed by a leader
 	transfers
 	compactions
@@ -56,7 +56,7 @@
 	preVotes        bool               // elections start with pre-votes; otherwise any member may campaign at any time
 	candidates      string             // names of the members that may campaign, which must be among those that distinguished counts; empty: all
 	terms           uint64             // highest term that a member may campaign in
-	limits          [budgetCount]uint8 // maximum number of events of each kind, by budget
+	limits          [budgetCount]uint8 // maximum number of events of each kind on the path to a state; unlimited: any number
 }
 
 // groupState is a state of the whole group: its members, the messages in flight, and the history of observed events.
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -16,7 +16,7 @@
 // most one at a time.
 type incomingSnapshot struct {
 	snapshot   *wire.Snapshot // header of the snapshot, without the state
-	totalBytes uint64         // size of the state
+	totalBytes uint64         // size of the state in bytes
 	checksum   uint32         // CRC-32C of the state
 	received   []byte         // bytes of the state received so far, from its beginning
 	leaderTerm uint64         // term of the leader that sent the last chunk
--- a/internal/control/consensus/snapshot_send.go
+++ b/internal/control/consensus/snapshot_send.go
@@ -70,7 +70,7 @@
 	return &outgoingTransfer{snapshot: source.snapshot, state: source.state, checksum: source.checksum, chunkBytes: min(initialChunkBytes, c.cfg.MaxBatchBytes)}
 }
 
-// transferOf returns a transfer of a snapshot, with the header, the state and the checksum of the state.
+// transferOf returns a transfer of a snapshot in which only the header, the state and its checksum are set.
 func transferOf(snapshot *wire.Snapshot) *outgoingTransfer {
 	header := &wire.Snapshot{Format: snapshot.Format, Index: snapshot.Index, Term: snapshot.Term, Members: snapshot.Members, MembersIndex: snapshot.MembersIndex, MembersTerm: snapshot.MembersTerm}
 	return &outgoingTransfer{snapshot: header, state: snapshot.State, checksum: crc32.Checksum(snapshot.State, castagnoliTable)}
--- a/internal/control/consensus/snapshot_transfer_test.go
+++ b/internal/control/consensus/snapshot_transfer_test.go
@@ -127,7 +127,7 @@
 func TestSnapshotTransferBetweenReleases(t *testing.T) {
 	network, lagging := newLaggingNetwork(t, 9, 100<<10, 0)
 	network.start(lagging)
-	network.olderReleaseMember = lagging // the network clears AcceptsChunks in the responses of this member
+	network.olderReleaseMember = lagging // the network clears AcceptsChunks in the responses of this member, as if an older release sent them
 	network.runUntil("the member of the older release catches up", 100, func() bool { return network.hasCaughtUp(lagging) })
 	if network.unsupportedChunks > 0 {
 		t.Errorf("%d snapshot chunks were sent to a member of a release that doesn't support them, want 0", network.unsupportedChunks)
--- a/internal/control/consensus/step.go
+++ b/internal/control/consensus/step.go
@@ -33,7 +33,8 @@
 }
 
 // Step handles one received message. Messages may be lost, delayed, duplicated and reordered; those of
-// other shards, other restore generations, unknown senders and superseded incarnations are ignored. The
+// other shards, other restore generations and unknown senders are ignored, and so are those of a sender whose
+// name a later incarnation uses, after the loss of its disk. The
 // message must not be changed afterwards.
 //
 // Example: c.Step(message); drive(c.Ready())
