--- a/internal/control/consensus/contact_test.go
+++ b/internal/control/consensus/contact_test.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// newElectedLeader returns the core of a/0, just elected as the leader of a group of three by the vote of b/0.
+// newElectedLeader returns the core of member a/0, just elected as the leader of a group of three by the vote of b/0.
 func newElectedLeader(t *testing.T) *Core {
 	t.Helper()
 	members := []string{"a/0", "b/0", "c/0"}
@@ -17,12 +17,13 @@
 	c.Step(&wire.Message{To: "a/0", From: "b/0", Incarnation: "b/0", DiskState: wire.DiskState_DISK_FOUNDED, Kind: wire.MessageKind_VOTE_RESPONSE, Ok: true, Term: 1, AboutIncarnation: "a/0"})
 	c.Ready()
 	if !c.Status().IsLeader {
-		t.Fatal("a/0 isn't the leader after b/0 voted for it")
+		t.Fatal("member a/0 of three isn't the leader after it received the vote of b/0")
 	}
 	return c
 }
 
-// nextAppendTo ticks the leader until it sends an append request to a peer, and returns the request.
+// nextAppendTo ticks the leader until it sends an append request to a peer, and returns the request. It fails the test
+// if the leader sends none within a heartbeat interval.
 func nextAppendTo(t *testing.T, c *Core, peer string) *wire.Message {
 	t.Helper()
 	for range c.cfg.HeartbeatTicks {
@@ -50,7 +51,7 @@
 			return status.ContactAge
 		}
 	}
-	t.Fatalf("the leader reports no status of peer %s", peer)
+	t.Fatalf("PeerStatuses of the leader has no entry for peer %s", peer)
 	return 0
 }
 
@@ -66,7 +67,7 @@
 			core.Ready()
 		}
 		if !core.Status().IsLeader {
-			continue // it stepped down: no contact with a quorum for two election timeouts
+			continue // the leader has already stepped down, after two election timeouts without contact to a quorum
 		}
 		core.Step(appendResponseTo(request))
 		if got := contactAgeOf(t, core, "c/0"); got != late {
@@ -82,7 +83,8 @@
 	}
 }
 
-// A response that echoes no tick, or a tick in the future, counts as a contact at the time when it arrives.
+// A response that echoes no tick, or one later than the leader's current tick, counts as a contact at the time when it
+// arrives.
 func TestResponseWithoutSentTickCountsAsFresh(t *testing.T) {
 	for _, tick := range []uint64{0, 1 << 40} {
 		c := newElectedLeader(t)
--- a/internal/control/consensus/message_order_test.go
+++ b/internal/control/consensus/message_order_test.go
@@ -9,7 +9,8 @@
 )
 
 // contestedElection has members a and b campaign in the same term, and then delivers messages, each given by its
-// position in flight. The delivery with number lostDelivery is dropped instead; -1: none.
+// position in testGroup.inFlight at that time. The message of delivery number lostDelivery, counted from 0, is lost; -1:
+// none.
 func contestedElection(t *testing.T, deliveries []int, lostDelivery int) *testGroup {
 	t.Helper()
 	group := newFixedGroup(t)
@@ -25,9 +26,9 @@
 	return group
 }
 
-// Two members campaign in the same term. Every order in which vote requests and responses can arrive is tried,
-// without loss and with the loss of one of them: a term never has two leaders, and if no message is lost, it
-// has one.
+// Two of three members campaign in the same term. Every order in which vote requests and responses can arrive is
+// tried, without loss and with the loss of one of them: the term never has two leaders, and if no message is lost,
+// it has one.
 func TestEveryOrderOfTwoCandidatesVotes(t *testing.T) {
 	for lostDelivery := -1; lostDelivery < 8; lostDelivery++ {
 		orders, wins := 0, map[string]int{}
@@ -50,23 +51,24 @@
 		}
 		explore(nil)
 		if orders < 300 || wins["a"] == 0 || wins["b"] == 0 {
-			t.Errorf("with delivery %d lost (-1: none): %d orders tried, want at least 300; wins by member %v, want some of both a and b", lostDelivery, orders, wins)
+			t.Errorf("two candidates, delivery %d lost (-1: none): %d message orders tried, want at least 300; wins by member %v, want some of both a and b", lostDelivery, orders, wins)
 		}
 		if lostDelivery < 0 && wins[""] > 0 {
-			t.Errorf("%d message orders end without a leader, although no message was lost and the vote of c decides the election", wins[""])
+			t.Errorf("%d orders of vote messages end without a leader, want 0: no message was lost, and the vote of c decides the election", wins[""])
 		}
 	}
 }
 
-// twoAppends has leader a propose two commands, duplicates the first message, delivers messages by their positions
-// in flight, and counts the remaining messages in flight. Finally it delivers all of these.
+// twoAppends has leader a propose two commands, duplicates the first message in flight, and delivers messages, each
+// given by its position in testGroup.inFlight at that time. It returns how many messages are then in flight, after it
+// has delivered these too and ticked the leader four times.
 func twoAppends(t *testing.T, deliveries []int) (group *testGroup, remaining int) {
 	t.Helper()
 	group = newFixedGroup(t)
 	group.elect("a")
 	for _, body := range []string{"one", "two"} {
 		if _, _, ok := group.cores["a"].Propose([]byte(body)); !ok {
-			t.Fatal("proposal rejected: member a isn't the leader")
+			t.Fatal("member a rejected a proposal, want it accepted: a was elected as the leader")
 		}
 	}
 	group.collect("a")
@@ -83,8 +85,8 @@
 	return group, remaining
 }
 
-// Two commands are committed on all three members exactly once, in every order of the first six deliveries,
-// with one message duplicated.
+// Two proposed commands are applied by all three members, each once and in the order of the proposals, whatever the
+// order of the first six deliveries, with one message duplicated.
 func TestEveryOrderOfTwoAppends(t *testing.T) {
 	orders := 0
 	var explore func(deliveries []int)
@@ -99,18 +101,19 @@
 		orders++
 		for _, name := range []string{"a", "b", "c"} {
 			if fmt.Sprint(group.applied[name]) != "[one two]" {
-				t.Fatalf("deliveries in order %v: %s applied %v, want [one two]", deliveries, name, group.applied[name])
+				t.Fatalf("deliveries in order %v: member %s applied commands %v, want [one two]", deliveries, name, group.applied[name])
 			}
 		}
 	}
 	explore(nil)
 	if orders < 500 {
-		t.Fatalf("%d message orders were tried, want at least 500", orders)
+		t.Fatalf("%d orders of append messages were tried, want at least 500", orders)
 	}
 }
 
 // A request of an earlier term is rejected with a response of the current term. The response may reach a later
-// incarnation of the old leader, whose reads it must not confirm, so it must not echo the request's probe.
+// incarnation of the old leader, whose reads it must not confirm, so it must not echo the request's read
+// sequence number (Probe).
 func TestRejectionOfOldTermConfirmsNoRead(t *testing.T) {
 	group := newFixedGroup(t)
 	b := group.cores["b"]
@@ -119,7 +122,7 @@
 	b.Step(&wire.Message{From: "a", To: "b", Kind: wire.MessageKind_APPEND_REQUEST, Term: 5, Probe: 50})
 	for _, message := range b.Ready().Messages {
 		if message.Kind != wire.MessageKind_APPEND_RESPONSE || message.Ok || message.Term != 6 || message.Probe != 0 {
-			t.Errorf("the response to a request of term 5 is %v, want a rejection in term 6 without a probe", message)
+			t.Errorf("the response to a request of term 5 is %v, want a rejection of term 6 with probe 0", message)
 		}
 	}
 }
--- a/internal/control/consensus/snapshot_receive.go
+++ b/internal/control/consensus/snapshot_receive.go
@@ -8,15 +8,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxSnapshotBytes bounds the memory for a snapshot that is being received. It is twice the limit that the
-// driver sets on the size of its state.
+// maxSnapshotBytes is the maximum size of the state in a snapshot that is received, and bounds the memory for it. It is
+// twice the limit that the driver sets on the size of its state.
 const maxSnapshotBytes = 16 << 20
 
 // incomingSnapshot is a snapshot that is being received in chunks (paper, section 7). A member receives at
 // most one at a time.
 type incomingSnapshot struct {
 	snapshot   *wire.Snapshot // header of the snapshot, without the state
-	totalBytes uint64         // size of the state
+	totalBytes uint64         // size of the state in bytes
 	checksum   uint32         // CRC-32C of the state
 	received   []byte         // bytes of the state received so far, from its beginning
 	leaderTerm uint64         // term of the leader that sent the last chunk
@@ -56,7 +56,7 @@
 	}
 	if !c.incoming.matches(message) {
 		if c.incoming != nil && c.incoming.leaderTerm == message.Term && c.incoming.snapshot.Index >= message.Snapshot.Index {
-			return // a delayed chunk of a transfer that this leader has abandoned
+			return // a delayed chunk of an older snapshot, whose transfer the leader has abandoned
 		}
 		c.incoming = &incomingSnapshot{snapshot: message.Snapshot, totalBytes: message.Chunk.Total, checksum: message.Chunk.StateChecksum}
 	}
@@ -92,7 +92,7 @@
 }
 
 // installSnapshot replaces this member's snapshot, state and log by the snapshot of a leader. A snapshot that ends
-// at or before the commit index is ignored: this member already has all of it, and the applied state may be newer.
+// at or before the commit index is ignored: this member already has all of its entries, and may have applied later ones.
 // Entries after the snapshot are retained if the log matches it (paper, section 7).
 func (c *Core) installSnapshot(snapshot *wire.Snapshot) {
 	if snapshot.Index <= c.commit {
--- a/internal/control/consensus/snapshot_send.go
+++ b/internal/control/consensus/snapshot_send.go
@@ -11,18 +11,19 @@
 // partition or a change of leader.
 //
 // A transfer keeps its snapshot when the leader compacts again; otherwise frequent compactions could
-// restart it indefinitely. In the wire format a chunk is called a piece.
+// restart it indefinitely.
 
 const (
 	// initialChunkBytes is the size of the first chunk. The size doubles, up to Config.MaxBatchBytes,
 	// with each chunk that is acknowledged within one heartbeat interval.
 	initialChunkBytes = 32 << 10
 
-	// minChunkBytes is the minimum size of chunks; a chunk that is lost is retried with half its size.
+	// minChunkBytes is the size below which chunks aren't halved further. After a loss, the next chunk is half as large.
 	minChunkBytes = 4 << 10
 
-	// maxOutgoingSnapshots bounds the number of snapshots that are kept for transfers in addition to the
-	// newest one, and so the leader's memory. A further peer is then sent one of the snapshots kept.
+	// maxOutgoingSnapshots is the maximum number of different snapshots in transfer at a time. It bounds the
+	// memory of the leader, which otherwise holds only its newest snapshot. Further transfers send the newest of the
+	// snapshots in transfer.
 	maxOutgoingSnapshots = 2
 
 	// chunkTimeoutHeartbeats is the time, in heartbeat intervals, after which a chunk counts as lost, in
@@ -35,7 +36,7 @@
 // outgoingTransfer is the transfer of a snapshot to one peer.
 type outgoingTransfer struct {
 	snapshot    *wire.Snapshot // header of the snapshot, without the state
-	state       []byte         // shared by all transfers of the snapshot; never changed
+	state       []byte         // state in the snapshot, shared by all transfers of the snapshot and never changed
 	checksum    uint32         // CRC-32C of state
 	ackedOffset uint64         // number of bytes of the state that the peer has acknowledged
 	chunkBytes  int            // size of the next chunk
@@ -69,7 +70,7 @@
 	return &outgoingTransfer{snapshot: source.snapshot, state: source.state, checksum: source.checksum, chunkBytes: min(initialChunkBytes, c.cfg.MaxBatchBytes)}
 }
 
-// transferOf returns a transfer of a snapshot, with the header, the state and the checksum of the state.
+// transferOf returns a transfer of a snapshot in which only the header, the state and its checksum are set.
 func transferOf(snapshot *wire.Snapshot) *outgoingTransfer {
 	header := &wire.Snapshot{Format: snapshot.Format, Index: snapshot.Index, Term: snapshot.Term, Members: snapshot.Members, MembersIndex: snapshot.MembersIndex, MembersTerm: snapshot.MembersTerm}
 	return &outgoingTransfer{snapshot: header, state: snapshot.State, checksum: crc32.Checksum(snapshot.State, castagnoliTable)}
@@ -97,8 +98,8 @@
 	return active
 }
 
-// dropSilentTransfers abandons the transfers to peers that have stopped responding. A transfer begins again
-// once its peer responds.
+// dropSilentTransfers abandons the snapshot transfers to peers that haven't responded for two election timeouts. A
+// transfer begins again once its peer responds.
 func (c *Core) dropSilentTransfers() {
 	for _, progress := range c.peers {
 		if progress.transfer != nil && progress.ticksSinceResponse >= 2*c.cfg.ElectionTicks {
