--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -16,7 +16,7 @@
 )
 
 // lostResponse is a step of a scriptedMember in which the connection is closed without a response, so that the
-// client cannot tell whether the change was applied.
+// client does not know whether the change was applied.
 const lostResponse = "lost"
 
 // refusedUpstream is a step of a scriptedMember in which it returns an error that mentions a refused connection
@@ -81,7 +81,7 @@
 }
 
 // A change whose response was lost is retried only if it cannot be applied twice. Otherwise, the kind of the
-// error tells that the outcome is unknown.
+// error states that the outcome is unknown.
 func TestChangeIsRetriedOnlyWhenSafe(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/tools/ciresult/detector.go
+++ b/internal/tools/ciresult/detector.go
@@ -11,39 +11,39 @@
 )
 
 // Under the race detector a test program is sometimes ended by a failed check of the detector's own runtime, or by a
-// fault in Go's runtime (runtime.(*timer).maybeRunChan, in a testing/synctest bubble). Both were seen with Go 1.26 in the
-// package with the most goroutines, and neither names a line of the program. If KNOWN-RED.txt holds the entry raceRuntime,
-// CI runs such a package again under the race detector, twice at most, and the last run counts: it has to be complete and
-// to pass. Without the entry a crash is a failure like any other.
+// segmentation violation in Go's runtime (runtime.(*timer).maybeRunChan, in a testing/synctest bubble). Both were seen
+// with Go 1.26 in the package with the most goroutines, and neither names a line of the program. If KNOWN-RED.txt has the
+// entry race-runtime, CI runs such a package again under the race detector, at most twice. The last run counts: it has to
+// be complete and to pass. Without the entry a crash is a failure like any other.
 
 const (
 	// detectorFailure is part of the line that the race detector prints when a check of its runtime fails.
 	detectorFailure = "ThreadSanitizer: CHECK failed"
 
-	// runtimeFault begins the line that Go's runtime prints for a fault in its own code. A fault in a program's Go code
-	// is a panic, which prints a different line.
+	// runtimeFault begins the line that Go's runtime prints for a segmentation violation in its own code. In a
+	// program's Go code a segmentation violation is a panic, which prints a different line.
 	runtimeFault = "SIGSEGV: segmentation violation"
 
-	// detectorFlag makes the program list the packages to run again.
+	// detectorFlag makes ciresult only list the packages that crashed and have to be run again.
 	detectorFlag = "-detector-failures"
 
-	// againSuffix ends the name of the file that holds the events of a repeated run.
+	// againSuffix is appended to the name of a file of events to name the file of the repeated run.
 	againSuffix = "-again"
 )
 
 // crash is the end of a package's test program by the race detector's runtime or by Go's runtime.
 type crash struct {
 	folder   string
-	line     string // printed by the runtime
-	runAgain bool   // a repeated run counts instead
+	line     string // line that the runtime printed for the crash
+	runAgain bool   // a repeated run of the package replaces the crashed one
 }
 
-// isCrash reports whether a line of output is that of a crash.
+// isCrash reports whether a line of output was printed for a crash of the race detector's runtime or of Go's runtime.
 func isCrash(line string) bool {
 	return strings.Contains(line, detectorFailure) || strings.HasPrefix(line, runtimeFault)
 }
 
-// findCrashes returns the first crash of each package in the events.
+// findCrashes returns the first crash of each package in the events of a run of go test.
 func findCrashes(in io.Reader) (crashes []crash, err error) {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxEventSize)
@@ -60,7 +60,7 @@
 	return crashes, lines.Err()
 }
 
-// crashesIn returns the first crash of each package in a file of events.
+// crashesIn returns the first crash of each package in a file of events of go test.
 func crashesIn(name string) ([]crash, error) {
 	file, err := os.Open(name)
 	if err != nil {
@@ -70,9 +70,9 @@
 	return findCrashes(file)
 }
 
-// markRunAgain marks the crashes in the file name as run again if files holds the repeated run, which then has to
-// contain each crashed package.
-func markRunAgain(crashes []crash, name string, files []string) error {
+// matchRepeats sets runAgain for the crashes in the file name if files has the file of the repeated run. The repeated run
+// then has to contain each crashed package.
+func matchRepeats(crashes []crash, name string, files []string) error {
 	if len(crashes) == 0 || !slices.Contains(files, name+againSuffix) {
 		return nil
 	}
@@ -82,22 +82,22 @@
 	}
 	for i, c := range crashes {
 		if again.packages[c.folder] == nil {
-			return fmt.Errorf("%s crashed (%s) and was not run again", c.folder, c.line)
+			return fmt.Errorf("package %s crashed (%s) and was not run again: it has no events in %s", c.folder, c.line, name+againSuffix)
 		}
 		crashes[i].runAgain = true
 	}
 	return nil
 }
 
-// readRun adds the events of one of the files. If allowAgain is set, a repeated run of a crashed package replaces its
-// first run.
+// readRun adds the events in the file name, which is one of files. If allowAgain is set, a repeated run of a crashed
+// package replaces the crashed run.
 func (r *results) readRun(name string, files []string, allowAgain bool) error {
 	crashes, err := crashesIn(name)
 	if err != nil {
 		return err
 	}
 	if allowAgain {
-		if err := markRunAgain(crashes, name, files); err != nil {
+		if err := matchRepeats(crashes, name, files); err != nil {
 			return err
 		}
 	}
@@ -112,9 +112,9 @@
 }
 
 // failuresBeforeCrash returns the events of the tests that failed, or had a failed subtest, before their package crashed.
-// A crash ends the test program at once: these failures aren't its consequence, and a repeated run doesn't replace them.
-func failuresBeforeCrash(events []event) (kept []event) {
-	crashed, failed := map[string]bool{}, map[string]bool{} // by folder, by test
+// A crash ends the test program at once, so it did not cause these failures, and a repeated run doesn't replace them.
+func failuresBeforeCrash(events []event) (failures []event) {
+	crashed, failed := map[string]bool{}, map[string]bool{} // crashed by folder, failed by FOLDER.TestName
 	for _, e := range events {
 		folder := folderOf(e.Package)
 		crashed[folder] = crashed[folder] || isCrash(e.Output)
@@ -124,13 +124,13 @@
 	}
 	for _, e := range events {
 		if e.Test != "" && failed[e.testKey()] {
-			kept = append(kept, e)
+			failures = append(failures, e)
 		}
 	}
-	return kept
+	return failures
 }
 
-// printCrashes prints each crashed package with the line that the runtime printed.
+// printCrashes prints each crashed package with the line that the runtime printed for the crash.
 func (r *results) printCrashes(out io.Writer) {
 	for _, c := range r.crashes {
 		action := "crashed"
@@ -141,9 +141,9 @@
 	}
 }
 
-// judgeCrashes returns the verdict on the entry raceRuntime. It excuses no test: a crash in a last run counts as the
-// failure of its test or package.
-func (r *results) judgeCrashes() verdict {
+// evaluateCrashes returns the verdict on the entry race-runtime. It excuses no test: if a package is not run again after a
+// crash, its test or package has failed.
+func (r *results) evaluateCrashes() verdict {
 	switch {
 	case len(r.crashes) == 0:
 		return verdict{outcome: "passed, intermittent"}
@@ -153,8 +153,8 @@
 	return verdict{outcome: "failed as known"}
 }
 
-// listCrashed prints the crashed packages of a file as arguments for go test, if the list of known failures allows to
-// run them again.
+// listCrashed prints the packages that crashed according to a file of events, as arguments for go test. It prints none if
+// the list of known failures lacks the entry race-runtime, which allows CI to run them again.
 func listCrashed(list, name string, out, errors io.Writer) int {
 	known, err := readKnown(list)
 	var crashes []crash
--- a/internal/tools/ciresult/main.go
+++ b/internal/tools/ciresult/main.go
@@ -1,6 +1,6 @@
 // Program ciresult reads the events of `go test -json` and decides whether CI passes. Every test has to pass, except
-// those that KNOWN-RED.txt lists: these have to fail, or may do either if their entry is intermittent. It prints the time
-// of each package and every entry of the list with its outcome.
+// those that KNOWN-RED.txt lists: a listed test has to fail, or may pass or fail if its entry is intermittent. The program
+// prints the time that each package took and every entry of KNOWN-RED.txt with the outcome of its test.
 package main
 
 import (
@@ -10,16 +10,17 @@
 	"strings"
 )
 
-// Exit codes of the program.
+// Exit codes other than 0, which means that CI passes.
 const (
-	exitFailure = 1 // CI fails, or a file can't be read
-	exitUsage   = 2 // the arguments are wrong
+	exitFailure = 1 // CI fails, or an input file is unreadable or malformed
+	exitUsage   = 2 // the number of arguments is wrong
 )
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run evaluates files of events. The first argument is the list of known failures, the others are the files. After
-// detectorFlag, which takes the list and one file, it only lists the packages to run again.
+// run decides whether CI passes and returns the exit code. The first argument is the file of known failures, the others
+// are files of events of `go test -json`. With the flag -detector-failures, which takes the file of known failures and one
+// file of events, run only lists the packages to run again after a crash.
 func run(args []string, out, errors io.Writer) int {
 	if len(args) > 0 && args[0] == detectorFlag {
 		if len(args) != 3 {
@@ -46,9 +47,9 @@
 	}
 	collected.printTimes(out)
 	collected.printCrashes(out)
-	faults := collected.judge(known, out)
+	faults := collected.evaluate(known, out)
 	if collected.printTotals(out) == 0 {
-		faults = append(faults, "no test passed: the runs of go test were empty")
+		faults = append(faults, "no test passed in any run of go test, at least one has to")
 	}
 	if len(faults) == 0 {
 		return 0
@@ -57,8 +58,8 @@
 	return exitFailure
 }
 
-// printFaults prints why CI fails: each fault with its output, then the first line of each fault again, because CI's
-// record may show only the end.
+// printFaults prints the reasons why CI fails, each with the output of its test or package. It then repeats the first line
+// of each reason, because the log of CI may be truncated to its end.
 func printFaults(out io.Writer, faults []string) {
 	for _, fault := range faults {
 		fmt.Fprintln(out, "ciresult:", fault)
--- a/internal/tools/ciresult/results.go
+++ b/internal/tools/ciresult/results.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	module       = "pebbleloom/" // the prefix of the import paths of its packages
-	maxEventSize = 16 << 20      // bytes
+	module       = "pebbleloom/" // prefix of the import paths of the module's packages
+	maxEventSize = 16 << 20      // longest accepted line of go test -json, in bytes
 )
 
-// event is one event of `go test -json`.
+// event is an event of `go test -json`, or the event "exit" that CI appends with the exit code of go test.
 type event struct {
 	Action     string
 	Package    string
-	ImportPath string // instead of Package in the events of a build
+	ImportPath string // set instead of Package in the events of a build
 	Test       string
-	Elapsed    float64 // seconds; in the event "exit", the exit code
+	Elapsed    float64 // seconds; the exit code of go test in the event "exit"
 	Output     string
 }
 
@@ -36,18 +36,18 @@
 // testState counts the outcomes of the runs of a top-level test.
 type testState struct {
 	running, passed, failed, skipped int
-	output                           []outputLine      // of the test and its subtests
-	lastActions                      map[string]string // by test or subtest; "fail" stays
+	output                           []outputLine      // printed by the test and its subtests
+	lastActions                      map[string]string // last action of each test or subtest; "fail" is not overwritten
 }
 
-// unfinished reports whether a run of the test didn't end.
+// unfinished reports whether a run of the test started but neither passed, failed nor was skipped.
 func (t *testState) unfinished() bool { return t.running > t.passed+t.failed+t.skipped }
 
 // outputLine is a line that a test or a subtest printed.
 type outputLine struct{ test, text string }
 
-// failureOutput returns what the test and its subtests printed, without the subtests that passed: CI's record may show
-// only the end of its output.
+// failureOutput returns what the test and its subtests printed, without the subtests that passed. It is kept short because
+// the log of CI may be truncated to its end.
 func (t *testState) failureOutput() string {
 	var text strings.Builder
 	for _, line := range t.output {
@@ -63,16 +63,16 @@
 	seconds     float64
 	failed      bool
 	ended       bool
-	output      []string // of the build and outside the tests
+	output      []string // printed by the build, or by the test program outside its tests
 	buildFailed bool
 }
 
 // results collects the events of all runs of go test.
 type results struct {
-	tests    map[string]*testState // by folder and name
-	packages map[string]*packageState
-	exits    int     // runs of go test that ended with an error
-	crashes  []crash // of the runtime, in the order of the runs
+	tests    map[string]*testState    // by FOLDER.TestName
+	packages map[string]*packageState // by folder
+	exits    int                      // number of runs of go test with a non-zero exit code
+	crashes  []crash                  // crashes of the race detector's or Go's runtime, in the order of the runs
 }
 
 func newResults() *results {
@@ -86,7 +86,7 @@
 	return strings.TrimPrefix(path, module)
 }
 
-// readFile adds the events in a file; see read.
+// readFile adds the events in a file. As in read, a later run replaces the packages in the folders replaced.
 func (r *results) readFile(name string, replaced []string) error {
 	file, err := os.Open(name)
 	if err != nil {
@@ -96,18 +96,18 @@
 	return r.read(file, replaced)
 }
 
-// read adds the events of a run of go test. The last event has to be its exit code, which CI appends. A later run
-// replaces the packages in the folders replaced: of these only the failures before the crash count, and the exit code
-// says nothing about the other packages.
+// read adds the events of a run of go test. The events have to include the exit code of go test, which CI appends. The
+// packages in the folders replaced crashed and were run again: of their events only the failures before the crash count.
+// The exit code is then ignored, because the crash alone makes it non-zero.
 func (r *results) read(in io.Reader, replaced []string) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxEventSize)
 	exited, tests := false, false
-	var ofReplaced []event
+	var replacedEvents []event
 	for lines.Scan() {
 		var decoded event
 		if err := json.Unmarshal(lines.Bytes(), &decoded); err != nil {
-			return fmt.Errorf("not an event: %.80s", lines.Text())
+			return fmt.Errorf("line is not an event of go test -json: %.80s", lines.Text())
 		}
 		if decoded.Action == "exit" {
 			exited = true
@@ -118,7 +118,7 @@
 		}
 		tests = tests || decoded.Test != ""
 		if slices.Contains(replaced, folderOf(decoded.Package)) {
-			ofReplaced = append(ofReplaced, decoded)
+			replacedEvents = append(replacedEvents, decoded)
 		} else {
 			r.add(decoded)
 		}
@@ -127,9 +127,9 @@
 		return err
 	}
 	if !exited || !tests {
-		return fmt.Errorf("no test ran, or go test's exit code is missing")
+		return fmt.Errorf("incomplete events: no test ran, or go test's exit code is missing")
 	}
-	for _, e := range failuresBeforeCrash(ofReplaced) {
+	for _, e := range failuresBeforeCrash(replacedEvents) {
 		r.add(e)
 	}
 	return nil
@@ -162,11 +162,11 @@
 		t.output = append(t.output, outputLine{e.Test, e.Output})
 		return
 	}
-	if t.lastActions[e.Test] != "fail" { // a test that fails in one of the runs has failed
+	if t.lastActions[e.Test] != "fail" { // a test or subtest that fails in any run counts as failed
 		t.lastActions[e.Test] = e.Action
 	}
 	if strings.Contains(e.Test, "/") {
-		return // a test fails with its subtest
+		return // the runs of subtests aren't counted: a failed subtest makes its top-level test fail
 	}
 	switch e.Action {
 	case "run":
@@ -194,10 +194,10 @@
 	}
 }
 
-// sortedKeys returns the keys of a map in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// printTimes prints the time of each package, the slowest first.
+// printTimes prints the total time of the tests of each package in all runs, the slowest package first.
 func (r *results) printTimes(out io.Writer) {
 	folders := sortedKeys(r.packages)
 	slices.SortStableFunc(folders, func(a, b string) int { return cmp.Compare(r.packages[b].seconds, r.packages[a].seconds) })
@@ -208,8 +208,8 @@
 	}
 }
 
-// printTotals prints how the top-level tests of all runs ended and returns how many passed. Known failures count as
-// failed.
+// printTotals prints how many runs of top-level tests passed, failed and were skipped, and returns how many passed. The
+// failures of tests in KNOWN-RED.txt count as failed.
 func (r *results) printTotals(out io.Writer) (passed int) {
 	failed, skipped := 0, 0
 	for _, t := range r.tests {
@@ -221,15 +221,15 @@
 	return passed
 }
 
-// judge returns the reasons why CI fails, if any, and prints every entry of the list of known failures with its outcome.
-func (r *results) judge(known []knownFailure, out io.Writer) (faults []string) {
+// evaluate returns the reasons why CI fails, if any, and prints every entry of KNOWN-RED.txt with the outcome of its test.
+func (r *results) evaluate(known []knownFailure, out io.Writer) (faults []string) {
 	excused := map[string]bool{}
 	for _, entry := range known {
 		var v verdict
 		if entry.test == raceRuntime {
-			v = r.judgeCrashes()
+			v = r.evaluateCrashes()
 		} else {
-			v = entry.judge(r.tests[entry.test])
+			v = entry.evaluate(r.tests[entry.test])
 		}
 		fmt.Fprintf(out, "known failure: %v: %s\n", entry, v.outcome)
 		if v.fault != "" {
@@ -239,17 +239,18 @@
 			excused[entry.test] = true
 		}
 	}
-	testFaults, explained := r.judgeTests(excused)
+	testFaults, explained := r.evaluateTests(excused)
 	faults = append(faults, testFaults...)
-	faults = append(faults, r.judgePackages(explained)...)
+	faults = append(faults, r.evaluatePackages(explained)...)
 	if r.exits > 0 && len(faults)+len(excused) == 0 {
-		faults = append(faults, "go test ended with an error that no event explains")
+		faults = append(faults, "go test ended with a non-zero exit code that no event explains")
 	}
 	return faults
 }
 
-// judgeTests returns the failures of tests that aren't excused, and the folders that have a failed test, excused or not.
-func (r *results) judgeTests(excused map[string]bool) (faults []string, explained map[string]bool) {
+// evaluateTests returns the failures of tests that KNOWN-RED.txt doesn't excuse, and the folders with a test that failed
+// or did not finish, excused or not.
+func (r *results) evaluateTests(excused map[string]bool) (faults []string, explained map[string]bool) {
 	explained = map[string]bool{}
 	for _, key := range sortedKeys(r.tests) {
 		state := r.tests[key]
@@ -268,14 +269,14 @@
 	return faults, explained
 }
 
-// judgePackages returns the failures of packages that no failed test explains: a failed build, a failure outside the
-// tests, or a package that printed something but didn't end.
-func (r *results) judgePackages(explained map[string]bool) (faults []string) {
+// evaluatePackages returns the failures of packages that no failed test explains: a failed build, a failure outside the
+// tests, or output without a final event of the package.
+func (r *results) evaluatePackages(explained map[string]bool) (faults []string) {
 	for _, folder := range sortedKeys(r.packages) {
 		p := r.packages[folder]
 		failedAlone := p.failed && !explained[folder]
-		cutOff := !p.ended && len(p.output) > 0
-		if p.buildFailed || failedAlone || cutOff {
+		incomplete := !p.ended && len(p.output) > 0
+		if p.buildFailed || failedAlone || incomplete {
 			faults = append(faults, fmt.Sprintf("%s failed outside its tests:\n%s", folder, strings.Join(p.output, "")))
 		}
 	}
