--- a/internal/tools/ciresult/detector.go
+++ b/internal/tools/ciresult/detector.go
@@ -12,9 +12,9 @@
 
 // Under the race detector a test program is sometimes ended by a failed check of the detector's own runtime, or by a
 // segmentation violation in Go's runtime (runtime.(*timer).maybeRunChan, in a testing/synctest bubble). Both were seen
-// with Go 1.26 in the package with the most goroutines, and neither names a line of the program. If KNOWN-RED.txt has the
-// entry race-runtime, CI runs such a package again under the race detector, at most twice. The last run counts: it has to
-// be complete and to pass. Without the entry a crash is a failure like any other.
+// with Go 1.26 in the package with the most goroutines, and neither names a line of the program. If KNOWN-RED.txt has
+// the entry race-runtime, CI runs such a package again under the race detector, at most twice. The last run counts: it
+// has to be complete and to pass. Without the entry a crash is a failure like any other.
 
 const (
 	// detectorFailure is part of the line that the race detector prints when a check of its runtime fails.
@@ -70,8 +70,8 @@
 	return findCrashes(file)
 }
 
-// matchRepeats sets runAgain for the crashes in the file name if files has the file of the repeated run. The repeated run
-// then has to contain each crashed package.
+// matchRepeats sets runAgain for the crashes in the file name if files has the file of the repeated run. The repeated
+// run then has to contain each crashed package.
 func matchRepeats(crashes []crash, name string, files []string) error {
 	if len(crashes) == 0 || !slices.Contains(files, name+repeatSuffix) {
 		return nil
@@ -111,8 +111,9 @@
 	return r.readFile(name, replaced)
 }
 
-// failuresBeforeCrash returns the events of the tests that failed, or had a failed subtest, before their package crashed.
-// A crash ends the test program at once, so it did not cause these failures, and a repeated run doesn't replace them.
+// failuresBeforeCrash returns the events of the tests that failed, or had a failed subtest, before their package
+// crashed. A crash ends the test program at once, so it did not cause these failures, and a repeated run doesn't
+// replace them.
 func failuresBeforeCrash(events []event) (failures []event) {
 	crashed, failed := map[string]bool{}, map[string]bool{} // crashed by folder, failed by FOLDER.TestName
 	for _, e := range events {
@@ -141,8 +142,8 @@
 	}
 }
 
-// evaluateCrashes returns the verdict on the entry race-runtime. It excuses no test: a crash in the last run of a package
-// counts as a failure of its test or package.
+// evaluateCrashes returns the verdict on the entry race-runtime. It excuses no test: a crash in the last run of a
+// package counts as a failure of its test or package.
 func (r *results) evaluateCrashes() verdict {
 	switch {
 	case len(r.crashes) == 0:
@@ -153,8 +154,8 @@
 	return verdict{outcome: "failed as known"}
 }
 
-// listCrashed prints the packages that crashed according to a file of events, as arguments for go test. It prints none if
-// the list of known failures lacks the entry race-runtime, which allows CI to run them again.
+// listCrashed prints the packages that crashed according to a file of events, as arguments for go test. It prints none
+// if the list of known failures lacks the entry race-runtime, which allows CI to run them again.
 func listCrashed(list, name string, out, errors io.Writer) int {
 	known, err := readKnown(list)
 	var crashes []crash
--- a/internal/tools/ciresult/detector_test.go
+++ b/internal/tools/ciresult/detector_test.go
@@ -16,8 +16,8 @@
 {"Action":"fail","Package":"pebbleloom/internal/b","Elapsed":2}
 `
 
-// runtimeCrash holds the events of a package in which Go's runtime had a segmentation violation, nilPointerPanic those of
-// a package in which a test dereferenced a nil pointer.
+// runtimeCrash holds the events of a package in which Go's runtime had a segmentation violation, nilPointerPanic those
+// of a package in which a test dereferenced a nil pointer.
 var (
 	runtimeCrash    = strings.ReplaceAll(detectorCrash, "ThreadSanitizer: CHECK failed: tsan_rtl.cpp:346", "SIGSEGV: segmentation violation")
 	nilPointerPanic = strings.ReplaceAll(detectorCrash, "ThreadSanitizer: CHECK failed: tsan_rtl.cpp:346", "[signal SIGSEGV: segmentation violation code=0x1 addr=0x0]")
@@ -37,8 +37,8 @@
 // runtimeEntry is the entry of KNOWN-RED.txt that allows CI to run a crashed package again.
 const runtimeEntry = "race-runtime | go test -race ./internal/b, no seed | the runtime crashed | issue 30 | intermittent"
 
-// writeRuns writes the list of known failures and the events of each run of go test, followed by its exit code, to files.
-// Each run repeats the one before. It returns the paths of the list and of the runs, in this order.
+// writeRuns writes the list of known failures and the events of each run of go test, followed by its exit code, to
+// files. Each run repeats the one before. It returns the paths of the list and of the runs, in this order.
 func writeRuns(t *testing.T, known string, runs ...string) []string {
 	t.Helper()
 	folder := t.TempDir()
@@ -70,8 +70,8 @@
 	}
 }
 
-// Only the last run of a crashed package counts: it has to be complete and to pass. Every other failure still fails CI, in
-// this package or in another one.
+// Only the last run of a crashed package counts: it has to be complete and to pass. Every other failure still fails CI,
+// in this package or in another one.
 func TestDetectorFailuresAreRunAgain(t *testing.T) {
 	for name, test := range map[string]struct {
 		first, again, want string // events of both runs (again is empty without a second one), and part of the error (empty if CI passes)
@@ -114,8 +114,8 @@
 	}
 }
 
-// Without the entry race-runtime in KNOWN-RED.txt a crash is a failure like any other: no package is listed to run again,
-// and a second run doesn't replace the first one.
+// Without the entry race-runtime in KNOWN-RED.txt a crash is a failure like any other: no package is listed to run
+// again, and a second run doesn't replace the first one.
 func TestCrashWithoutEntryFails(t *testing.T) {
 	for name, first := range map[string]string{"race detector": passingRun + detectorCrash, "Go's runtime": passingRun + runtimeCrash} {
 		for listName, known := range map[string]string{
@@ -138,8 +138,8 @@
 	}
 }
 
-// The entry race-runtime is printed with all its fields whether or not a package crashed, and each crashed package with the
-// line that the runtime printed.
+// The entry race-runtime is printed with all its fields whether or not a package crashed, and each crashed package with
+// the line that the runtime printed.
 func TestCrashesArePrinted(t *testing.T) {
 	for name, test := range map[string]struct {
 		runs []string
@@ -162,7 +162,8 @@
 	}
 }
 
-// The entry race-runtime has to be intermittent, both when ciresult decides whether CI passes and when it lists crashes.
+// The entry race-runtime has to be intermittent, both when ciresult decides whether CI passes and when it lists
+// crashes.
 func TestRuntimeEntryHasToBeIntermittent(t *testing.T) {
 	args := writeRuns(t, strings.TrimSuffix(runtimeEntry, " | intermittent"), passingRun+detectorCrash, passingRepeat)
 	for name, args := range map[string][]string{"decide whether CI passes": args, "list crashed packages": {detectorFlag, args[0], args[1]}} {
--- a/internal/tools/ciresult/known.go
+++ b/internal/tools/ciresult/known.go
@@ -153,9 +153,9 @@
 	fault   string // why CI fails because of the entry; empty if it doesn't
 }
 
-// evaluate compares an entry with the runs of its test; state is nil if the test did not run. An intermittent test has to
-// finish in each run: no run may skip it, and a run that does not finish is a failure that the entry doesn't excuse. Any
-// other listed test has to fail in at least one run; a run that does not finish counts as failed.
+// evaluate compares an entry with the runs of its test; state is nil if the test did not run. An intermittent test has
+// to finish in each run: no run may skip it, and a run that does not finish is a failure that the entry doesn't excuse.
+// Any other listed test has to fail in at least one run; a run that does not finish counts as failed.
 func (k knownFailure) evaluate(state *testState) verdict {
 	switch {
 	case state == nil:
--- a/internal/tools/ciresult/main.go
+++ b/internal/tools/ciresult/main.go
@@ -1,6 +1,6 @@
 // Program ciresult reads the events of `go test -json` and decides whether CI passes. Every test has to pass, except
-// those that KNOWN-RED.txt lists: a listed test has to fail, or may pass or fail if its entry is intermittent. The program
-// prints the time that each package took and every entry of KNOWN-RED.txt with the outcome of its test.
+// those that KNOWN-RED.txt lists: a listed test has to fail, or may pass or fail if its entry is intermittent. The
+// program prints the time that each package took and every entry of KNOWN-RED.txt with the outcome of its test.
 package main
 
 import (
@@ -19,8 +19,8 @@
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
 // run decides whether CI passes and returns the exit code. The first argument is the file of known failures, the others
-// are files of events of `go test -json`. With the flag -detector-failures, which takes the file of known failures and one
-// file of events, run only lists the packages to run again after a crash.
+// are files of events of `go test -json`. With the flag -detector-failures, which takes the file of known failures and
+// one file of events, run only lists the packages to run again after a crash.
 func run(args []string, out, errors io.Writer) int {
 	if len(args) > 0 && args[0] == detectorFlag {
 		if len(args) != 3 {
@@ -58,8 +58,8 @@
 	return exitFailure
 }
 
-// printFaults prints the reasons why CI fails, each with the output of its test or package. It then repeats the first line
-// of each reason, because the log of CI may be truncated to its end.
+// printFaults prints the reasons why CI fails, each with the output of its test or package. It then repeats the first
+// line of each reason, because the log of CI may be truncated to its end.
 func printFaults(out io.Writer, faults []string) {
 	for _, fault := range faults {
 		fmt.Fprintln(out, "ciresult:", fault)
--- a/internal/tools/ciresult/results.go
+++ b/internal/tools/ciresult/results.go
@@ -46,8 +46,8 @@
 // outputLine is a line that a test or a subtest printed.
 type outputLine struct{ test, text string }
 
-// failureOutput returns what the test and its subtests printed, without the subtests that passed. It is kept short because
-// the log of CI may be truncated to its end.
+// failureOutput returns what the test and its subtests printed, without the subtests that passed. It is kept short
+// because the log of CI may be truncated to its end.
 func (t *testState) failureOutput() string {
 	var text strings.Builder
 	for _, line := range t.output {
@@ -79,14 +79,15 @@
 	return &results{tests: map[string]*testState{}, packages: map[string]*packageState{}}
 }
 
-// folderOf returns the folder of an import path within the module. The import path of a test build is followed by a space
-// and the name of the test program.
+// folderOf returns the folder of an import path within the module. The import path of a test build is followed by a
+// space and the name of the test program.
 func folderOf(importPath string) string {
 	path, _, _ := strings.Cut(importPath, " ")
 	return strings.TrimPrefix(path, module)
 }
 
-// readFile adds the events in a file to the results. As in read, a later run replaces the packages in the folders replaced.
+// readFile adds the events in a file to the results. As in read, a later run replaces the packages in the folders
+// replaced.
 func (r *results) readFile(name string, replaced []string) error {
 	file, err := os.Open(name)
 	if err != nil {
@@ -96,9 +97,9 @@
 	return r.read(file, replaced)
 }
 
-// read adds the events of a run of go test to the results. The events have to include the exit code of go test, which CI appends. The
-// packages in the folders replaced crashed and were run again: of their events only the failures before the crash count.
-// The exit code is then ignored, because the crash alone makes it non-zero.
+// read adds the events of a run of go test to the results. The events have to include the exit code of go test, which
+// CI appends. The packages in the folders replaced crashed and were run again: of their events only the failures before
+// the crash count. The exit code is then ignored, because the crash alone makes it non-zero.
 func (r *results) read(in io.Reader, replaced []string) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxEventSize)
@@ -221,7 +222,8 @@
 	return passed
 }
 
-// evaluate returns the reasons why CI fails, if any, and prints every entry of KNOWN-RED.txt with the outcome of its test.
+// evaluate returns the reasons why CI fails, if any, and prints every entry of KNOWN-RED.txt with the outcome of its
+// test.
 func (r *results) evaluate(known []knownFailure, out io.Writer) (faults []string) {
 	excused := map[string]bool{}
 	for _, entry := range known {
@@ -248,8 +250,8 @@
 	return faults
 }
 
-// evaluateTests returns the failures of tests that KNOWN-RED.txt doesn't excuse, and the folders with a test that failed
-// or did not finish, excused or not.
+// evaluateTests returns the failures of tests that KNOWN-RED.txt doesn't excuse, and the folders with a test that
+// failed or did not finish, excused or not.
 func (r *results) evaluateTests(excused map[string]bool) (faults []string, explained map[string]bool) {
 	explained = map[string]bool{}
 	for _, key := range sortedKeys(r.tests) {
--- a/internal/tools/ciresult/results_test.go
+++ b/internal/tools/ciresult/results_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// A malformed entry of KNOWN-RED.txt fails CI with an error that names the line, the field and the form of an entry. The
-// number of entries isn't limited.
+// A malformed entry of KNOWN-RED.txt fails CI with an error that names the line, the field and the form of an entry.
+// The number of entries isn't limited.
 func TestMalformedEntries(t *testing.T) {
 	for name, test := range map[string]struct{ entry, want string }{
 		"only a test":                   {"internal/b.TestBad", `"command and seed" is missing`},
@@ -156,7 +156,8 @@
 	}
 }
 
-// A test with an intermittent entry may pass or fail, but has to finish in each run. The entry excuses no other failure.
+// A test with an intermittent entry may pass or fail, but has to finish in each run. The entry excuses no other
+// failure.
 func TestIntermittentTests(t *testing.T) {
 	passing, failing := listedTest("internal/a.TestGood", " | intermittent"), listedTest("internal/b.TestBad", " | intermittent")
 	unfinished := listedTest("internal/b.TestCut", " | intermittent")
