--- a/internal/runbook/parameters.go
+++ b/internal/runbook/parameters.go
@@ -9,7 +9,8 @@
 
 var parameterPattern = regexp.MustCompile(`\{([a-z_]+)\}`)
 
-// parameters returns the names of the parameters that a step contains, with repetitions.
+// parameters returns the names of all parameters in a step's text, match and arguments; a name that occurs
+// repeatedly is returned repeatedly.
 func (s *Step) parameters() []string {
 	texts := []string{s.Text}
 	for _, values := range []map[string]string{s.Match, s.Args} {
@@ -26,20 +27,20 @@
 	return names
 }
 
-// Substitute returns the runbook with values for its parameters. Missing and unknown parameters are errors
-// of kind errs.BadInput.
+// Substitute returns a copy of the runbook with its parameters replaced by values. A missing or unknown
+// parameter is an error of kind errs.BadInput.
 //
 // Example: substituted, err := b.Substitute(map[string]string{"worker": "worker-3"})
 func (b *Runbook) Substitute(values map[string]string) (*Runbook, error) {
 	var faults errs.Batch
 	for _, name := range maputil.SortedKeys(b.Params) {
 		if values[name] == "" {
-			faults.Addf(errs.BadInput, "parameter %s is missing (%s): give --set %s=…", name, b.Params[name], name)
+			faults.Addf(errs.BadInput, "runbook parameter %s (%s) is missing: add --set %s=VALUE", name, b.Params[name], name)
 		}
 	}
 	for _, name := range maputil.SortedKeys(values) {
 		if _, known := b.Params[name]; !known {
-			faults.Addf(errs.BadInput, "parameter %s is unknown: this runbook takes %v", name, maputil.SortedKeys(b.Params))
+			faults.Addf(errs.BadInput, "parameter %s is unknown: this runbook has the parameters %v", name, maputil.SortedKeys(b.Params))
 		}
 	}
 	if err := faults.Err(); err != nil {
--- a/internal/runbook/record.go
+++ b/internal/runbook/record.go
@@ -7,39 +7,40 @@
 	"pebbleloom/internal/errs"
 )
 
-// StepState is how far a run has come with a step.
+// StepState is the state of a step in the record of a run.
 type StepState string
 
-// States of steps in a record.
+// States of a step in the record of a run.
 const (
 	Begun   StepState = "begun"
 	Done    StepState = "done"
 	Failed  StepState = "failed"
-	Planned StepState = "planned" // in a dry run, instead of the others
+	Planned StepState = "planned" // the step would be executed; dry runs record it in place of the other states
 )
 
-// RecordEntry is one line of a run's record.
+// RecordEntry is one line in the record of a runbook's run.
 type RecordEntry struct {
 	RunID   string            `json:"run"`
 	Runbook string            `json:"book"`
 	Params  map[string]string `json:"set,omitempty"`
-	Step    int               `json:"step"` // index
+	Step    int               `json:"step"` // index of the step in the runbook, from 0
 	Type    StepType          `json:"type"`
 	Text    string            `json:"text"`
 	State   StepState         `json:"state"`
 	Detail  string            `json:"detail,omitempty"`
-	At      string            `json:"at"` // the recorder's time
+	At      string            `json:"at"` // wall-clock time of the entry, set by the record function in RFC 3339 format
 }
 
-// Progress is a run of a runbook, and how far it has come.
+// Progress identifies a run of a runbook and the step at which it starts or continues.
 type Progress struct {
 	RunID  string
 	Params map[string]string
-	Next   int // index of the next step
+	Next   int // index of the first step that isn't done yet
 }
 
-// Resume reads the record of an interrupted run. A step that was begun but not done is repeated. A record of
-// another runbook is an error of kind errs.BadInput, that of a completed run one of kind errs.Conflict.
+// Resume reads the record of an interrupted run and returns the run's progress; a step that was begun but not
+// done is executed again. An empty record or that of another runbook is an error of kind errs.BadInput, the
+// record of a completed run one of kind errs.Conflict.
 //
 // Example: progress, err := b.Resume(file)
 func (b *Runbook) Resume(record io.Reader) (Progress, error) {
@@ -49,10 +50,10 @@
 	for {
 		var entry RecordEntry
 		if err := decoder.Decode(&entry); err != nil {
-			break // the end, or a line that the interruption cut off
+			break // end of the record, or a last line that was only partly written when the run was interrupted
 		}
 		if entry.Runbook != b.Name {
-			return Progress{}, errs.New(errs.BadInput, "the record is of runbook %q", entry.Runbook)
+			return Progress{}, errs.New(errs.BadInput, "resume runbook %q: the record is of runbook %q", b.Name, entry.Runbook)
 		}
 		entries++
 		progress.Params, progress.RunID = entry.Params, entry.RunID
@@ -61,10 +62,10 @@
 		}
 	}
 	if entries == 0 {
-		return Progress{}, errs.New(errs.BadInput, "the record is empty: run without --resume")
+		return Progress{}, errs.New(errs.BadInput, "resume runbook %q: the record has no entries: run without --resume", b.Name)
 	}
 	if progress.Next >= len(b.Steps) {
-		return Progress{}, errs.New(errs.Conflict, "the run was carried out to its end")
+		return Progress{}, errs.New(errs.Conflict, "resume runbook %q: all steps of run %s are done already", b.Name, progress.RunID)
 	}
 	return progress, nil
 }
--- a/internal/runbook/run.go
+++ b/internal/runbook/run.go
@@ -8,21 +8,22 @@
 	"pebbleloom/internal/maputil"
 )
 
-// Environment is what a run reads and changes.
+// Environment gives a run of a runbook access to the site and to the operator.
 type Environment interface {
-	// Rows returns the rows of a view, each as its fields by name.
+	// Rows returns the rows of one of Views, each as a map from field name to value.
 	Rows(view string) ([]map[string]string, error)
-	// Do carries out an action. A repetition has the token of the first try.
+	// Do executes one of Actions. A retry of an action has the same idempotency token as its first attempt.
 	Do(action string, args map[string]string, token string) error
-	// Confirm asks the operator.
+	// Confirm asks the operator a yes/no question and reports whether the answer is yes.
 	Confirm(text string) bool
-	// Pause lasts one second, the given one of a wait.
+	// Pause waits for one second between two evaluations of a wait; second counts them from 0.
 	Pause(second int)
 }
 
-// Run carries out a runbook from its next step on. Each step is recorded as begun before it, and as done or
-// failed after it; a dry run only checks, and neither waits, acts nor asks. Each action has a token of its
-// own, so that one whose response was lost isn't carried out twice by resuming.
+// Run executes a runbook from step progress.Next on. Each step is recorded as begun before it is executed, and
+// as done or failed afterwards. A dry run executes the checks only and records all other steps as planned.
+// Each action has its own idempotency token, so that an action whose response was lost doesn't take effect
+// twice when the run is resumed.
 //
 // Example: err := b.Run(runbook.Progress{RunID: "r-1", Params: params}, false, environment, record)
 func (b *Runbook) Run(progress Progress, dryRun bool, environment Environment, record func(RecordEntry) error) error {
@@ -36,7 +37,7 @@
 		}
 		note := func(state StepState, detail string) error {
 			return errs.Wrap(record(RecordEntry{RunID: progress.RunID, Runbook: b.Name, Params: progress.Params, Step: i,
-				Type: step.Type, Text: step.Text, State: state, Detail: detail}), "record")
+				Type: step.Type, Text: step.Text, State: state, Detail: detail}), "write record of the run")
 		}
 		if dryRun && step.Type != Check {
 			if err := note(Planned, strings.TrimSpace(step.Action+" "+formatPairs(step.Args)+formatPairs(step.Match))); err != nil {
@@ -45,7 +46,7 @@
 			continue
 		}
 		if err := note(Begun, ""); err != nil {
-			return err // no step runs without its record
+			return err // a step isn't executed unless its start is recorded
 		}
 		detail, err := step.execute(environment, fmt.Sprintf("%s/%d", progress.RunID, i))
 		if err != nil {
@@ -70,12 +71,12 @@
 	return strings.Join(pairs, " ")
 }
 
-// execute carries out a step and returns what it has done or seen.
+// execute executes a step and returns a description of what it did or found.
 func (s *Step) execute(environment Environment, token string) (string, error) {
 	switch s.Type {
 	case Confirm:
 		if !environment.Confirm(s.Text) {
-			return "", errs.New(errs.CheckFailed, "not confirmed")
+			return "", errs.New(errs.CheckFailed, "the operator did not confirm the step")
 		}
 		return "confirmed", nil
 	case Do:
@@ -86,7 +87,7 @@
 	return s.wait(environment)
 }
 
-// wait evaluates the condition until it holds, once a second.
+// wait evaluates the step's condition once a second until it holds or WithinSeconds have passed.
 func (s *Step) wait(environment Environment) (string, error) {
 	var detail string
 	var err error
@@ -96,18 +97,19 @@
 		}
 		environment.Pause(second)
 	}
-	return "", errs.Wrap(err, fmt.Sprintf("waited %d s", s.WithinSeconds))
+	return "", errs.Wrap(err, fmt.Sprintf("condition did not hold within %d s", s.WithinSeconds))
 }
 
-// maxNamedRows is up to how many matching rows are named in a step's detail.
+// maxNamedRows limits the matching rows whose names are listed in a step's detail; if more match, only their
+// number is given.
 const maxNamedRows = 8
 
-// evaluate counts the rows that match. An error of kind errs.CheckFailed says that it isn't the required
-// number.
+// evaluate counts the rows of the step's view that match its patterns and returns the result as text. If the
+// count is below Min or above Max, the error is of kind errs.CheckFailed.
 func (s *Step) evaluate(environment Environment) (string, error) {
 	rows, err := environment.Rows(s.View)
 	if err != nil {
-		return "", errs.Wrap(err, "look at "+s.View)
+		return "", errs.Wrap(err, "read view "+s.View)
 	}
 	var matching []string
 	for _, row := range rows {
@@ -120,15 +122,16 @@
 		detail += ": " + strings.Join(matching, " ")
 	}
 	if s.Min != nil && len(matching) < *s.Min {
-		return "", errs.New(errs.CheckFailed, "%s, at least %d are due", detail, *s.Min)
+		return "", errs.New(errs.CheckFailed, "%s; at least %d required", detail, *s.Min)
 	}
 	if s.Max != nil && len(matching) > *s.Max {
-		return "", errs.New(errs.CheckFailed, "%s, at most %d are due", detail, *s.Max)
+		return "", errs.New(errs.CheckFailed, "%s; at most %d allowed", detail, *s.Max)
 	}
 	return detail, nil
 }
 
-// matches reports whether a row's fields match all patterns: "x", "!x", "x*" or "!x*".
+// matches reports whether the fields of a row match all patterns: "x" is the value x, "x*" any value that
+// begins with x, and a leading "!" negates the pattern.
 func matches(row, patterns map[string]string) bool {
 	for field, pattern := range patterns {
 		pattern, negated := strings.CutPrefix(pattern, "!")
--- a/internal/runbook/runbook_test.go
+++ b/internal/runbook/runbook_test.go
@@ -10,10 +10,10 @@
 	"pebbleloom/internal/errs"
 )
 
-// fakeEnvironment counts what a run does in it.
+// fakeEnvironment is an Environment in memory that counts reads, actions and confirmations.
 type fakeEnvironment struct {
 	rows          map[string][]map[string]string
-	actions       map[string]int // by token
+	actions       map[string]int // number of executions, by idempotency token
 	confirmations int
 	reject        bool
 	reads         int
@@ -46,15 +46,15 @@
 	{Type: Do, Text: "back", Action: "undrain", Args: map[string]string{"worker": "{worker}"}},
 }}
 
-// newEnvironment returns an environment in which every step of the sample succeeds.
+// newEnvironment returns an environment in which every step of the runbook sample succeeds.
 func newEnvironment() *fakeEnvironment {
 	return &fakeEnvironment{actions: map[string]int{}, rows: map[string][]map[string]string{"workers": {{"name": "worker-3", "state": "draining"}, {"name": "worker-4", "state": "up"}}}}
 }
 
 var start = Progress{RunID: "r", Params: map[string]string{"worker": "worker-3"}}
 
-// The run is interrupted after each entry of its record, in turn. Resuming from the record carries out every
-// action, none under two tokens, and checks, waits and asks as if it hadn't been interrupted.
+// A run that is interrupted after any entry of its record can be resumed from the record: every action is
+// executed, and one that is repeated keeps its idempotency token.
 func TestResumeFromEveryEntry(t *testing.T) {
 	interrupted := errors.New("interrupted")
 	for entries := range 10 {
@@ -70,27 +70,27 @@
 		}
 		err := sample.Run(start, false, environment, record)
 		if !errors.Is(err, interrupted) {
-			t.Fatalf("after %d entries: %v", entries, err)
+			t.Fatalf("run interrupted after %d record entries: got error %v, want the interruption", entries, err)
 		}
 		left = 1000
 		progress, err := sample.Resume(strings.NewReader(recorded.String()))
 		if entries == 0 {
 			if errs.KindOf(err) != errs.BadInput {
-				t.Fatalf("an empty record: %v", err)
+				t.Fatalf("resume from an empty record: got error %v, want kind bad-input", err)
 			}
 			continue
 		}
 		if err != nil || progress.Next != entries/2 || progress.Params["worker"] != "worker-3" {
-			t.Fatalf("after %d entries: %+v, %v", entries, progress, err)
+			t.Fatalf("resume after %d record entries: got %+v and error %v, want next step %d", entries, progress, err, entries/2)
 		}
 		if err := sample.Run(progress, false, environment, record); err != nil {
-			t.Fatalf("after %d entries: %v", entries, err)
+			t.Fatalf("run resumed after %d record entries: %v", entries, err)
 		}
 		if len(environment.actions) != 2 || environment.actions["r/1"] < 1 || environment.actions["r/4"] < 1 {
-			t.Errorf("after %d entries: actions %v", entries, environment.actions)
+			t.Errorf("run resumed after %d record entries: got executions by token %v, want tokens r/1 and r/4 only", entries, environment.actions)
 		}
 		if _, err := sample.Resume(strings.NewReader(recorded.String())); errs.KindOf(err) != errs.Conflict {
-			t.Errorf("a completed run was resumed: %v", err)
+			t.Errorf("resume a completed run: got error %v, want kind epoch-conflict", err)
 		}
 	}
 }
@@ -100,32 +100,32 @@
 	var states []StepState
 	err := sample.Run(start, true, environment, func(entry RecordEntry) error { states = append(states, entry.State); return nil })
 	if err != nil || len(environment.actions)+environment.confirmations > 0 || environment.reads != 1 || fmt.Sprint(states) != "[begun done planned planned planned planned]" {
-		t.Errorf("%v, actions %v, %d confirmations, %d reads, %v", err, environment.actions, environment.confirmations, environment.reads, states)
+		t.Errorf("dry run: got error %v, actions %v, %d confirmations, %d reads and step states %v, want no actions or confirmations and 1 read", err, environment.actions, environment.confirmations, environment.reads, states)
 	}
 }
 
 func discard(RecordEntry) error { return nil }
 
 func TestFailedStepEndsTheRun(t *testing.T) {
-	t.Run("check", func(t *testing.T) {
+	t.Run("failed check", func(t *testing.T) {
 		environment := newEnvironment()
 		environment.rows["workers"] = environment.rows["workers"][1:]
 		if err := sample.Run(start, false, environment, discard); errs.KindOf(err) != errs.CheckFailed || len(environment.actions) > 0 {
-			t.Errorf("%v, actions %v", err, environment.actions)
+			t.Errorf("run with a failing check: got error %v and actions %v, want kind not-as-due and no actions", err, environment.actions)
 		}
 	})
-	t.Run("confirmation", func(t *testing.T) {
+	t.Run("rejected confirmation", func(t *testing.T) {
 		environment := newEnvironment()
 		environment.reject = true
 		if err := sample.Run(start, false, environment, discard); errs.KindOf(err) != errs.CheckFailed || len(environment.actions) != 1 {
-			t.Errorf("%v, actions %v", err, environment.actions)
+			t.Errorf("run with a rejected confirmation: got error %v and actions %v, want kind not-as-due and 1 action", err, environment.actions)
 		}
 	})
-	t.Run("wait", func(t *testing.T) {
+	t.Run("wait that exceeds its time limit", func(t *testing.T) {
 		environment := newEnvironment()
 		environment.rows["workers"][0]["state"] = "up"
-		if err := sample.Run(start, false, environment, discard); err == nil || !strings.Contains(err.Error(), "waited 5 s") {
-			t.Errorf("a condition that never holds: %v", err)
+		if err := sample.Run(start, false, environment, discard); err == nil || !strings.Contains(err.Error(), "condition did not hold within 5 s") {
+			t.Errorf("wait for a condition that never holds: got error %v, want a time-out after 5 s", err)
 		}
 		environment.beforeRead = func(read int, environment *fakeEnvironment) {
 			if read == 12 {
@@ -134,20 +134,20 @@
 		}
 		environment.reads = 5
 		if err := sample.Run(start, false, environment, discard); err != nil {
-			t.Errorf("a condition that holds late: %v", err)
+			t.Errorf("wait for a condition that holds before the time limit: %v", err)
 		}
 	})
-	t.Run("parameters", func(t *testing.T) {
+	t.Run("missing and unknown parameters", func(t *testing.T) {
 		for _, params := range []map[string]string{{}, {"worker": "x", "odd": "y"}} {
 			if err := sample.Run(Progress{RunID: "r", Params: params}, false, newEnvironment(), discard); errs.KindOf(err) != errs.BadInput {
-				t.Errorf("%v: %v", params, err)
+				t.Errorf("run with parameters %v: got error %v, want kind bad-input", params, err)
 			}
 		}
 	})
 }
 
 // Every built-in runbook is valid, and there is one for each fault that operators must be able to handle and
-// for each that the status page names.
+// for each problem in the status report. Read lists every fault of an invalid runbook.
 func TestBuiltinRunbooks(t *testing.T) {
 	runbooks, err := Builtin()
 	if err != nil {
@@ -160,16 +160,16 @@
 	for _, name := range strings.Fields(`worker-gone replace-service edge-gone core-gone many-gone core-replaced disk-lost disk-full clock-jumped core-split machine-cut
 		machine-frozen seeds-change setup-wrong key-leaked links-slow reports-missing weights-midday store-empty move-paused group-lost`) {
 		if !found[name] {
-			t.Errorf("no runbook %s", name)
+			t.Errorf("built-in runbook %s is missing", name)
 		}
 	}
 	if _, err := Read([]byte(`{"name":"x","when":"y","params":{"a":"b"},"steps":[{"type":"do","action":"fly","text":"{c}"},{"type":"wait","of":"stars"},{"type":"pray"}]}`)); err == nil || strings.Count(err.Error(), "steps[") < 7 {
-		t.Errorf("an invalid runbook's faults: %v", err)
+		t.Errorf("read an invalid runbook: got error %v, want at least 7 faults in its steps", err)
 	}
 }
 
-// A step that waits for one machine's shards isn't done while the machine doesn't answer: the status then lists none of
-// them, so a step that only limits the number of bad ones would pass.
+// A step that waits for one machine's shard replicas must require a minimum number of them: while the machine
+// doesn't answer, the status lists none, so a condition with only an upper limit would hold at once.
 func TestWaitForShardsNeedsAnswer(t *testing.T) {
 	runbooks, err := Builtin()
 	if err != nil {
@@ -182,11 +182,11 @@
 				continue
 			}
 			if checked++; step.Min == nil || *step.Min < 1 {
-				t.Errorf("%s: %q is done while the machine doesn't answer", builtin.Name, step.Text)
+				t.Errorf("runbook %s: wait step %q has no minimum, so it passes while the machine doesn't answer", builtin.Name, step.Text)
 			}
 		}
 	}
 	if checked != 3 {
-		t.Errorf("%d steps checked", checked)
+		t.Errorf("found %d steps that wait for a machine's shard replicas, want 3", checked)
 	}
 }
--- a/internal/runbook/validate.go
+++ b/internal/runbook/validate.go
@@ -9,12 +9,12 @@
 	"pebbleloom/internal/maputil"
 )
 
-// maxWaitSeconds bounds a step that waits.
+// maxWaitSeconds is the largest time limit of a step that waits for a condition.
 const maxWaitSeconds = 3600
 
 func (b *Runbook) validate(faults *errs.Batch) {
 	if b.Name == "" || b.When == "" || len(b.Steps) == 0 {
-		faults.Addf(errs.BadInput, "name, when, steps: give all three")
+		faults.Addf(errs.BadInput, "runbook fields name, when and steps are required")
 	}
 	used := map[string]bool{}
 	for i, step := range b.Steps {
@@ -22,11 +22,11 @@
 			faults.Addf(errs.BadInput, "steps[%d]: %s", i, fmt.Sprintf(format, args...))
 		}
 		if step.Text == "" {
-			fault("text: say what it is for")
+			fault("text is empty: describe the purpose of the step")
 		}
 		for _, name := range step.parameters() {
 			if used[name] = true; b.Params[name] == "" {
-				fault("{%s}: no such parameter: describe it under params", name)
+				fault("parameter {%s} isn't declared: describe it under params", name)
 			}
 		}
 		switch step.Type {
@@ -36,36 +36,36 @@
 			step.validateAction(fault)
 		case Confirm:
 		default:
-			fault("type: %q: give check, wait, do or confirm", step.Type)
+			fault("type %q is unknown: give check, wait, do or confirm", step.Type)
 		}
 	}
 	for _, name := range maputil.SortedKeys(b.Params) {
 		if !used[name] {
-			faults.Addf(errs.BadInput, "params.%s: no step uses it: remove it", name)
+			faults.Addf(errs.BadInput, "params.%s: no step uses this parameter: remove it", name)
 		}
 	}
 }
 
 func (s *Step) validateCondition(fault func(format string, args ...any)) {
 	if !slices.Contains(Views(), s.View) {
-		fault("of: %q: give one of %v", s.View, Views())
+		fault("of: view %q is unknown: give one of %v", s.View, Views())
 	}
 	if s.Min == nil && s.Max == nil {
-		fault("at_least, at_most: give one or both")
+		fault("at_least and at_most are missing: give at least one of them")
 	}
 	if s.Type == Wait && (s.WithinSeconds < 1 || s.WithinSeconds > maxWaitSeconds) {
-		fault("within_s: %d: give 1 to %d", s.WithinSeconds, maxWaitSeconds)
+		fault("within_s is %d: give a value from 1 to %d", s.WithinSeconds, maxWaitSeconds)
 	}
 }
 
 func (s *Step) validateAction(fault func(format string, args ...any)) {
 	required, known := Actions()[s.Action]
 	if !known {
-		fault("action: %q: give one of %s", s.Action, strings.Join(maputil.SortedKeys(Actions()), ", "))
+		fault("action %q is unknown: give one of %s", s.Action, strings.Join(maputil.SortedKeys(Actions()), ", "))
 	}
 	for _, name := range required {
 		if s.Args[name] == "" {
-			fault("args.%s: missing", name)
+			fault("args.%s is missing: action %s requires it", name, s.Action)
 		}
 	}
 }
