--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -15,13 +15,13 @@
 	"pebbleloom/internal/programs"
 )
 
-func run(in string, args ...string) (code int, out, bad string) {
-	var o, b bytes.Buffer
-	code = Main(args, strings.NewReader(in), &o, &b)
-	return code, o.String(), b.String()
+func run(in string, args ...string) (code int, out, stderr string) {
+	var output, errors bytes.Buffer
+	code = Main(args, strings.NewReader(in), &output, &errors)
+	return code, output.String(), errors.String()
 }
 
-// Bad input to every command: a typed message that names a remedy, and a stable exit code.
+// Every command reports bad input with its stable exit code and an error that has a kind and a remedy.
 func TestBadInputToEveryCommand(t *testing.T) {
 	for args, code := range map[string]int{
 		"":                               2,
@@ -31,7 +31,7 @@
 		"nodes --odd":                    2,
 		"config apply":                   2,
 		"config apply --file /none":      2,
-		"config patch --file -":          2, // what comes in isn't JSON
+		"config patch --file -":          2, // standard input isn't valid JSON
 		"config validate":                2,
 		"config diff":                    2,
 		"config render":                  2,
@@ -52,7 +52,7 @@
 		"runbook run":                    2,
 		"runbook run --name none":        4,
 		"runbook check --name none":      4,
-		"runbook run --name worker-gone": 2, // its parameter is missing
+		"runbook run --name worker-gone": 2, // the parameter worker of this runbook is missing
 		"runbook run --name worker-gone --set worker=a --set b=c": 2,
 		"runbook run --name worker-gone --set worker":             2,
 		"runbook run --name store-empty --resume /none":           2,
@@ -74,22 +74,22 @@
 		"retire start --service s --name n": 8,
 	} {
 		a := append([]string{"--node", "127.0.0.1:1"}, strings.Fields(args)...)
-		got, out, bad := run("{not json", a...)
-		if got != code || out != "" || !strings.Contains(bad, "remedy") {
-			t.Errorf("pebblectl %s: exit %d, want %d; %q %q", args, got, code, out, bad)
+		got, out, stderr := run("{not json", a...)
+		if got != code || out != "" || !strings.Contains(stderr, "remedy") {
+			t.Errorf("pebblectl %s: got exit code %d, standard output %q and error %q, want exit code %d, no output and an error with a remedy", args, got, out, stderr, code)
 		}
-		if got, _, bad = run("{not json", append(a, "--json")...); got != code {
-			t.Errorf("pebblectl %s --json: exit %d, want %d; %q", args, got, code, bad)
+		if got, _, stderr = run("{not json", append(a, "--json")...); got != code {
+			t.Errorf("pebblectl %s --json: got exit code %d and error %q, want exit code %d", args, got, stderr, code)
 		} else {
 			var d struct{ Kind, Message, Remedy string }
-			if err := json.Unmarshal([]byte(bad), &d); err != nil || d.Kind == "" || d.Remedy == "" {
-				t.Errorf("pebblectl %s --json: %q: %v", args, bad, err)
+			if err := json.Unmarshal([]byte(stderr), &d); err != nil || d.Kind == "" || d.Remedy == "" {
+				t.Errorf("pebblectl %s --json: error %q isn't JSON with a kind and a remedy: %v", args, stderr, err)
 			}
 		}
 	}
 }
 
-// What a node rejects comes back under its kind, with that kind's exit code.
+// A command that a node rejects exits with the exit code of the error's kind and prints the kind's remedy.
 func TestRejectionsKeepTheirKind(t *testing.T) {
 	for _, k := range errs.Kinds() {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -97,41 +97,41 @@
 			w.WriteHeader(k.HTTPStatus)
 			fmt.Fprintf(w, `{"kind":%q,"message":"m","remedy":"r"}`, k.Name)
 		}))
-		if code, _, bad := run("", "--node", s.Listener.Addr().String(), "config", "get"); code != k.ExitCode || !strings.Contains(bad, k.Remedy) {
-			t.Errorf("%s: exit %d, want %d; %q", k.Name, code, k.ExitCode, bad)
+		if code, _, stderr := run("", "--node", s.Listener.Addr().String(), "config", "get"); code != k.ExitCode || !strings.Contains(stderr, k.Remedy) {
+			t.Errorf("response of kind %s: got exit code %d and error %q, want exit code %d and remedy %q", k.Name, code, stderr, k.ExitCode, k.Remedy)
 		}
 		s.Close()
 	}
 }
 
 func TestRenderNeedsNoNode(t *testing.T) {
-	d := t.TempDir()
-	f, o := filepath.Join(d, "t.json"), filepath.Join(d, "o.json")
-	for name, body := range map[string]string{f: `{"params":{"w":"the weights"},"setup":{"models":{"m":{"weights":"{{.w}}"}}}}`, o: `{"wait_max_ms":7000}`} {
+	folder := t.TempDir()
+	template, overlay := filepath.Join(folder, "t.json"), filepath.Join(folder, "o.json")
+	for name, body := range map[string]string{template: `{"params":{"w":"the weights"},"setup":{"models":{"m":{"weights":"{{.w}}"}}}}`, overlay: `{"wait_max_ms":7000}`} {
 		if err := os.WriteFile(name, []byte(body), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	code, out, bad := run("", "config", "render", "--file", f, "--overlay", o, "--set", "w=5")
-	if code != 0 || !strings.Contains(out, "parameter w") || !strings.Contains(out, "overlay "+o) {
-		t.Errorf("exit %d: %s%s", code, out, bad)
+	code, out, stderr := run("", "config", "render", "--file", template, "--overlay", overlay, "--set", "w=5")
+	if code != 0 || !strings.Contains(out, "parameter w") || !strings.Contains(out, "overlay "+overlay) {
+		t.Errorf("config render: got exit code %d and output %s%s, want exit code 0 and the parameter and overlay as origins", code, out, stderr)
 	}
 	if code, out, _ = run("", "runbook", "list"); code != 0 || !strings.Contains(out, "disk-lost") {
-		t.Errorf("exit %d: %s", code, out)
+		t.Errorf("runbook list: got exit code %d and output %s, want exit code 0 and runbook disk-lost", code, out)
 	}
 }
 
-// --if-epoch is --if-version by its first name.
+// The former name of the flag --if-version, --if-epoch, sets the same value.
 func TestFirstNameOfIfVersionSetsTheSame(t *testing.T) {
 	for _, flag := range []string{"--if-version", "--if-epoch", "-e"} {
 		inv := &invocation{ifVersion: -1}
 		if _, err := parseCommand([]string{"config", "apply", "--file", "-", flag, "7"}, inv); err != nil || inv.ifVersion != 7 {
-			t.Errorf("%s sets %d, %v", flag, inv.ifVersion, err)
+			t.Errorf("parse %s 7: got if-version %d and error %v, want 7", flag, inv.ifVersion, err)
 		}
 	}
 }
 
-// Commands that were renamed answer by their first names as before, and say what to use.
+// Commands that were renamed give the same result under their former names, and print the present name.
 func TestFirstNamesOfCommandsAnswerAsBefore(t *testing.T) {
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -147,17 +147,17 @@
 			for _, flags := range []string{"", "--file -", "--file - --if-epoch 3 --token t", "--odd"} {
 				t.Run(command+" "+flags, func(t *testing.T) {
 					arguments := append([]string{"--node", node.Listener.Addr().String()}, strings.Fields(flags)...)
-					code, out, bad := run(`{"version":8}`, append([]string{renamed.Name, command}, arguments...)...)
-					firstCode, firstOut, firstBad := run(`{"version":8}`, append([]string{renamed.First, command}, arguments...)...)
+					code, out, stderr := run(`{"version":8}`, append([]string{renamed.Name, command}, arguments...)...)
+					firstCode, firstOut, firstStderr := run(`{"version":8}`, append([]string{renamed.First, command}, arguments...)...)
 					if firstCode != code || firstOut != out {
-						t.Errorf("exit %d and %q by the first name, %d and %q by the present one", firstCode, firstOut, code, out)
+						t.Errorf("former name: got exit code %d and output %q, want %d and %q as under the present name", firstCode, firstOut, code, out)
 					}
-					if !strings.HasSuffix(firstBad, bad) || flags != "--odd" && !strings.Contains(firstBad, "`"+c.path+"`") {
-						t.Errorf("%q by the first name doesn't say what to use; %q by the present one", firstBad, bad)
+					if !strings.HasSuffix(firstStderr, stderr) || flags != "--odd" && !strings.Contains(firstStderr, "`"+c.path+"`") {
+						t.Errorf("former name: got error output %q, want the present name `%s` followed by %q", firstStderr, c.path, stderr)
 					}
-					_, _, bad = run(`{"version":8}`, append([]string{renamed.Name, command, "--json"}, arguments...)...)
-					if _, _, firstBad = run(`{"version":8}`, append([]string{renamed.First, command, "--json"}, arguments...)...); firstBad != bad {
-						t.Errorf("with --json: %q by the first name, %q by the present one", firstBad, bad)
+					_, _, stderr = run(`{"version":8}`, append([]string{renamed.Name, command, "--json"}, arguments...)...)
+					if _, _, firstStderr = run(`{"version":8}`, append([]string{renamed.First, command, "--json"}, arguments...)...); firstStderr != stderr {
+						t.Errorf("former name with --json: got error output %q, want %q as under the present name", firstStderr, stderr)
 					}
 				})
 			}
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Diff is one value that a configuration would change.
+// Diff is one configuration value that applying a file would change.
 type Diff struct {
 	Path string `json:"path"`
 	Old  string `json:"old,omitempty"`
@@ -64,7 +64,7 @@
 	values[prefix] = string(b)
 }
 
-// allNamed reports whether all items of a list have a name: then each is compared by itself.
+// allNamed reports whether all items of a list have a name. Such a list is compared item by item, by name.
 func allNamed(l []any) bool {
 	return !slices.ContainsFunc(l, func(x any) bool {
 		m, _ := x.(map[string]any)
@@ -82,15 +82,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := serviceconfig.Decode(inForce.Setup); err == nil { // a plan of another format is compared as it was sent
+	if _, err := serviceconfig.Decode(inForce.Setup); err == nil { // a routing plan of a platform site isn't decodable here and is compared without normalization
 		if raw, err = serviceconfig.Merge(nil, raw); err != nil {
 			return nil, err
 		}
 	}
 	var inForceValue, fileValue any
 	var batch errs.Batch
-	batch.Add("read configuration in force", json.Unmarshal(inForce.Setup, &inForceValue))
-	batch.Add("read file", json.Unmarshal(raw, &fileValue))
+	batch.Add("decode configuration in force", json.Unmarshal(inForce.Setup, &inForceValue))
+	batch.Add("decode file", json.Unmarshal(raw, &fileValue))
 	if err := batch.Err(); err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	if inv.weights < 1 {
-		return nil, errs.New(errs.BadInput, "--weights is missing: give the version, from 1")
+		return nil, errs.New(errs.BadInput, "--weights is missing or below 1: give the version of the weights")
 	}
 	return c.NameWeights(ctx, &operator.Weights{Model: inv.model, Weights: inv.weights, Token: operator.NewOptString(token(inv))})
 }
@@ -181,7 +181,7 @@
 	return string(b)
 }
 
-// optional formats a number that may be absent.
+// optional formats a number, or "-" if it is absent.
 func optional(n operator.OptInt) string {
 	if v, ok := n.Get(); ok {
 		return strconv.Itoa(v)
@@ -189,7 +189,7 @@
 	return "-"
 }
 
-// formatText formats a response for people.
+// formatText formats a command's result as human-readable text.
 func formatText(v any) string {
 	var text strings.Builder
 	table := tabwriter.NewWriter(&text, 2, 8, 2, ' ', 0)
@@ -200,8 +200,8 @@
 		fmt.Fprintf(table, "epoch %d\n%s\n", result.Epoch, indent(result.Placement))
 	case *operator.Changed:
 		fmt.Fprintf(table, "%s, epoch %d", result.Outcome, result.Epoch)
-		if node, ok := result.Note.Get(); ok {
-			fmt.Fprintf(table, " (%s)", node)
+		if remark, ok := result.Note.Get(); ok {
+			fmt.Fprintf(table, " (%s)", remark)
 		}
 		fmt.Fprintln(table)
 	case []Diff:
@@ -209,39 +209,39 @@
 			fmt.Fprintf(table, "%s\t%s\t→\t%s\n", difference.Path, difference.Old, difference.New)
 		}
 		if len(result) == 0 {
-			fmt.Fprintln(table, "no difference")
+			fmt.Fprintln(table, "no differences")
 		}
 	case *operator.Status:
 		if result.Ok {
-			fmt.Fprintln(table, "all is well")
+			fmt.Fprintln(table, "no problems")
 		}
 		for _, fact := range result.Facts {
 			fmt.Fprintf(table, "%s:\t%s\n", fact.Name, fact.Value)
 		}
 		for _, problem := range result.Problems {
-			fmt.Fprintf(table, "%s\t%s\t%s\n\tdo:\t%s (pebblectl runbook run %s)\n", problem.Kind, problem.Where, problem.Text, problem.Remedy, problem.Runbook)
+			fmt.Fprintf(table, "%s\t%s\t%s\n\tremedy:\t%s (pebblectl runbook run --name %s)\n", problem.Kind, problem.Where, problem.Text, problem.Remedy, problem.Runbook)
 		}
 	case *operator.NodeList:
 		fmt.Fprintf(table, "NAME\tROLE\tDISTRICT\tADDRESS\tSTATE\tOPERATOR\n")
 		for _, node := range result.Nodes {
 			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", node.Name, node.Role, node.District, node.Addr, node.State, node.Operator.Or("-"))
 		}
-		fmt.Fprintf(table, "as seen by %s\n", result.SeenBy)
+		fmt.Fprintf(table, "reported by %s\n", result.SeenBy)
 	case *operator.WorkerList:
 		fmt.Fprintf(table, "NAME\tSERVICE\tDISTRICT\tADDRESS\tSTATE\tWEIGHTS\tBUSY\tQUEUED\tSLOTS\n")
-		for _, node := range result.Workers {
-			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\n", node.Name, node.Service, node.District, node.Addr, node.State, node.Weights, optional(node.Busy), optional(node.Queued), node.Slots)
+		for _, worker := range result.Workers {
+			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\n", worker.Name, worker.Service, worker.District, worker.Addr, worker.State, worker.Weights, optional(worker.Busy), optional(worker.Queued), worker.Slots)
 		}
 		for _, model := range maputil.SortedKeys(result.Named.Or(nil)) {
-			fmt.Fprintf(table, "named weights of %s: %d\n", model, result.Named.Value[model])
+			fmt.Fprintf(table, "target weights of %s: %d\n", model, result.Named.Value[model])
 		}
-		fmt.Fprintf(table, "as seen by %s\n", result.SeenBy)
+		fmt.Fprintf(table, "reported by %s\n", result.SeenBy)
 	case *Rendered:
 		formatRendered(table, result)
 	case *Listing:
 		formatRunbooks(table, result)
 	case *RunResult:
-		fmt.Fprintf(table, "run %s is through; record: %s\n", result.Run, result.Record)
+		fmt.Fprintf(table, "run %s completed; record: %s\n", result.Run, result.Record)
 	case *RetirementList:
 		formatRetirements(table, result)
 	case *operator.Moves:
@@ -254,8 +254,8 @@
 		formatGroupRestored(table, result)
 	case *operator.Found:
 		fmt.Fprintf(table, "KEY\tTOKENS\tHOTNESS\tHOLDERS\n")
-		for _, problem := range result.Prefixes {
-			fmt.Fprintf(table, "%s\t%s\t%.2f\t%s\n", problem.Key, optional(problem.Tokens), problem.Hotness, strings.Join(problem.Holders, " "))
+		for _, found := range result.Prefixes {
+			fmt.Fprintf(table, "%s\t%s\t%.2f\t%s\n", found.Key, optional(found.Tokens), found.Hotness, strings.Join(found.Holders, " "))
 		}
 	}
 	if err := table.Flush(); err != nil {
--- a/internal/cli/group.go
+++ b/internal/cli/group.go
@@ -9,7 +9,8 @@
 	"pebbleloom/api/operator"
 )
 
-// restoreGroup restores the consensus group from the named node, or shows what that would keep.
+// restoreGroup restores the consensus group from the member at the node; without --confirm, it only shows what
+// a restore would keep.
 func restoreGroup(ctx context.Context, c *operator.Client, inv *invocation, _ io.Reader) (any, error) {
 	request := &operator.GroupRestore{}
 	if inv.confirmedMember != "" {
@@ -18,22 +19,22 @@
 	return c.RestoreGroup(ctx, request)
 }
 
-// formatGroupRestored shows what a restore of the group would do, or has done.
+// formatGroupRestored formats the result of a restore of the consensus group, or of a dry run.
 func formatGroupRestored(out io.Writer, result *operator.GroupRestored) {
 	fmt.Fprintf(out, "member:\t%s\n", result.Member)
-	fmt.Fprintf(out, "its last entry:\tindex %d of term %d\n", result.LogIndex, result.LogTerm)
-	fmt.Fprintf(out, "its plan:\tversion %d\n", result.PlanVersion)
-	fmt.Fprintf(out, "members:\t%s\n", strings.Join(result.Members, " "))
-	fmt.Fprintf(out, "don't answer:\t%s\n", strings.Join(result.Silent, " "))
-	fmt.Fprintf(out, "restored before:\t%d times\n", result.TimesRestored)
+	fmt.Fprintf(out, "last log entry:\tindex %d of term %d\n", result.LogIndex, result.LogTerm)
+	fmt.Fprintf(out, "routing plan:\tversion %d\n", result.PlanVersion)
+	fmt.Fprintf(out, "group members:\t%s\n", strings.Join(result.Members, " "))
+	fmt.Fprintf(out, "not answering:\t%s\n", strings.Join(result.Silent, " "))
+	fmt.Fprintf(out, "earlier restores:\t%d\n", result.TimesRestored)
 	switch {
 	case result.Restored:
-		fmt.Fprintln(out, "the group is restored from this member; what only the others held is lost")
+		fmt.Fprintln(out, "the consensus group is restored from this member; changes that only other members held are lost")
 	case len(result.Objections) > 0:
 		for _, objection := range result.Objections {
-			fmt.Fprintf(out, "not from here:\t%s\n", objection)
+			fmt.Fprintf(out, "objection:\t%s\n", objection)
 		}
 	default:
-		fmt.Fprintf(out, "nothing is done yet: changes that only the others hold would be lost for good; to restore the group from this member, add --confirm %s\n", result.Member)
+		fmt.Fprintf(out, "dry run: a restore would lose all changes that only other members hold; to restore the consensus group from this member, add --confirm %s\n", result.Member)
 	}
 }
--- a/internal/cli/group_test.go
+++ b/internal/cli/group_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// killState ends a machine's state process without a shutdown, as a loss of power does; loseDisk: its disk is gone.
+// killState stops a machine's control-state process without a shutdown, as a power failure does. With loseDisk,
+// the machine's disk is erased.
 func (site *testSite) killState(i int, loseDisk bool) {
 	name := fmt.Sprint("state", i)
 	site.processes[name].Stop(0)
@@ -21,17 +22,18 @@
 	}
 }
 
-// memberToConfirm is the member that the dry run of a restore asks to be confirmed.
+// memberToConfirm returns the member name from the --confirm flag that the dry run of a restore prints.
 func memberToConfirm(t *testing.T, out string) string {
 	t.Helper()
 	_, after, ok := strings.Cut(out, "--confirm ")
 	if !ok {
-		t.Fatalf("no member to confirm: %s", out)
+		t.Fatalf("dry run of group restore: got %s, want a --confirm flag with a member", out)
 	}
 	return strings.TrimSpace(after)
 }
 
-// operatorSteps confirms the steps of a runbook, each after it has carried out what the step asks for.
+// operatorSteps is a standard input that answers yes to each confirmation of a runbook, after calling the
+// function for that confirmation.
 type operatorSteps struct{ steps []func() }
 
 func (o *operatorSteps) Read(answer []byte) (int, error) {
@@ -44,70 +46,71 @@
 	return copy(answer, "yes\n"), nil
 }
 
-// An operator restores a site of which all disks but one are lost, by what the command says: it refuses while there is
-// no need, does nothing without the member's name, and can be sent again. The edge then serves the plan that survived,
-// and the site accepts changes.
+// A site that lost all disks but one is restored from the remaining member. Group restore raises an objection
+// while a majority answers, changes nothing without the right member name, and can be repeated. Afterwards the
+// status has no problems, and the site accepts and serves configuration changes.
 func TestGroupRestore(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		site := startSiteWithPlan(t)
 		defer site.stopAll()
-		code, out, bad := site.runOn(1, "", "group restore")
+		code, out, stderr := site.runOn(1, "", "group restore")
 		if code != 0 || !strings.Contains(out, "a majority of the members answers") {
-			t.Errorf("in a group that serves: exit %d, %s%s", code, out, bad)
+			t.Errorf("group restore with a majority: got exit code %d and output %s%s, want exit code 0 and the objection that a majority answers", code, out, stderr)
 		}
 		for _, i := range []int{2, 3, 4} {
 			site.killState(i, true)
 		}
-		code, out, bad = site.runOn(1, "", "group restore")
+		code, out, stderr = site.runOn(1, "", "group restore")
 		if code != 0 || !strings.Contains(out, "version 3") || !strings.Contains(out, ip(3)+":7360") {
-			t.Fatalf("dry run: exit %d, %s%s", code, out, bad)
+			t.Fatalf("dry run of group restore: got exit code %d and output %s%s, want exit code 0, plan version 3 and member %s:7360", code, out, stderr, ip(3))
 		}
 		member := memberToConfirm(t, out)
-		if code, out, bad := site.runOn(1, "", "group restore --confirm "+member+"0"); code != 5 || !strings.Contains(bad, "but this member is "+member) {
-			t.Errorf("another member: exit %d, %s%s", code, out, bad)
+		if code, out, stderr := site.runOn(1, "", "group restore --confirm "+member+"0"); code != 5 || !strings.Contains(stderr, "but this member is "+member) {
+			t.Errorf("group restore with another member's name: got exit code %d and output %s%s, want exit code 5 and the name %s", code, out, stderr, member)
 		}
 		if site.query(1, "status").Ok {
-			t.Fatal("all is well without a majority")
+			t.Fatal("status without a majority of the members: got ok, want problems")
 		}
 		for range 2 {
-			if code, out, bad := site.runOn(1, "", "group restore --confirm "+member); code != 0 || !strings.Contains(out, "the group is restored from this member") {
-				t.Fatalf("exit %d, %s%s", code, out, bad)
+			if code, out, stderr := site.runOn(1, "", "group restore --confirm "+member); code != 0 || !strings.Contains(out, "the consensus group is restored from this member") {
+				t.Fatalf("group restore --confirm %s: got exit code %d and output %s%s, want exit code 0", member, code, out, stderr)
 			}
 		}
 		for _, i := range []int{2, 3, 4} {
 			site.startStateProcess(i)
 		}
-		site.waitUntil("all is well", 40*time.Second, func() bool { return site.query(3, "status").Ok })
-		if code, out, bad := site.runOn(3, `{"version":4}`, "config apply --file - --if-epoch 3"); code != 0 {
-			t.Errorf("a change: exit %d, %s%s", code, out, bad)
+		site.waitUntil("status without problems", 40*time.Second, func() bool { return site.query(3, "status").Ok })
+		if code, out, stderr := site.runOn(3, `{"version":4}`, "config apply --file - --if-epoch 3"); code != 0 {
+			t.Errorf("config apply after the restore: got exit code %d and output %s%s, want exit code 0", code, out, stderr)
 		}
-		if code, out, bad := site.runOn(4, "", "config get"); code != 0 || !strings.Contains(out, "epoch 4") {
-			t.Errorf("the change: exit %d, %s%s", code, out, bad)
+		if code, out, stderr := site.runOn(4, "", "config get"); code != 0 || !strings.Contains(out, "epoch 4") {
+			t.Errorf("config get after the restore: got exit code %d and output %s%s, want version 4", code, out, stderr)
 		}
 	})
 }
 
-// The runbook for a group that is lost, with what its steps ask an operator to do.
+// The runbook group-lost fails at its first check while the group has a leader, and restores a group that lost
+// its majority if the operator does what its confirmations ask for.
 func TestRunbookForALostGroup(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		site := startSiteWithPlan(t)
 		defer site.stopAll()
 		runbook := func(steps ...func()) (int, string) {
-			var out, bad bytes.Buffer
+			var out, stderr bytes.Buffer
 			record := filepath.Join(t.TempDir(), "run.jsonl")
 			args := []string{"--node", operatorAt(1), "runbook", "run", "--name", "group-lost", "--record", record}
-			code := Run(args, &operatorSteps{steps}, &out, &bad, site.http)
-			return code, out.String() + bad.String()
+			code := Run(args, &operatorSteps{steps}, &out, &stderr, site.http)
+			return code, out.String() + stderr.String()
 		}
 		if code, text := runbook(); code != 1 || !strings.Contains(text, "no core machine leads the group") {
-			t.Errorf("in a group that serves: exit %d, %s", code, text)
+			t.Errorf("runbook group-lost in a group with a leader: got exit code %d and output %s, want exit code 1 at the first check", code, text)
 		}
 		for _, i := range []int{2, 3, 4} {
 			site.killState(i, true)
 		}
-		site.waitUntil("no leader", 10*time.Second, func() bool { return site.query(1, "status").has("part-unowned", "site") })
+		site.waitUntil("status reports that the group has no leader", 10*time.Second, func() bool { return site.query(1, "status").hasProblem("part-unowned", "site") })
 		restore := func() {
 			_, out, _ := site.runOn(1, "", "group restore")
 			site.runOn(1, "", "group restore --confirm "+memberToConfirm(t, out))
@@ -119,8 +122,8 @@
 		}
 		doNothing := func() {}
 		if code, text := runbook(doNothing, restore, startOthers, doNothing); code != 0 {
-			t.Errorf("exit %d, %s", code, text)
+			t.Errorf("runbook group-lost: got exit code %d and output %s, want exit code 0", code, text)
 		}
-		site.waitUntil("all is well", 40*time.Second, func() bool { return site.query(3, "status").Ok })
+		site.waitUntil("status without problems", 40*time.Second, func() bool { return site.query(3, "status").Ok })
 	})
 }
--- a/internal/cli/moves.go
+++ b/internal/cli/moves.go
@@ -37,7 +37,7 @@
 }
 
 func formatMoves(out io.Writer, list *operator.Moves) {
-	fmt.Fprintf(out, "SERVICE\tNAME\tKIND\tSTATE\tSTEP\tWHY\n")
+	fmt.Fprintf(out, "SERVICE\tNAME\tKIND\tSTATE\tSTEP\tREASON\n")
 	for _, move := range list.Moves {
 		entry, err := calendar.Decode(move)
 		if err != nil {
--- a/internal/cli/parse.go
+++ b/internal/cli/parse.go
@@ -16,7 +16,7 @@
 	set "pebbleloom/internal/settings"
 )
 
-// newParser declares the flags, which fill the request.
+// newParser declares the flags of all commands, whose values are stored in inv.
 func newParser(inv *invocation) *flaggy.Parser {
 	parser := flaggy.NewParser("pebblectl")
 	parser.Description = about
@@ -25,61 +25,61 @@
 	parser.ShowCompletion = false
 	parser.String(&inv.node, "n", "node", "operator address of any node (also PEBBLELOOM_NODE)")
 	parser.String(&inv.keyFile, "", "operator-key", "file with the operators' key (or the key itself in PEBBLELOOM_KEY)")
-	parser.Bool(&inv.asJSON, "j", "json", "answer in JSON")
-	parser.String(&inv.file, "f", "file", "file to read (- for standard input)")
-	parser.Int64(&inv.ifVersion, "e", "if-version", "only onto this version")
-	parser.String(&inv.token, "t", "token", "idempotency token of the change")
-	parser.String(&inv.model, "m", "model", "model")
-	parser.Int64(&inv.weights, "w", "weights", "version of the weights")
-	parser.String(&inv.tenant, "", "tenant", "tenant")
-	parser.String(&inv.key, "k", "key", "tenant's key")
-	parser.String(&inv.worker, "", "worker", "worker")
-	parser.Bool(&inv.undrain, "b", "back", "with drain: take the worker into use again")
-	parser.String(&inv.service, "s", "service", "service")
-	parser.String(&inv.name, "", "name", "name of a planned move or a runbook")
-	parser.String(&inv.record, "", "record", "where a run's record is kept")
-	parser.String(&inv.resume, "", "resume", "the record to resume from")
-	parser.Bool(&inv.dryRun, "", "dry-run", "check only: no waiting, actions or prompts")
-	parser.Bool(&inv.assumeYes, "y", "yes", "confirm everything")
+	parser.Bool(&inv.asJSON, "j", "json", "print results and errors as JSON")
+	parser.String(&inv.file, "f", "file", "input file of the command (- for standard input)")
+	parser.Int64(&inv.ifVersion, "e", "if-version", "apply the change only if this version is in force")
+	parser.String(&inv.token, "t", "token", "idempotency token: a change repeated with the same token takes effect once")
+	parser.String(&inv.model, "m", "model", "name of a model")
+	parser.Int64(&inv.weights, "w", "weights", "version of a model's weights")
+	parser.String(&inv.tenant, "", "tenant", "name of a tenant")
+	parser.String(&inv.key, "k", "key", "API key of a tenant")
+	parser.String(&inv.worker, "", "worker", "name of a worker")
+	parser.Bool(&inv.undrain, "b", "back", "with drain: allow requests to the worker again")
+	parser.String(&inv.service, "s", "service", "name of a service")
+	parser.String(&inv.name, "", "name", "name of a calendar entry, a retirement or a runbook")
+	parser.String(&inv.record, "", "record", "with runbook run: file for the record of the run")
+	parser.String(&inv.resume, "", "resume", "with runbook run: record of an interrupted run to resume")
+	parser.Bool(&inv.dryRun, "", "dry-run", "only check: execute no actions, waits or confirmations, and write nothing")
+	parser.Bool(&inv.assumeYes, "y", "yes", "with runbook run: answer yes to all confirmations")
 	parser.StringSlice(&inv.overlays, "", "overlay", "with config render: a partial configuration to merge in; repeatable")
-	parser.StringSlice(&inv.parameters, "", "set", "a parameter, name=value")
-	parser.String(&inv.request, "r", "request", "request id")
-	parser.String(&inv.confirmedMember, "", "confirm", "with group restore: the member that goes on alone, as the command names it")
-	parser.StringSlice(&inv.parts, "p", "part", "prompt part, in order")
+	parser.StringSlice(&inv.parameters, "", "set", "a parameter of a runbook or template as name=value; repeatable")
+	parser.String(&inv.request, "r", "request", "ID of a request")
+	parser.String(&inv.confirmedMember, "", "confirm", "with group restore: the member to restore from, as shown by the dry run")
+	parser.StringSlice(&inv.parts, "p", "part", "with index lookup: a part of the prompt; repeatable, in order")
 	set.AddFirstNames(parser)
 	return parser
 }
 
-// parseCommand fills the request from the flags and returns the command.
+// parseCommand parses the flags into inv and returns the selected command.
 func parseCommand(args []string, inv *invocation) (*command, error) {
 	parser := newParser(inv)
 	tree := newCommandTree(parser)
 	words, err := set.ParseStrict(parser, args)
 	if err == nil {
-		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "flags")
+		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "parse flags")
 	}
 	if err != nil {
 		return nil, err
 	}
 	c, path := tree.used()
 	if c == nil {
-		return nil, errs.New(errs.BadInput, "no such command: see pebblectl --help")
+		return nil, errs.New(errs.BadInput, "unknown or missing command: see pebblectl --help")
 	}
 	if strings.Join(words, " ") != path {
-		return nil, errs.New(errs.BadInput, "%q: pebblectl %s takes flags alone: see pebblectl --help", words, c.path)
+		return nil, errs.New(errs.BadInput, "unexpected arguments among %q: pebblectl %s takes only flags: see pebblectl --help", words, c.path)
 	}
 	if path != c.path && !inv.asJSON {
-		fmt.Fprintf(inv.progress, "pebblectl: `%s` is now `%s`; the first name still works\n", path, c.path)
+		fmt.Fprintf(inv.progress, "pebblectl: command `%s` was renamed to `%s`; the old name still works\n", path, c.path)
 	}
 	return c, nil
 }
 
-// commandTree finds the command that a parsed command line used.
+// commandTree maps the subcommands declared to the parser to commands.
 type commandTree struct {
-	subcommands map[string]*flaggy.Subcommand // by the command's path, first names too
+	subcommands map[string]*flaggy.Subcommand // subcommands by command path, including the paths with former names
 }
 
-// newCommandTree declares every command to the parser, also under its group's first name.
+// newCommandTree declares every command to the parser, and again as hidden under the former name of its group.
 func newCommandTree(parser *flaggy.Parser) *commandTree {
 	tree := &commandTree{map[string]*flaggy.Subcommand{}}
 	groups := map[string]*flaggy.Subcommand{}
@@ -92,7 +92,8 @@
 	return tree
 }
 
-// add declares one command under one path: a group alone, or a group and a command in it.
+// add declares a command to the parser under a path of one word (a top-level command) or two (a group and a
+// command in it).
 func (t *commandTree) add(parser *flaggy.Parser, groups map[string]*flaggy.Subcommand, path, about string, hidden bool) {
 	group, command, inGroup := strings.Cut(path, " ")
 	if groups[group] == nil {
@@ -113,7 +114,8 @@
 	}
 }
 
-// used returns the command that was given and the path it was given by; nil if there is none.
+// used returns the command that the parsed command line selected and the path used for it; nil if it selected
+// none.
 func (t *commandTree) used() (*command, string) {
 	for _, c := range commands() {
 		for _, path := range []string{c.path, firstPath(c.path)} {
@@ -125,7 +127,8 @@
 	return nil, ""
 }
 
-// firstPath is a command's path by the first name of its group.
+// firstPath returns a command's path with the former name of its group, or the path itself if the group was
+// never renamed.
 func firstPath(path string) string {
 	group, command, _ := strings.Cut(path, " ")
 	for _, renamed := range programs.Commands() {
@@ -141,7 +144,7 @@
 		return inv.token
 	}
 	b := make([]byte, 8)
-	_, _ = rand.Read(b) // never fails, as its documentation says
+	_, _ = rand.Read(b) // crypto/rand.Read never returns an error
 	return "pebblectl-" + hex.EncodeToString(b)
 }
 
@@ -149,7 +152,7 @@
 	var b errs.Batch
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if pairs[i+1] == "" {
-			b.Addf(errs.BadInput, "--%s is missing: give it", pairs[i])
+			b.Addf(errs.BadInput, "required flag --%s is missing", pairs[i])
 		}
 	}
 	return b.Err()
@@ -157,7 +160,7 @@
 
 func readFile(inv *invocation, in io.Reader) ([]byte, error) {
 	if inv.file == "" {
-		return nil, errs.New(errs.BadInput, "--file is missing: name a file, or - for standard input")
+		return nil, errs.New(errs.BadInput, "required flag --file is missing: give a file, or - for standard input")
 	}
 	var b []byte
 	var err error
@@ -167,10 +170,10 @@
 		b, err = os.ReadFile(inv.file)
 	}
 	if err != nil {
-		return nil, errs.WrapAs(err, errs.BadInput, "read file")
+		return nil, errs.WrapAs(err, errs.BadInput, "read --file "+inv.file)
 	}
 	if !json.Valid(b) {
-		return nil, errs.New(errs.BadInput, "%s isn't JSON: correct it first", inv.file)
+		return nil, errs.New(errs.BadInput, "--file %s doesn't contain valid JSON", inv.file)
 	}
 	return b, nil
 }
--- a/internal/cli/race_test.go
+++ b/internal/cli/race_test.go
@@ -2,6 +2,6 @@
 
 package cli
 
-// raceDetector reports whether the race detector is on: its runtime sometimes crashes on a whole site in a
-// bubble of virtual time (a segmentation fault in its own timers).
+// raceDetector reports whether the race detector is enabled. Its runtime sometimes crashes with a segmentation
+// fault in its timers when a complete site runs in a synctest bubble.
 const raceDetector = true
--- a/internal/cli/render.go
+++ b/internal/cli/render.go
@@ -13,14 +13,14 @@
 	"pebbleloom/internal/errs"
 )
 
-// Rendered is the output of `setup render`.
+// Rendered is the output of `pebblectl config render`.
 type Rendered struct {
 	Config  jx.Raw                 `json:"setup"`
 	Origins []serviceconfig.Origin `json:"origins"`
 }
 
-// renderConfig fills in a template and applies overlays; it calls no node. Its output, with --json and the
-// field of that name taken out, can be applied.
+// renderConfig fills in a configuration template and merges overlays, without a call to a node. With --json,
+// the rendered configuration can be extracted from the output (jq .setup) and applied.
 func renderConfig(_ context.Context, _ *operator.Client, inv *invocation, in io.Reader) (any, error) {
 	raw, err := readFile(inv, in)
 	if err != nil {
@@ -34,7 +34,7 @@
 	for _, f := range inv.overlays {
 		b, err := os.ReadFile(f)
 		if err != nil {
-			return nil, errs.WrapAs(err, errs.BadInput, "overlay")
+			return nil, errs.WrapAs(err, errs.BadInput, "read --overlay")
 		}
 		ls = append(ls, serviceconfig.Overlay{Name: f, Body: b})
 	}
@@ -44,7 +44,7 @@
 
 func formatRendered(w io.Writer, x *Rendered) {
 	fmt.Fprintln(w, indent(x.Config))
-	fmt.Fprintln(w, "VALUE\tIS\tFROM")
+	fmt.Fprintln(w, "PATH\tVALUE\tORIGIN")
 	for _, o := range x.Origins {
 		fmt.Fprintf(w, "%s\t%s\t%s\n", o.Path, o.Value, o.From)
 	}
--- a/internal/cli/retire.go
+++ b/internal/cli/retire.go
@@ -12,7 +12,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// RetirementList is the output of `retire status` and `retire history`.
+// RetirementList is the output of `pebblectl retire status` and `pebblectl retire history`.
 type RetirementList struct {
 	Retirements []*retire.Retirement `json:"retirements"`
 	history     bool
@@ -35,7 +35,7 @@
 	}
 }
 
-// listRetirements lists those of a service, or of a name, or all.
+// listRetirements lists the retirements of base models, optionally only those of a service or with a name.
 func listRetirements(history bool) func(context.Context, *operator.Client, *invocation, io.Reader) (any, error) {
 	return func(ctx context.Context, c *operator.Client, inv *invocation, _ io.Reader) (any, error) {
 		response, err := c.ListRetirements(ctx)
@@ -53,14 +53,14 @@
 			}
 		}
 		if inv.name != "" && len(list.Retirements) == 0 {
-			return nil, errs.New(errs.NotFound, "no retirement %q: pebblectl retire status lists all", inv.name)
+			return nil, errs.New(errs.NotFound, "no retirement with name %q: pebblectl retire status lists all", inv.name)
 		}
 		return list, nil
 	}
 }
 
-// NeedsAttention reports whether a retirement needs an operator: it is paused, or blocked by a node that the
-// system can't fix by itself.
+// NeedsAttention reports whether the list is a status in which a retirement is paused or blocked by a node
+// that only an operator can repair.
 //
 // Example: if x.Wrong() { return 1 }
 func (l *RetirementList) NeedsAttention() bool {
@@ -81,16 +81,17 @@
 		}
 		return
 	}
-	fmt.Fprintf(out, "SERVICE\tNAME\tFROM\tTO\tSTATE\tPROGRESS\tWHY\n")
+	fmt.Fprintf(out, "SERVICE\tNAME\tFROM\tTO\tSTATE\tPROGRESS\tREASON\n")
 	for _, r := range x.Retirements {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Service, r.Name, r.OldBase, r.NewBase, r.State, r.Progress(), r.Reason)
 		for _, h := range r.Blockers {
-			fmt.Fprintf(out, "\theld by %s:\t%s\n\tdo:\t%s\n", h.Node, h.Reason, h.Remedy)
+			fmt.Fprintf(out, "\tblocked by %s:\t%s\n\tremedy:\t%s\n", h.Node, h.Reason, h.Remedy)
 		}
 	}
 }
 
-// retirements are the rows that a runbook checks; held reports whether one needs an operator.
+// retirements returns the rows of the view retirements for runbooks; the field held is true if a retirement is
+// blocked until an operator acts.
 func (env *nodeEnvironment) retirements(ctx context.Context) ([]map[string]string, error) {
 	m, err := env.client.ListRetirements(ctx)
 	if err != nil {
--- a/internal/cli/runbook.go
+++ b/internal/cli/runbook.go
@@ -21,12 +21,12 @@
 	"pebbleloom/internal/runbook"
 )
 
-// Listing is the output of `runbook list` and `runbook check`.
+// Listing is the output of `pebblectl runbook list` and `pebblectl runbook check`.
 type Listing struct {
 	Books []runbook.Runbook `json:"books"`
 }
 
-// RunResult is the output of a run.
+// RunResult is the output of `pebblectl runbook run`.
 type RunResult struct {
 	Run    string                `json:"run"`
 	Record string                `json:"record"`
@@ -50,7 +50,7 @@
 			return &b, nil
 		}
 	}
-	return nil, errs.New(errs.NotFound, "no runbook %q: see pebblectl runbook list, or name a .json file", name)
+	return nil, errs.New(errs.NotFound, "no built-in runbook %q: see pebblectl runbook list, or give a .json file", name)
 }
 
 func listRunbooks(context.Context, *operator.Client, *invocation, io.Reader) (any, error) {
@@ -75,20 +75,20 @@
 	for _, x := range pairs {
 		k, v, ok := strings.Cut(x, "=")
 		if !ok || k == "" {
-			b.Addf(errs.BadInput, "--set %q: give name=value", x)
+			b.Addf(errs.BadInput, "--set %q is not in the form name=value", x)
 		}
 		parameters[k] = v
 	}
 	return parameters, b.Err()
 }
 
-// recordedRun is one run of a runbook, recorded line by line so that it can be resumed.
+// recordedRun is a run of a runbook whose steps are recorded in a file, from which the run can be resumed.
 type recordedRun struct {
 	runbook  *runbook.Runbook
 	progress runbook.Progress
 	result   *RunResult
-	record   *os.File  // nil with --dry-run
-	shownOn  io.Writer // where each line is shown; nil: nowhere
+	record   *os.File  // file to which entries are appended; nil in a dry run
+	shownOn  io.Writer // receives each entry as text; nil with --json
 }
 
 func runRunbook(_ context.Context, c *operator.Client, inv *invocation, in io.Reader) (any, error) {
@@ -105,15 +105,15 @@
 		}
 		defer run.record.Close()
 	}
-	world := &nodeEnvironment{client: c, in: bufio.NewReader(in), out: inv.progress, assumeYes: inv.assumeYes}
-	err = run.runbook.Run(run.progress, inv.dryRun, world, run.writeEntry)
+	environment := &nodeEnvironment{client: c, in: bufio.NewReader(in), out: inv.progress, assumeYes: inv.assumeYes}
+	err = run.runbook.Run(run.progress, inv.dryRun, environment, run.writeEntry)
 	if err != nil && !inv.dryRun {
-		return nil, errs.Wrap(err, "go on with --resume "+run.result.Record)
+		return nil, errs.Wrap(err, "run of runbook stopped, resume it with --resume "+run.result.Record)
 	}
 	return run.result, err
 }
 
-// newRecordedRun prepares a run from its beginning, or from where a record says that an earlier one stopped.
+// newRecordedRun prepares a new run of a runbook or, with --resume, the continuation of an interrupted one.
 func newRecordedRun(inv *invocation) (*recordedRun, error) {
 	if err := requireFlags("name", inv.name); err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 		return nil, err
 	}
 	id := make([]byte, 6)
-	_, _ = rand.Read(id) // never fails, as its documentation says
+	_, _ = rand.Read(id) // crypto/rand.Read never returns an error
 	run := &recordedRun{runbook: found, result: &RunResult{Record: inv.record},
 		progress: runbook.Progress{RunID: found.Name + "-" + hex.EncodeToString(id), Params: parameters}}
 	if !inv.asJSON {
@@ -145,7 +145,7 @@
 	return run, nil
 }
 
-// resume goes on with an earlier run by its record.
+// resume restores the progress of an interrupted run from its record, and appends to that record.
 func (run *recordedRun) resume(record string) error {
 	file, err := os.Open(record)
 	if err != nil {
@@ -157,8 +157,8 @@
 	return err
 }
 
-// writeEntry shows a step's outcome and writes it to the record, synced: a step that was recorded is not
-// executed again by a run that is resumed.
+// writeEntry prints an entry and appends it to the record. The record is synced to disk, so that a resumed run
+// doesn't repeat a step that was recorded as done.
 func (run *recordedRun) writeEntry(entry runbook.RecordEntry) error {
 	entry.At = time.Now().UTC().Format(time.RFC3339)
 	run.result.Lines = append(run.result.Lines, entry)
@@ -169,12 +169,12 @@
 		return nil
 	}
 	if err := json.NewEncoder(run.record).Encode(entry); err != nil {
-		return errs.Wrap(err, "write record")
+		return errs.Wrap(err, "append to record "+run.result.Record)
 	}
-	return errs.Wrap(run.record.Sync(), "sync record")
+	return errs.Wrap(run.record.Sync(), "sync record "+run.result.Record)
 }
 
-// nodeEnvironment is the site as a runbook sees it, through a node's operator address.
+// nodeEnvironment implements runbook.Environment by calls to the operator API of one node.
 type nodeEnvironment struct {
 	client    *operator.Client
 	in        *bufio.Reader
@@ -186,10 +186,10 @@
 	return context.WithTimeout(context.Background(), 15*time.Second)
 }
 
-// row is one line of a view, as runbooks read it: values by column.
+// row is one row of a view: its values by field name.
 type row = map[string]string
 
-// Rows returns a view as rows of values.
+// Rows reads a view of the site and returns its rows; an unknown view has none.
 //
 // Example: rows, err := w.Rows("workers")
 func (env *nodeEnvironment) Rows(view string) ([]map[string]string, error) {
@@ -272,7 +272,7 @@
 	}
 	var config any
 	if err := json.Unmarshal(inForce.Setup, &config); err != nil {
-		return nil, errs.Wrap(err, "read configuration")
+		return nil, errs.Wrap(err, "decode configuration in force")
 	}
 	values := map[string]string{}
 	flatten("", config, values)
@@ -282,7 +282,7 @@
 	return rows, nil
 }
 
-// Do executes an action, under the step's token if the action takes one.
+// Do executes an action of a runbook's step. Actions that take an idempotency token get the step's.
 //
 // Example: err := w.Do("drain", map[string]string{"worker": "worker-3"}, "run-1/2")
 func (env *nodeEnvironment) Do(action string, arguments map[string]string, token string) error {
@@ -296,12 +296,12 @@
 		_, err = drainWorker(ctx, env.client, inv, nil)
 	case "name-weights":
 		if inv.weights, err = strconv.ParseInt(arguments["weights"], 10, 64); err != nil {
-			return errs.WrapAs(err, errs.BadInput, "weights")
+			return errs.WrapAs(err, errs.BadInput, "parse weights argument of action name-weights")
 		}
 		_, err = nameWeights(ctx, env.client, inv, nil)
 	case "revoke-key":
 		if _, err = revokeKey(ctx, env.client, inv, nil); err != nil && errs.KindOf(typedError(err, "")) == errs.NotFound && strings.Contains(err.Error(), "no such key") {
-			err = nil // it is revoked already: an earlier attempt whose response was lost
+			err = nil // an earlier attempt, whose response was lost, has revoked the key already
 		}
 	case "patch-setup":
 		_, err = applyConfig(true, false)(ctx, env.client, inv, nil)
@@ -312,7 +312,7 @@
 	case "ask-retirement":
 		_, err = controlRetirement(operator.AskRetirementVerb(arguments["verb"]))(ctx, env.client, inv, nil)
 	default:
-		err = errs.New(errs.BadInput, "action %q", action)
+		err = errs.New(errs.BadInput, "unknown runbook action %q", action)
 	}
 	if err == nil || errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -320,7 +320,7 @@
 	return typedError(err, "")
 }
 
-// Confirm asks the operator.
+// Confirm prints a question and reports whether the operator answers yes.
 //
 // Example: if !w.Confirm("Is the disk replaced?") { stop() }
 func (env *nodeEnvironment) Confirm(text string) bool {
@@ -332,7 +332,7 @@
 	return (err == nil || err == io.EOF) && strings.TrimSpace(s) == "yes"
 }
 
-// Pause waits for a second.
+// Pause sleeps for one second.
 //
 // Example: w.Pause(1)
 func (env *nodeEnvironment) Pause(int) { time.Sleep(time.Second) }
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -31,44 +31,45 @@
 	"pebbleloom/internal/wire"
 )
 
-// testSite is a small site in one synctest bubble: four core machines with control state and index,
-// one edge; pipes for connections, disks in memory, three workers of the test's own.
+// testSite is a platform site in one synctest bubble: four core machines with a control-state and an index
+// process each, and one edge machine. Connections are pipes, disks are in memory, and testSite itself
+// implements the three workers.
 type testSite struct {
 	t              *testing.T
 	mu             sync.Mutex
 	listeners      map[string]*pipeListener
 	disks          map[string]*memoryDisk
-	processes      map[string]*daemon.Process // by role and number
-	workerWeights  map[string]uint64          // by worker: the weights it serves
-	ordersRejected bool                       // workers take no orders
+	processes      map[string]*daemon.Process // processes by role and machine number, such as "state3"
+	workerWeights  map[string]uint64          // version of the weights that each worker serves, by worker ID
+	ordersRejected bool                       // whether the workers reject orders to load weights
 	seed           uint64
 	http           *http.Transport
 }
 
 type pipeListener struct {
-	p    *testSite
-	addr string
-	in   chan net.Conn
-	end  chan struct{}
-	once sync.Once
+	site   *testSite
+	addr   string
+	conns  chan net.Conn
+	closed chan struct{}
+	once   sync.Once
 }
 
 func (m *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-m.in:
+	case c := <-m.conns:
 		return c, nil
-	case <-m.end:
+	case <-m.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 func (m *pipeListener) Close() error {
 	m.once.Do(func() {
-		close(m.end)
-		m.p.mu.Lock()
-		defer m.p.mu.Unlock()
-		if m.p.listeners[m.addr] == m {
-			delete(m.p.listeners, m.addr)
+		close(m.closed)
+		m.site.mu.Lock()
+		defer m.site.mu.Unlock()
+		if m.site.listeners[m.addr] == m {
+			delete(m.site.listeners, m.addr)
 		}
 	})
 	return nil
@@ -76,34 +77,34 @@
 
 func (m *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// memoryDisk is a disk that loses nothing.
+// memoryDisk is a storage.Disk in memory on which every write is durable at once.
 type memoryDisk struct {
-	mu sync.Mutex
-	m  map[string][]byte
+	mu    sync.Mutex
+	files map[string][]byte
 }
 
 func (d *memoryDisk) Read(n string) ([]byte, bool, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b, ok := d.m[n]
+	b, ok := d.files[n]
 	return bytes.Clone(b), ok, nil
 }
 
-func (d *memoryDisk) set(n string, f func(old []byte) []byte) error {
+func (d *memoryDisk) update(n string, change func(old []byte) []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.m[n] = f(d.m[n])
+	d.files[n] = change(d.files[n])
 	return nil
 }
 
 func (d *memoryDisk) Write(n string, b []byte) error {
-	return d.set(n, func([]byte) []byte { return bytes.Clone(b) })
+	return d.update(n, func([]byte) []byte { return bytes.Clone(b) })
 }
 func (d *memoryDisk) Append(n string, b []byte) error {
-	return d.set(n, func(old []byte) []byte { return append(old, b...) })
+	return d.update(n, func(old []byte) []byte { return append(old, b...) })
 }
 func (d *memoryDisk) Truncate(n string, s int) error {
-	return d.set(n, func(old []byte) []byte { return old[:s] })
+	return d.update(n, func(old []byte) []byte { return old[:s] })
 }
 
 func newTestSite(t *testing.T) *testSite {
@@ -115,7 +116,7 @@
 
 func ip(i int) string { return fmt.Sprintf("10.0.0.%d", i) }
 
-// operatorAt is the operator address of a core machine.
+// operatorAt returns the operator address of a core machine.
 func operatorAt(i int) string { return ip(i) + ":7362" }
 
 func (site *testSite) dial(ctx context.Context, _, addr string) (net.Conn, error) {
@@ -127,9 +128,9 @@
 	}
 	near, far := net.Pipe()
 	select {
-	case m.in <- far:
+	case m.conns <- far:
 		return near, nil
-	case <-m.end:
+	case <-m.closed:
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -147,12 +148,12 @@
 	w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk {
 			if site.disks[at] == nil {
-				site.disks[at] = &memoryDisk{m: map[string][]byte{}}
+				site.disks[at] = &memoryDisk{files: map[string][]byte{}}
 			}
 			return site.disks[at]
 		},
 		Listen: func(a string) (net.Listener, error) {
-			m := &pipeListener{p: site, addr: a, in: make(chan net.Conn), end: make(chan struct{})}
+			m := &pipeListener{site: site, addr: a, conns: make(chan net.Conn), closed: make(chan struct{})}
 			site.mu.Lock()
 			defer site.mu.Unlock()
 			site.listeners[a] = m
@@ -193,9 +194,9 @@
 	site.requireNoError(proxy.Start(l, proxy.Config{Headers: proxy.Headers{ID: "Go-Id"}, ReadyPath: "/ready", Snapshot: a.Snapshot, Selector: selection.New(l, s)}))
 }
 
-func (site *testSite) stop(who string) {
-	site.processes[who].Stop(time.Second)
-	delete(site.processes, who)
+func (site *testSite) stop(name string) {
+	site.processes[name].Stop(time.Second)
+	delete(site.processes, name)
 }
 
 func (site *testSite) stopAll() {
@@ -207,28 +208,28 @@
 	all.Wait()
 }
 
-// runOn sends a command to a core machine.
-func (site *testSite) runOn(i int, in, args string) (code int, out, bad string) {
+// runOn runs a command at the operator address of a core machine, with in as its standard input.
+func (site *testSite) runOn(i int, in, args string) (code int, out, stderr string) {
 	return site.runOnAddr(operatorAt(i), in, args)
 }
 
-func (site *testSite) runOnAddr(node, in, args string) (code int, out, bad string) {
+func (site *testSite) runOnAddr(node, in, args string) (code int, out, stderr string) {
 	var o, b bytes.Buffer
 	code = Run(append([]string{"--node", node}, strings.Fields(args)...), strings.NewReader(in), &o, &b, site.http)
 	return code, o.String(), b.String()
 }
 
-func (site *testSite) waitUntil(what string, within time.Duration, so func() bool) {
+func (site *testSite) waitUntil(what string, within time.Duration, condition func() bool) {
 	site.t.Helper()
-	for from := time.Now(); !so(); clock.Sleep(context.Background(), 100*time.Millisecond) {
+	for from := time.Now(); !condition(); clock.Sleep(context.Background(), 100*time.Millisecond) {
 		if time.Since(from) > within {
-			_, out, bad := site.runOn(1, "", "status")
-			site.t.Fatalf("%s: not within %v\n%s%s", what, within, out, bad)
+			_, out, stderr := site.runOn(1, "", "status")
+			site.t.Fatalf("waited %v in vain for: %s; status at the end:\n%s%s", within, what, out, stderr)
 		}
 	}
 }
 
-// scrape gives the names of what a process shows at an address, and how many series.
+// scrape reads /metrics at an address and returns the names of the metrics and the number of series.
 func (site *testSite) scrape(addr string) (names map[string]bool, series int) {
 	r, err := (&http.Client{Transport: site.http}).Get("http://" + addr + "/metrics")
 	site.requireNoError(err)
@@ -246,7 +247,7 @@
 	return names, series
 }
 
-// The workers: pond implements backend.Client.
+// testSite implements backend.Client, by which processes reach workers, with the methods from here on.
 
 func (site *testSite) ListWorkers(context.Context, string) (l []fleet.Worker, next string, err error) {
 	site.mu.Lock()
@@ -259,14 +260,14 @@
 	return l, "", nil
 }
 
-func worker(addr string) string {
+func workerID(addr string) string {
 	return "w" + strings.TrimSuffix(strings.TrimPrefix(addr, "10.9.0."), ":1")
 }
 
 func (site *testSite) Report(_ context.Context, addr string) (backend.Report, error) {
 	site.mu.Lock()
 	defer site.mu.Unlock()
-	return backend.Report{Weights: map[string]uint64{"daka": site.workerWeights[worker(addr)]}}, nil
+	return backend.Report{Weights: map[string]uint64{"daka": site.workerWeights[workerID(addr)]}}, nil
 }
 
 func (site *testSite) Order(_ context.Context, addr string, o backend.Order) (backend.Outcome, error) {
@@ -275,11 +276,12 @@
 	if site.ordersRejected {
 		return backend.OutcomeRejected, nil
 	}
-	site.workerWeights[worker(addr)] = o.Version
+	site.workerWeights[workerID(addr)] = o.Version
 	return backend.OutcomeStarted, nil
 }
 
-// CacheEvents: all workers keep part p1 of the weights that they serve, from the start.
+// CacheEvents reports that every worker caches prompt part p1 for the weights that it serves, and no later
+// changes.
 func (site *testSite) CacheEvents(ctx context.Context, addr string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	if since == 0 {
 		return site.CachedPrefixes(ctx, addr)
@@ -291,11 +293,11 @@
 func (site *testSite) CachedPrefixes(_ context.Context, addr string) (backend.CacheEvents, error) {
 	site.mu.Lock()
 	defer site.mu.Unlock()
-	text := selection.CacheSalt("daka", site.workerWeights[worker(addr)], nil)
-	return backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{{Salt: text, Part: "p1", Model: "daka", Tokens: 320}}}, nil
+	salt := selection.CacheSalt("daka", site.workerWeights[workerID(addr)], nil)
+	return backend.CacheEvents{BootID: 1, NextSequence: 1, Changes: []backend.CacheChange{{Salt: salt, Part: "p1", Model: "daka", Tokens: 320}}}, nil
 }
 
-// testCodec is a form of plans: {"version": 7, "routes": [{"name": "a", "to": "reading"}]}.
+// testCodec decodes routing plans of the form {"version": 7, "routes": [{"name": "a", "to": "reading"}]}.
 type testCodec struct{}
 
 type testPlan struct {
@@ -311,15 +313,15 @@
 	return x.BuildIndex(), err
 }
 
-func (testCodec) Merge(old, sent []byte, part bool) ([]byte, uint64, error) {
+func (testCodec) Merge(old, sent []byte, isPatch bool) ([]byte, uint64, error) {
 	var inForce, plan testPlan
 	if err := json.Unmarshal(sent, &plan); err != nil {
 		return nil, 0, err
 	}
 	if plan.Version == 0 {
-		return nil, 0, errs.New(errs.BadInput, "version: missing: give one above that in force")
+		return nil, 0, errs.New(errs.BadInput, "version: missing: give a version above that in force")
 	}
-	if !part {
+	if !isPatch {
 		return sent, plan.Version, nil
 	}
 	if len(old) > 0 {
--- a/internal/cli/skiprace_test.go
+++ b/internal/cli/skiprace_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// skipUnderRace skips a test that runs a whole site in a synctest bubble: it runs without the race detector, as
-// internal/sim/clustersim does; CI runs both.
+// skipUnderRace skips a test of a complete site in a synctest bubble if the race detector is enabled, since its
+// runtime sometimes crashes there. CI runs this package and internal/sim/clustersim without the detector, too.
 func skipUnderRace(t *testing.T) {
 	t.Helper()
 	if raceDetector {
-		t.Skip("without the race detector: see README")
+		t.Skip("the race detector's runtime sometimes crashes on a site in a synctest bubble: run without -race")
 	}
 }
--- a/internal/cli/transport.go
+++ b/internal/cli/transport.go
@@ -14,13 +14,13 @@
 	"pebbleloom/internal/errs"
 )
 
-// keyTransport adds the operators' key to every call.
+// keyTransport adds the operators' API key to every request.
 type keyTransport struct {
 	key  string
 	base http.RoundTripper
 }
 
-// RoundTrip sends a call with the key.
+// RoundTrip sends a request with the operators' API key, if there is one, in its header.
 //
 // Example: h := &http.Client{Transport: keyTransport{key, http.DefaultTransport}}
 func (s keyTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -36,10 +36,11 @@
 		return os.Getenv("PEBBLELOOM_KEY"), nil
 	}
 	raw, err := os.ReadFile(inv.keyFile)
-	return strings.TrimSpace(string(raw)), errs.WrapAs(err, errs.BadInput, "--operator-key")
+	return strings.TrimSpace(string(raw)), errs.WrapAs(err, errs.BadInput, "read --operator-key")
 }
 
-// typedError restores the kind of an error in a response.
+// typedError converts an error of an API call to one with a kind: that in the node's response or, without a
+// response, one that says whether the call may have taken effect.
 func typedError(err error, node string) error {
 	var d *operator.DeniedStatusCode
 	if errors.As(err, &d) {
@@ -47,19 +48,19 @@
 	}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return errs.New(errs.OutcomeUnknown, "node %s can't be reached: name another with --node", node)
+		return errs.New(errs.OutcomeUnknown, "node %s can't be reached: give another with --node", node)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return errs.New(errs.MayHaveExecuted, "node %s gave no answer in time", node)
+		return errs.New(errs.MayHaveExecuted, "node %s did not answer within the time limit of the command", node)
 	}
 	if strings.Contains(err.Error(), "decode response: ") || strings.Contains(err.Error(), "malformed HTTP") {
-		return errs.WrapAs(err, errs.BadInput, "--node "+node+": something else answers there: give an operator address, as `pebblectl nodes` lists them (on a platform site: a core machine's third internal port)")
+		return errs.WrapAs(err, errs.BadInput, "--node "+node+": the response isn't from the operator API: give an operator address as listed by `pebblectl nodes` (on a platform site: a core machine, at the third port of its internal range)")
 	}
 	if u := (*url.Error)(nil); errors.As(err, &u) {
-		return errs.WrapAs(err, errs.MayHaveExecuted, "node "+node+" broke off")
+		return errs.WrapAs(err, errs.MayHaveExecuted, "the connection to node "+node+" broke before a complete response")
 	}
 	if errs.KindOf(err) == errs.Internal && strings.Contains(err.Error(), "encode request: validate") {
-		return errs.WrapAs(err, errs.BadInput, "command")
+		return errs.WrapAs(err, errs.BadInput, "invalid value in command")
 	}
 	return err
 }
--- a/internal/control/operatorapi/auth.go
+++ b/internal/control/operatorapi/auth.go
@@ -9,10 +9,10 @@
 	"pebbleloom/internal/errs"
 )
 
-// KeyHeader is the header that carries the operators' key.
+// KeyHeader is the HTTP request header that carries the operators' API key.
 const KeyHeader = "X-Operator-Key"
 
-// requireKey rejects requests without the operators' key, if the settings name one.
+// requireKey rejects requests that don't carry the operators' API key; an empty key admits all requests.
 func requireKey(key string, next http.Handler) http.Handler {
 	if key == "" {
 		return next
@@ -25,7 +25,7 @@
 		kind := errs.BadOperatorKey
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(kind.HTTPStatus)
-		rejection := operator.Denial{Kind: kind.Name, Message: "the operators' key is missing or another", Remedy: kind.Remedy}
+		rejection := operator.Denial{Kind: kind.Name, Message: "the " + KeyHeader + " header is missing or doesn't match this site's operator key", Remedy: kind.Remedy}
 		_ = json.NewEncoder(w).Encode(rejection) // the client may have disconnected
 	})
 }
--- a/internal/control/operatorapi/calendar.go
+++ b/internal/control/operatorapi/calendar.go
@@ -13,15 +13,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// entryAttempts is how often an operator's request to an entry is retried when it conflicts with the
-// controller's steps.
+// entryAttempts is the number of attempts to write an operator's change to a calendar entry when the
+// controller updates the same entry concurrently.
 const entryAttempts = 5
 
 func (s *Server) readCalendar(ctx context.Context) ([]*wire.Document, error) {
 	return s.readAllShards(ctx, calendar.KeyPrefix, "calendar")
 }
 
-// ListMoves lists the calendar.
+// ListMoves lists all calendar entries: the planned, running and completed changes of services.
 //
 // Example: GET /v1/calendar
 func (s *Server) ListMoves(ctx context.Context) (*operator.Moves, error) {
@@ -36,8 +36,8 @@
 	return list, nil
 }
 
-// WriteMove writes a planned entry. Conflicts within a service are detected by the shard's leader;
-// those with another service's entries are checked here.
+// WriteMove writes a calendar entry in state planned. The leader of the service's shard detects conflicts
+// with entries of the same service; conflicts with entries of other services are checked here.
 //
 // Example: POST /v1/calendar {"move": {"name": "spring", "service": "lector-main", "kind": "weights", "model": "lector", "weights": 4}}
 func (s *Server) WriteMove(ctx context.Context, request *operator.NewMove) (*operator.Changed, error) {
@@ -53,7 +53,7 @@
 	var faults errs.Batch
 	entry.Validate(&faults)
 	var others []*calendar.Entry
-	version := uint64(0) // of the entry that this one replaces; 0: none
+	version := uint64(0) // version of the stored entry that this entry replaces; 0 if there is none
 	for _, document := range documents {
 		other, err := calendar.Decode(document.Body)
 		if faults.Add(document.Key, err); err != nil {
@@ -65,7 +65,7 @@
 		}
 		version = document.Version
 		if other.Active() {
-			faults.Addf(errs.Conflict, "entry %q of %s is %s: give another name, or end it first", other.Name, other.Service, other.State)
+			faults.Addf(errs.Conflict, "calendar entry %q of service %s is %s: use another name, or cancel or undo that entry first", other.Name, other.Service, other.State)
 		}
 	}
 	faults.Add("calendar", entry.CheckConflicts(others))
@@ -75,7 +75,7 @@
 	return s.putEntry(ctx, entry, version, request.Dry.Or(false))
 }
 
-// putEntry writes an entry over the version that was read.
+// putEntry writes a calendar entry, provided that its stored version is still the given one.
 func (s *Server) putEntry(ctx context.Context, entry *calendar.Entry, version uint64, dryRun bool) (*operator.Changed, error) {
 	body, err := entry.Encode()
 	if err != nil {
@@ -85,8 +85,8 @@
 	return s.putServiceDocument(ctx, entry.Service, put, dryRun, "calendar", string(entry.State))
 }
 
-// AskMove pauses, resumes, cancels or undoes an entry. The controller writes the same document, so a
-// request that conflicts with a step is retried on the new version.
+// AskMove pauses, resumes, cancels or undoes a calendar entry. The controller writes the same document, so a
+// request that conflicts with one of its writes is retried on the new version.
 //
 // Example: POST /v1/calendar/lector-main/spring/pause
 func (s *Server) AskMove(ctx context.Context, params operator.AskMoveParams) (*operator.Changed, error) {
@@ -97,7 +97,7 @@
 			return nil, errs.Wrap(err, "read calendar")
 		}
 		if len(response.Documents) == 0 {
-			return nil, errs.New(errs.NotFound, "service %q has no entry %q", params.Service, params.Name)
+			return nil, errs.New(errs.NotFound, "service %q has no calendar entry %q", params.Service, params.Name)
 		}
 		document := response.Documents[0]
 		entry, err := calendar.Decode(document.Body)
@@ -113,5 +113,5 @@
 		}
 		conflict = err
 	}
-	return nil, errs.WrapAs(conflict, errs.Conflict, fmt.Sprintf("entry %q keeps changing", params.Name))
+	return nil, errs.WrapAs(conflict, errs.Conflict, fmt.Sprintf("%s calendar entry %q: its version changed during each of %d attempts", params.Verb, params.Name, entryAttempts))
 }
--- a/internal/control/operatorapi/config.go
+++ b/internal/control/operatorapi/config.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 
 	"github.com/go-faster/jx"
 
@@ -12,7 +13,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// jsonObject is a JSON object of a patch; a nil value removes its key (RFC 7396).
+// jsonObject is an object in a JSON merge patch; a nil value removes its key (RFC 7396).
 type jsonObject = map[string]any
 
 func (s *Server) readConfigDocument(ctx context.Context) (*wire.Document, error) {
@@ -26,7 +27,7 @@
 	return response.Documents[0], nil
 }
 
-// readConfig reads the service configuration in force, with its document.
+// readConfig reads the service configuration in force and the versioned document that holds it.
 func (s *Server) readConfig(ctx context.Context) (*wire.Document, *serviceconfig.Config, error) {
 	document, err := s.readConfigDocument(ctx)
 	if err != nil {
@@ -36,11 +37,11 @@
 	return document, config, errs.Wrap(err, "read service configuration")
 }
 
-// configChange is a change of the configuration document.
+// configChange is a requested change to the stored configuration document.
 type configChange struct {
 	body      []byte
-	isPatch   bool    // the body is merged into the configuration in force
-	ifVersion *uint64 // that must be in force; nil: any
+	isPatch   bool    // body is a JSON merge patch to the configuration in force
+	ifVersion *uint64 // version that must be in force for the change to apply; nil accepts any version
 	token     string
 	dryRun    bool
 }
@@ -62,11 +63,11 @@
 	return changed, nil
 }
 
-// patchConfig merges a patch into the configuration, provided that it is still the document's version.
+// patchConfig merges a patch into the configuration, provided that the document's version is still in force.
 func (s *Server) patchConfig(ctx context.Context, document *wire.Document, patch jsonObject, token string) (*operator.Changed, error) {
 	body, err := json.Marshal(patch)
 	if err != nil {
-		return nil, errs.Wrap(err, "write patch")
+		return nil, errs.Wrap(err, "encode configuration patch")
 	}
 	return s.putConfig(ctx, configChange{body: body, isPatch: true, ifVersion: &document.Version, token: token})
 }
@@ -94,7 +95,7 @@
 	return s.putConfig(ctx, change)
 }
 
-// NameWeights names the version of a model's weights that its workers are to serve.
+// NameWeights sets the target version of a model's weights, which its workers are to serve.
 //
 // Example: POST /v1/weights {"model": "lector", "weights": 4}
 func (s *Server) NameWeights(ctx context.Context, request *operator.Weights) (*operator.Changed, error) {
@@ -107,16 +108,16 @@
 		return nil, errs.New(errs.NoSuchModel, "model %q", request.Model)
 	}
 	if model.Weights == uint64(request.Weights) {
-		return &operator.Changed{Epoch: int64(document.Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString("these weights are in force already")}, nil
+		return &operator.Changed{Epoch: int64(document.Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString(fmt.Sprintf("weights %d of %s are in force already", request.Weights, request.Model))}, nil
 	}
 	if uint64(request.Weights) < model.Weights {
-		return nil, errs.New(errs.BadInput, "weights %d are older than %d in force: name a later version", request.Weights, model.Weights)
+		return nil, errs.New(errs.BadInput, "weights %d of %s are older than %d in force: give a later version", request.Weights, request.Model, model.Weights)
 	}
 	patch := jsonObject{"models": jsonObject{request.Model: jsonObject{"weights": request.Weights}}}
 	return s.patchConfig(ctx, document, patch, request.Token.Or(""))
 }
 
-// RevokeKey removes a tenant's key.
+// RevokeKey removes one API key of a tenant from the service configuration.
 //
 // Example: POST /v1/keys/revoke {"tenant": "hotline", "key": "…"}
 func (s *Server) RevokeKey(ctx context.Context, request *operator.Revoke) (*operator.Changed, error) {
@@ -141,7 +142,7 @@
 	return s.patchConfig(ctx, document, patch, "")
 }
 
-// Drain stops new requests to a worker, or allows them again.
+// Drain marks a worker as draining, so that it gets no new requests, or removes the mark.
 //
 // Example: POST /v1/drain {"worker": "worker-3", "drain": true}
 func (s *Server) Drain(ctx context.Context, request *operator.Drain) (*operator.Changed, error) {
@@ -149,7 +150,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var draining any // nil removes the worker
+	var draining any // nil removes the worker from the configuration's list of draining workers
 	if request.Drain {
 		draining = true
 	}
--- a/internal/control/operatorapi/group_members.go
+++ b/internal/control/operatorapi/group_members.go
@@ -13,22 +13,24 @@
 	"pebbleloom/internal/wire"
 )
 
-// controlNode holds the responses of one control node; nil where it didn't respond.
+// controlNode holds the status and membership responses of one control node; a response that didn't arrive
+// is nil.
 type controlNode struct {
 	node       *wire.Node
 	status     *wire.ShardStatus
-	membership *wire.FollowResponse // its member name, and the newest membership that it knows
+	membership *wire.FollowResponse // the node's member name and the newest group membership that it knows
 }
 
 // groupView is the consensus group as its control nodes report it.
 type groupView struct {
-	nodes        []controlNode     // by name
-	members      []string          // of the newest membership that any node reported
-	memberByAddr map[string]string // names of the members that responded
-	nodeByAddr   map[string]string // names of the nodes in the cluster membership
+	nodes        []controlNode     // sorted by node name
+	members      []string          // member names in the newest membership that any control node reported
+	memberByAddr map[string]string // names of the responding members, by address
+	nodeByAddr   map[string]string // names of the control nodes in the cluster membership, by address
 }
 
-// queryControlNodes asks all control nodes at once for their status, each with a short timeout.
+// queryControlNodes asks all control nodes concurrently for their status and membership, under one short
+// timeout.
 func (s *groupServer) queryControlNodes(ctx context.Context, view clustermembership.View) []controlNode {
 	ctx, cancel := context.WithTimeout(ctx, s.bounds.Heal(statusTimeoutRatio))
 	defer cancel()
@@ -62,11 +64,11 @@
 		if node.Role != clustermembership.RoleControlNode {
 			continue
 		}
-		if group.nodeByAddr[node.Addr] == "" || node.State != clustermembership.Dead { // the address may have been reused
+		if group.nodeByAddr[node.Addr] == "" || node.State != clustermembership.Dead { // a dead node's address may have been reused by a new node
 			group.nodeByAddr[node.Addr] = node.Name
 		}
 	}
-	var term, index uint64 // of the newest membership
+	var term, index uint64 // log position of the newest membership reported so far
 	for _, queried := range group.nodes {
 		reported := queried.membership
 		if reported == nil {
@@ -80,7 +82,8 @@
 	return group
 }
 
-// nodeName is the name of a member's node; the member's own if that isn't known.
+// nodeName returns the name of the node on which a group member runs, or the member's own name if no node
+// has its address.
 func (g *groupView) nodeName(member string) string {
 	if name := g.nodeByAddr[controlclient.MemberAddr(member)]; name != "" {
 		return name
@@ -88,13 +91,13 @@
 	return member
 }
 
-// hasNodeAt reports whether a running node at an address is in the cluster membership.
+// hasNodeAt reports whether the cluster membership has a control node at the address that isn't dead.
 func (g *groupView) hasNodeAt(addr string) bool {
 	return slices.ContainsFunc(g.nodes, func(n controlNode) bool { return n.node.Addr == addr })
 }
 
-// checkGroup reports the state of the consensus group, and returns whether a responding member is its
-// leader.
+// checkGroup adds the state and problems of the consensus group to the report, and returns whether a
+// responding member is the leader.
 func (s *groupServer) checkGroup(ctx context.Context, view clustermembership.View, report *statusReport) (hasLeader bool) {
 	group := s.readGroup(ctx, view)
 	for _, queried := range group.nodes {
@@ -102,21 +105,22 @@
 	}
 	group.checkMembers(report)
 	if needed := 2*s.site.ToleratedFailures + 1; len(group.members) < needed {
-		report.addProblem("members-few", entireSite, fmt.Sprintf("%d members: %d are needed for the losses that the site tolerates", len(group.members), needed),
-			"see that as many core machines run and reach each other", runbookCoreDown)
+		report.addProblem("members-few", entireSite, fmt.Sprintf("the consensus group has %d members, fewer than the %d needed to tolerate %d failures", len(group.members), needed, s.site.ToleratedFailures),
+			fmt.Sprintf("check that at least %d core machines run and reach each other", needed), runbookCoreDown)
 	}
 	if !hasLeader {
-		report.addProblem("part-unowned", entireSite, "no responding core machine leads the control state: nothing can be read or changed",
-			"see that a majority of the members run and reach each other; if most of their disks are lost for good, see runbook group-lost", runbookCorePartitioned)
+		report.addProblem("part-unowned", entireSite, "no responding core machine leads the consensus group: control state can't be read or changed",
+			"check that a majority of the members run and reach each other; if most of their disks are lost for good, see runbook group-lost", runbookCorePartitioned)
 	}
 	return hasLeader
 }
 
-// checkNode reports the state of one control node, and returns whether it is the leader.
+// checkNode adds the state and problems of one control node to the report, and returns whether it leads the
+// consensus group.
 func (g *groupView) checkNode(queried controlNode, report *statusReport) (isLeader bool) {
 	name, status := queried.node.Name, queried.status
 	if status == nil || queried.membership == nil {
-		report.addProblem("core-silent", name, "it doesn't answer", "see whether it is cut off, frozen or stopped", runbookMachinePartition)
+		report.addProblem("core-silent", name, "the control node doesn't answer status requests", "check whether its machine is partitioned, frozen or stopped", runbookMachinePartition)
 		return false
 	}
 	state := replicaFollows
@@ -133,7 +137,7 @@
 	return state == replicaLeads
 }
 
-// checkMembers reports members that are gone or have lost their disk.
+// checkMembers reports group members that no longer run or that restarted without their data.
 func (g *groupView) checkMembers(report *statusReport) {
 	var names []string
 	for _, member := range g.members {
@@ -143,9 +147,9 @@
 		names = append(names, name)
 		switch {
 		case ok && responding != member:
-			report.addProblem("member-blank", name, "it came back without its disk", "wait until it is added again; else see that the others reach it", runbookDiskLost)
+			report.addProblem("member-blank", name, "the member restarted without its data", "wait until it rejoins the group; if it doesn't, check that the other members can reach it", runbookDiskLost)
 		case !ok && !g.hasNodeAt(addr):
-			report.addProblem("member-gone", name, "a member whose machine isn't there", "start it again; else wait until a spare takes its place", runbookCoreDown)
+			report.addProblem("member-gone", name, "no running control node is known at the member's address "+addr, "start its control node again, or wait until a spare core machine replaces it", runbookCoreDown)
 		}
 	}
 	report.addFact("members", "%s", strings.Join(names, " "))
--- a/internal/control/operatorapi/group_restore.go
+++ b/internal/control/operatorapi/group_restore.go
@@ -7,33 +7,33 @@
 	"pebbleloom/internal/errs"
 )
 
-// RestoreGroup isn't supported with fixed members.
+// RestoreGroup returns a not-supported error: the shards of a site with fixed members have no group to restore.
 //
 // Example: POST /v1/group/restore responds with not-here
 func (s *Server) RestoreGroup(context.Context, *operator.GroupRestore) (*operator.GroupRestored, error) {
-	return nil, errs.New(errs.NotSupported, "a site whose members are fixed has no group to restore: a lost disk comes back from its peers (pebblectl runbook run --name disk-lost)")
+	return nil, errs.New(errs.NotSupported, "restore group: not available on a site with fixed members, where a lost disk is rebuilt from its peers: use pebblectl runbook run --name disk-lost")
 }
 
-// RestoreReport says what a restore of the group from a member would do, or has done.
+// RestoreReport describes the result of restoring the consensus group from a single member, or of a dry run.
 type RestoreReport struct {
-	Restored      bool     // the group was restored from this member, now or by the same call before
-	Member        string   // this member: its new name once the group is restored
-	Members       []string // the newest membership that any control node knows
-	Silent        []string // addresses of control nodes that didn't answer
-	Objections    []string // why the group must not be restored from here; empty: it may
-	LogTerm       uint64   // of the last entry that this member holds
-	LogIndex      uint64   // of the last entry that this member holds
-	PlanVersion   uint64   // of the plan that this member holds; 0: none
-	TimesRestored uint64   // how often the group has been restored
+	Restored      bool     // the group was restored from this member, by this call or an earlier identical one
+	Member        string   // name of the member on this node; after a restore, its new name
+	Members       []string // member names in the newest membership that any control node knows
+	Silent        []string // addresses of the control nodes that didn't answer
+	Objections    []string // reasons against restoring the group from this member; empty if there are none
+	LogTerm       uint64   // term of the last log entry that this member holds
+	LogIndex      uint64   // index of the last log entry that this member holds
+	PlanVersion   uint64   // version of the routing plan that this member holds; 0 if it has none
+	TimesRestored uint64   // number of times that the group has been restored
 }
 
-// GroupRestorer restores the consensus group from the member of this node.
+// GroupRestorer restores the consensus group from the member that runs on this node.
 type GroupRestorer interface {
 	RestoreGroup(ctx context.Context, confirmed string) (RestoreReport, error)
 }
 
-// RestoreGroup restores the group from this node's member if the request confirms its name, and otherwise reports
-// what that would do.
+// RestoreGroup restores the consensus group from this node's member if the request confirms the member's name;
+// otherwise it only reports what a restore would keep.
 //
 // Example: POST /v1/group/restore {"confirm": "10.1.0.17:7360/8f3a"}
 func (s *groupServer) RestoreGroup(ctx context.Context, request *operator.GroupRestore) (*operator.GroupRestored, error) {
@@ -54,7 +54,7 @@
 	}, nil
 }
 
-// nonNil returns an empty list in place of none: the response's lists are never null.
+// nonNil replaces a nil list by an empty one, since the lists in API responses are never null.
 func nonNil(items []string) []string {
 	if items == nil {
 		return []string{}
--- a/internal/control/operatorapi/group_server.go
+++ b/internal/control/operatorapi/group_server.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"net/http"
 	"slices"
 	"strings"
@@ -21,19 +22,19 @@
 	"pebbleloom/internal/wire"
 )
 
-// groupServer handles operators' requests on a site with a group: one shard holds all control state, its
-// membership is part of the replicated log, and the plan is the site's configuration, in the format in
-// which it was sent.
+// groupServer handles operators' requests on a platform site. There, one consensus group holds all control
+// state, the group's membership is part of its replicated log, and the site's configuration is the routing
+// plan, stored in the format in which it was sent.
 type groupServer struct {
 	*Server
 	site       *settings.Site
 	restorer   GroupRestorer
-	name       string // of this node
+	name       string // this node's name in the cluster membership
 	decodePlan func(body []byte) (*routingconfig.Plan, error)
 }
 
-// ServeGroup serves the operators' API of a site with a group. The API's handler is built at the first
-// request: until then it costs one listener.
+// ServeGroup serves the operators' API of a platform site. The API's handler is built at the first request;
+// until then it costs only a listener.
 //
 // Example: err := operatorapi.ServeGroup(process, control, member.View, clients, codec.Read, node)
 func ServeGroup(process *daemon.Process, control *controlclient.Client, view func() clustermembership.View, clients *daemon.Clients,
@@ -52,7 +53,7 @@
 	return process.Serve(process.Settings.Operator, requireKey(process.Settings.OperatorKey, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		handler, err := api()
 		if err != nil {
-			process.Log.Error("operator API", "error", err)
+			process.Log.Error("operator API: build handler", "error", err)
 			http.Error(w, err.Error(), errs.Internal.HTTPStatus)
 			return
 		}
@@ -60,7 +61,8 @@
 	})))
 }
 
-// readDocument reads one document by majority; nil if there is none.
+// readDocument reads one document of the control state from a majority of the members; it returns nil if
+// there is none.
 func (s *groupServer) readDocument(ctx context.Context, key string) (*wire.Document, error) {
 	response, err := s.control.Read(ctx, &wire.ReadRequest{Key: key})
 	if err != nil {
@@ -74,7 +76,8 @@
 	return nil, nil
 }
 
-// readJSON decodes one document into value and returns its version; 0 if there is none.
+// readJSON decodes the document with a key into value and returns the document's version; 0 if there is
+// no such document.
 func (s *groupServer) readJSON(ctx context.Context, key string, value any) (uint64, error) {
 	document, err := s.readDocument(ctx, key)
 	if err == nil && document != nil {
@@ -83,7 +86,7 @@
 	return document.GetVersion(), err
 }
 
-// NameWeights names the version of a model's weights that its workers are to serve.
+// NameWeights sets the target version of a model's weights, which its workers are to serve.
 //
 // Example: POST /v1/weights {"model": "lector", "weights": 4}
 func (s *groupServer) NameWeights(ctx context.Context, request *operator.Weights) (*operator.Changed, error) {
@@ -92,11 +95,11 @@
 	if err != nil {
 		return nil, err
 	}
-	switch named, requested := weights.Versions[request.Model], uint64(request.Weights); {
-	case named == requested:
-		return &operator.Changed{Epoch: int64(version), Outcome: wire.OutcomeDone, Note: operator.NewOptString("these weights are named already")}, nil
-	case named > requested:
-		return nil, errs.New(errs.BadInput, "weights %d are older than %d, which are named: name a later version", requested, named)
+	switch target, requested := weights.Versions[request.Model], uint64(request.Weights); {
+	case target == requested:
+		return &operator.Changed{Epoch: int64(version), Outcome: wire.OutcomeDone, Note: operator.NewOptString(fmt.Sprintf("weights %d of %s are the target already", requested, request.Model))}, nil
+	case target > requested:
+		return nil, errs.New(errs.BadInput, "weights %d of %s are older than %d, the target: give a later version", requested, request.Model, target)
 	}
 	if weights.Versions == nil {
 		weights.Versions = map[string]uint64{}
@@ -104,17 +107,17 @@
 	weights.Versions[request.Model] = uint64(request.Weights)
 	body, err := json.Marshal(weights)
 	if err != nil {
-		return nil, errs.Wrap(err, "encode named weights")
+		return nil, errs.Wrap(err, "encode target weights")
 	}
 	put := &wire.Put{Key: fleet.WeightsKey, Body: body, IfVersion: version, Token: request.Token.Or("")}
 	response, err := s.control.Change(ctx, &wire.ChangeRequest{Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}})
 	if err != nil {
-		return nil, errs.Wrap(err, "name weights")
+		return nil, errs.Wrap(err, "set target weights")
 	}
 	return &operator.Changed{Epoch: int64(response.Version), Outcome: response.Outcome}, nil
 }
 
-// ListNodes lists the nodes as this one sees them.
+// ListNodes lists the nodes in this node's view of the cluster membership.
 //
 // Example: GET /v1/nodes
 func (s *groupServer) ListNodes(context.Context) (*operator.NodeList, error) {
@@ -130,7 +133,7 @@
 	return list, nil
 }
 
-// GetPlacement reads a service's placement by majority.
+// GetPlacement reads the placement of a service from a majority of the group's members.
 //
 // Example: GET /v1/placements/appraisals
 func (s *groupServer) GetPlacement(ctx context.Context, params operator.GetPlacementParams) (*operator.PlacementInForce, error) {
--- a/internal/control/operatorapi/group_status.go
+++ b/internal/control/operatorapi/group_status.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// GetStatus checks the whole site from here and reports problems, with remedies.
+// GetStatus checks nodes, consensus group, leases and workers of the site, and reports problems with remedies.
 //
 // Example: GET /v1/status
 func (s *groupServer) GetStatus(ctx context.Context) (*operator.Status, error) {
@@ -23,7 +23,7 @@
 	checkDeadNodes(view, report)
 	hasLeader := s.checkGroup(ctx, view, report)
 	checkIndexNodes(view, report)
-	if hasLeader { // otherwise a read would wait for its timeout
+	if hasLeader { // without a leader, a read would block until its timeout
 		s.checkDocuments(ctx, view, report)
 	}
 	return report.finish(), nil
@@ -38,11 +38,11 @@
 		if node.Role != clustermembership.RoleNodeAgent {
 			help = runbookCoreDown
 		}
-		report.addProblem("node-gone", node.Name, "no heartbeat reaches its observers", "start it again, or take its machine out for good", help)
+		report.addProblem("node-gone", node.Name, "the nodes that monitor this node receive no heartbeats from it", "start the node again, or decommission its machine", help)
 	}
 }
 
-// checkIndexNodes reports the prompt index's nodes.
+// checkIndexNodes adds the prompt-index nodes to the report, and a problem if none of them is reachable.
 func checkIndexNodes(view clustermembership.View, report *statusReport) {
 	var serving []string
 	for _, node := range promptindex.ServingNodes(view.Nodes) {
@@ -50,19 +50,19 @@
 	}
 	report.addFact("index nodes", "%d, serving: %s", len(view.WithRole(clustermembership.RolePromptIndex)), strings.Join(serving, " "))
 	if len(serving) == 0 {
-		report.addProblem("index-none", entireSite, "no index node is reachable: requests are routed without it", "start the index on the core machines", runbookCoreDown)
+		report.addProblem("index-none", entireSite, "no prompt-index node is reachable: requests are routed without knowledge of cached prompts", "start the prompt index on the core machines", runbookCoreDown)
 	}
 }
 
-// checkDocuments reports the documents in force.
+// checkDocuments adds the routing plan, the leases and the workers in the control state to the report.
 func (s *groupServer) checkDocuments(ctx context.Context, view clustermembership.View, report *statusReport) {
 	plan, err := s.readDocument(ctx, s.configKey)
-	if err != nil { // then nothing else can be read either
+	if err != nil { // the other documents are in the same group and can't be read either
 		report.addProblem("plan-unknown", entireSite, err.Error(), errs.KindOf(err).Remedy, runbookCorePartitioned)
 		return
 	}
 	if plan == nil {
-		report.addProblem("no-setup", entireSite, "no plan is in force", "send one: pebblectl config apply --file …", runbookConfigWrong)
+		report.addProblem("no-setup", entireSite, "no routing plan is in force", "apply one: pebblectl config apply --file FILE", runbookConfigWrong)
 	} else {
 		report.addFact("plan", "version %d, %d bytes", plan.Version, len(plan.Body))
 	}
@@ -75,7 +75,7 @@
 	workers.check(report)
 }
 
-// checkLeases reports who holds the site's leases, and if no holder is alive.
+// checkLeases adds the holder of each lease to the report, and a problem if no holder is alive.
 func checkLeases(leases []*wire.Lease, view clustermembership.View, report *statusReport) {
 	held := false
 	for _, lease := range leases {
@@ -86,29 +86,29 @@
 		}
 	}
 	if !held {
-		report.addProblem("duties-unheld", entireSite, "no reachable machine holds the site's lease", "see that an index process runs and reaches the members", runbookCoreDown)
+		report.addProblem("duties-unheld", entireSite, "no live machine holds the lease for the site's controller", "check that an index process runs and reaches the members of the consensus group", runbookCoreDown)
 	}
 }
 
-// check reports the workers' states and weights.
+// check adds the number of workers by state and by version of weights to the report.
 func (s *workerDocuments) check(report *statusReport) {
 	if s.version == 0 {
-		report.addProblem("workers-unknown", entireSite, "the list of workers hasn't been read yet", "see whether the platform's list answers", runbookCoreDown)
+		report.addProblem("workers-unknown", entireSite, "the worker list hasn't been read from the platform yet", "check that the platform's worker list answers", runbookCoreDown)
 	}
-	states, outdated := map[string]int{}, map[string]int{} // workers by state, and by model
+	states, outdated := map[string]int{}, map[string]int{} // numbers of workers by state, and of outdated workers by model
 	for _, worker := range s.workers {
 		states[s.state(worker)]++
 		if model := s.outdatedModel(worker); model != "" && !worker.Draining {
 			outdated[model]++
 		}
 	}
-	report.addFact("workers", "%d: %d up, %d draining, %d set aside for new weights, %d behind the named weights", len(s.workers),
+	report.addFact("workers", "%d: %d up, %d draining, %d cordoned for a rollout, %d on outdated weights", len(s.workers),
 		states[workerUp], states[workerDraining], states[workerRolling], states[workerOutdated])
-	for _, model := range maputil.SortedKeys(s.named) {
-		report.addFact("weights of "+model, "version %d named, %d workers behind", s.named[model], outdated[model])
+	for _, model := range maputil.SortedKeys(s.targetWeights) {
+		report.addFact("weights of "+model, "target version %d, %d workers on outdated weights", s.targetWeights[model], outdated[model])
 	}
 	for _, model := range maputil.SortedKeys(outdated) {
-		report.addProblem("older-weights", model, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", outdated[model], len(s.workers), s.named[model]),
-			"wait for the rollout; else see the log of the machine that holds the lease", runbookOutdatedWeights)
+		report.addProblem("older-weights", model, fmt.Sprintf("%d of %d workers don't serve the target version %d of the weights yet", outdated[model], len(s.workers), s.targetWeights[model]),
+			"wait for the rollout; if it doesn't finish, check the log of the machine that holds the lease", runbookOutdatedWeights)
 	}
 }
--- a/internal/control/operatorapi/group_unsupported.go
+++ b/internal/control/operatorapi/group_unsupported.go
@@ -7,76 +7,76 @@
 	"pebbleloom/internal/errs"
 )
 
-// unsupported is the error for what a site with a group doesn't have.
+// unsupported returns the error for an operation that platform sites don't support, naming the alternative.
 func unsupported(what, instead string) error {
-	return errs.New(errs.NotSupported, "a site whose membership is agreed has no %s: %s", what, instead)
+	return errs.New(errs.NotSupported, "%s: not supported on a platform site: %s", what, instead)
 }
 
-// RevokeKey isn't supported here.
+// RevokeKey returns a not-supported error on platform sites.
 //
 // Example: POST /v1/keys/revoke responds with not-here
 func (s *groupServer) RevokeKey(context.Context, *operator.Revoke) (*operator.Changed, error) {
-	return nil, unsupported("command for one key", "send the tenant without the key: pebblectl config patch --file PART --if-epoch N")
+	return nil, unsupported("revoke key", "apply the tenant without the key: pebblectl config patch --file FILE --if-version VERSION")
 }
 
-// Drain isn't supported here.
+// Drain returns a not-supported error on platform sites.
 //
 // Example: POST /v1/drain responds with not-here
 func (s *groupServer) Drain(context.Context, *operator.Drain) (*operator.Changed, error) {
-	return nil, unsupported("drain of its own", "have the platform's list of workers mark the worker, and see pebblectl workers")
+	return nil, unsupported("drain worker", "mark the worker as draining in the platform's worker list, then check it with pebblectl workers")
 }
 
-// insteadOfMoves is what operators of a site with a group do in place of calendar entries.
-const insteadOfMoves = "name weights with pebblectl weights name, change the plan with pebblectl config patch"
+// insteadOfMoves lists the commands that replace calendar entries on platform sites.
+const insteadOfMoves = "set target weights with pebblectl weights name, change the routing plan with pebblectl config patch"
 
-// ListMoves isn't supported here.
+// ListMoves returns a not-supported error on platform sites.
 //
 // Example: GET /v1/calendar responds with not-here
 func (s *groupServer) ListMoves(context.Context) (*operator.Moves, error) {
 	return nil, unsupported("calendar", insteadOfMoves)
 }
 
-// WriteMove isn't supported here.
+// WriteMove returns a not-supported error on platform sites.
 //
 // Example: POST /v1/calendar responds with not-here
 func (s *groupServer) WriteMove(context.Context, *operator.NewMove) (*operator.Changed, error) {
 	return nil, unsupported("calendar", insteadOfMoves)
 }
 
-// AskMove isn't supported here.
+// AskMove returns a not-supported error on platform sites.
 //
 // Example: POST /v1/calendar/lector-main/spring/pause responds with not-here
 func (s *groupServer) AskMove(context.Context, operator.AskMoveParams) (*operator.Changed, error) {
 	return nil, unsupported("calendar", insteadOfMoves)
 }
 
-// insteadOfRetirements is what operators of a site with a group do in place of retirements.
-const insteadOfRetirements = "name the new model's weights with pebblectl weights name, and move its routes with pebblectl config patch"
+// insteadOfRetirements lists the commands that replace retirements of base models on platform sites.
+const insteadOfRetirements = "set the new model's target weights with pebblectl weights name, and change its routes with pebblectl config patch"
 
-// ListRetirements isn't supported here.
+// ListRetirements returns a not-supported error on platform sites.
 //
 // Example: GET /v1/retirements responds with not-here
 func (s *groupServer) ListRetirements(context.Context) (*operator.Retirements, error) {
 	return nil, unsupported("retirement of base models", insteadOfRetirements)
 }
 
-// PlanRetirement isn't supported here.
+// PlanRetirement returns a not-supported error on platform sites.
 //
 // Example: POST /v1/retirements responds with not-here
 func (s *groupServer) PlanRetirement(context.Context, *operator.NewRetirement) (*operator.Changed, error) {
 	return nil, unsupported("retirement of base models", insteadOfRetirements)
 }
 
-// AskRetirement isn't supported here.
+// AskRetirement returns a not-supported error on platform sites.
 //
 // Example: POST /v1/retirements/lector-main/spring/start responds with not-here
 func (s *groupServer) AskRetirement(context.Context, operator.AskRetirementParams) (*operator.Changed, error) {
 	return nil, unsupported("retirement of base models", insteadOfRetirements)
 }
 
-// Explain isn't supported here: edge machines remember no requests.
+// Explain returns a not-supported error: edge machines of platform sites keep no routing decisions.
 //
 // Example: GET /v1/explain/r1 responds with not-here
 func (s *groupServer) Explain(context.Context, operator.ExplainParams) (*operator.Explained, error) {
-	return nil, unsupported("memory of single requests", "see the edges' logs and /metrics at their internal address (pebblectl nodes)")
+	return nil, unsupported("explain request", "check the logs of the edge machines, and /metrics at their internal addresses as listed by pebblectl nodes")
 }
--- a/internal/control/operatorapi/group_workers.go
+++ b/internal/control/operatorapi/group_workers.go
@@ -11,21 +11,21 @@
 	"pebbleloom/internal/wire"
 )
 
-// The states of a worker on a site with a group, as the API names them.
+// Worker states in API responses of platform sites.
 const (
 	workerUp       = "up"
 	workerDraining = "draining"
-	workerRolling  = "rolling" // cordoned during a rollout
-	workerOutdated = "behind"  // serves older weights than are named
+	workerRolling  = "rolling" // excluded from new requests while new weights are rolled out
+	workerOutdated = "behind"  // serves an older version of weights than the target
 )
 
-// workerDocuments is what the control state holds about the workers.
+// workerDocuments holds the documents of the control state that concern workers.
 type workerDocuments struct {
-	workers  []fleet.Worker
-	version  uint64            // of the list of workers; 0: there is none yet
-	named    map[string]uint64 // weights by model
-	cordoned map[string]bool   // workers that a placement excludes during a rollout, by ID
-	leases   []*wire.Lease
+	workers       []fleet.Worker
+	version       uint64            // version of the worker list; 0 if no list has been stored yet
+	targetWeights map[string]uint64 // target versions of weights, by model
+	cordoned      map[string]bool   // IDs of the workers that a placement excludes during a rollout of weights
+	leases        []*wire.Lease
 }
 
 func (s *groupServer) readWorkers(ctx context.Context) (*workerDocuments, error) {
@@ -52,13 +52,14 @@
 			cordoned[id] = true
 		}
 	}
-	return &workerDocuments{workers: list.Workers, version: version, named: weights.Versions, cordoned: cordoned, leases: placements.Leases}, nil
+	return &workerDocuments{workers: list.Workers, version: version, targetWeights: weights.Versions, cordoned: cordoned, leases: placements.Leases}, nil
 }
 
-// outdatedModel returns a model of which a worker serves older weights than are named; "" if none.
+// outdatedModel returns the first model, by name, whose weights on the worker are older than the target; "" if
+// there is none.
 func (s *workerDocuments) outdatedModel(worker fleet.Worker) string {
 	for _, model := range maputil.SortedKeys(worker.Weights) {
-		if worker.Weights[model] < s.named[model] {
+		if worker.Weights[model] < s.targetWeights[model] {
 			return model
 		}
 	}
@@ -77,10 +78,11 @@
 	return workerUp
 }
 
-// weightsInUse is the named version of a model's weights; the newest that a worker serves if none is.
+// weightsInUse returns the target version of a model's weights or, if none is set, the newest version that any
+// worker serves.
 func (s *workerDocuments) weightsInUse(model string) uint64 {
-	if named := s.named[model]; named != 0 {
-		return named
+	if target := s.targetWeights[model]; target != 0 {
+		return target
 	}
 	newest := uint64(0)
 	for _, worker := range s.workers {
@@ -89,8 +91,8 @@
 	return newest
 }
 
-// ListWorkers lists the workers that the control state holds, by majority. A worker's weights are
-// those of the first of its models that is outdated, or else of its first model.
+// ListWorkers lists the workers in the control state, read from a majority of the group's members. A worker's
+// weights are those of its first outdated model, or of its first model if none is outdated.
 //
 // Example: GET /v1/workers
 func (s *groupServer) ListWorkers(ctx context.Context) (*operator.WorkerList, error) {
@@ -107,12 +109,12 @@
 		list.Workers = append(list.Workers, operator.WorkerListWorkersItem{Name: worker.ID, Addr: worker.Addr, Service: worker.Service, District: worker.Zone,
 			State: state.state(worker), Incarnation: operator.NewOptString(worker.ID), Slots: worker.Slots, Weights: int64(worker.Weights[model])})
 	}
-	if len(state.named) > 0 {
-		named := operator.WorkerListNamed{}
-		for model, version := range state.named {
-			named[model] = int64(version)
+	if len(state.targetWeights) > 0 {
+		targets := operator.WorkerListNamed{}
+		for model, version := range state.targetWeights {
+			targets[model] = int64(version)
 		}
-		list.Named = operator.NewOptWorkerListNamed(named)
+		list.Named = operator.NewOptWorkerListNamed(targets)
 	}
 	return list, nil
 }
--- a/internal/control/operatorapi/index.go
+++ b/internal/control/operatorapi/index.go
@@ -14,12 +14,12 @@
 	"pebbleloom/internal/wire"
 )
 
-// holderStateName is the API's name of the state in which a worker holds a prefix.
+// holderStateName returns the API's name for whether a worker's cached prefix is presumed or confirmed.
 func holderStateName(state uint32) string {
 	return [...]string{"", "presumed", "confirmed"}[min(state, 2)]
 }
 
-// newPrefixItem describes a prefix and what the prompt index has found of it; nil if nothing.
+// newPrefixItem describes a prompt prefix and its holders; found is nil if the prompt index doesn't know it.
 func newPrefixItem(key prefix.Key, found *wire.LookupResult) operator.FoundPrefixesItem {
 	item := operator.FoundPrefixesItem{Key: key.String(), Holders: []string{}}
 	if found == nil {
@@ -32,7 +32,7 @@
 	return item
 }
 
-// LookUp asks the prompt index for the holders of each prefix of a prompt.
+// LookUp asks the prompt index which workers cache each prefix of a prompt.
 //
 // Example: POST /v1/index {"model": "lector", "tenant": "biblioteca", "parts": ["…"]}
 func (s *Server) LookUp(ctx context.Context, request *operator.Lookup) (*operator.Found, error) {
@@ -60,8 +60,8 @@
 	return response, nil
 }
 
-// LookUp asks the prompt index for the holders of each part of a prompt, named by its ID, under the
-// named version of the model's weights; if none is named, under the newest that a worker serves.
+// LookUp asks the prompt index which workers cache each part of a prompt, given by part ID, for the target
+// version of the model's weights; without a target, for the newest version that any worker serves.
 //
 // Example: POST /v1/index {"model": "lector", "tenant": "biblioteca", "parts": ["5c1e07a2"]}
 func (s *groupServer) LookUp(ctx context.Context, request *operator.Lookup) (*operator.Found, error) {
@@ -96,12 +96,12 @@
 	return response, nil
 }
 
-// readPlan reads and decodes the plan in force.
+// readPlan reads and decodes the routing plan in force.
 func (s *groupServer) readPlan(ctx context.Context) (*routingconfig.Plan, error) {
 	document, err := s.readConfigDocument(ctx)
 	if err != nil {
 		return nil, err
 	}
 	plan, err := s.decodePlan(document.Body)
-	return plan, errs.Wrap(err, "read plan")
+	return plan, errs.Wrap(err, "decode routing plan")
 }
--- a/internal/control/operatorapi/report.go
+++ b/internal/control/operatorapi/report.go
@@ -6,10 +6,10 @@
 	"pebbleloom/api/operator"
 )
 
-// runbook is the name of the runbook that helps with a problem.
+// runbook is the name of a runbook for a problem in the status report.
 type runbook string
 
-// The runbooks, as the command line names them.
+// Names of the built-in runbooks, as given to pebblectl runbook run.
 const (
 	runbookCoreDown          runbook = "core-gone"
 	runbookCorePartitioned   runbook = "core-split"
@@ -25,10 +25,10 @@
 	runbookRetirementBlocked runbook = "retirement-held"
 )
 
-// entireSite is where a problem lies that isn't one node's, shard's or service's.
+// entireSite is the location of problems that don't belong to a single node, shard or service.
 const entireSite = "site"
 
-// The states of a shard's replica, as the API names them.
+// States of a shard's replica in API responses.
 const (
 	replicaFollows = "follows"
 	replicaLeads   = "owns"
@@ -38,19 +38,19 @@
 	replicaBlank   = "blank"
 )
 
-// statusReport collects a site's status.
+// statusReport collects the facts, replicas and problems of a site's status.
 type statusReport struct{ status operator.Status }
 
 func newStatusReport() *statusReport {
 	return &statusReport{operator.Status{Parts: []operator.StatusPartsItem{}, Problems: []operator.StatusProblemsItem{}}}
 }
 
-// addProblem reports a problem: its kind, where it lies, and what an operator can do about it.
+// addProblem adds a problem: its kind, its location, a description, and the remedy and runbook for it.
 func (r *statusReport) addProblem(kind, where, text, remedy string, help runbook) {
 	r.status.Problems = append(r.status.Problems, operator.StatusProblemsItem{Kind: kind, Where: where, Text: text, Remedy: remedy, Runbook: string(help)})
 }
 
-// addFact reports a named value.
+// addFact adds a named value, formatted as by fmt.Sprintf.
 func (r *statusReport) addFact(name, format string, args ...any) {
 	r.status.Facts = append(r.status.Facts, operator.StatusFactsItem{Name: name, Value: fmt.Sprintf(format, args...)})
 }
@@ -59,7 +59,7 @@
 	r.status.Parts = append(r.status.Parts, replica)
 }
 
-// finish returns the status; it is ok if there are no problems.
+// finish returns the status, marked as ok if no problems were added.
 func (r *statusReport) finish() *operator.Status {
 	r.status.Ok = len(r.status.Problems) == 0
 	return &r.status
--- a/internal/control/operatorapi/retirements.go
+++ b/internal/control/operatorapi/retirements.go
@@ -13,15 +13,15 @@
 	"pebbleloom/internal/wire"
 )
 
-// retirementAttempts is how often an operator's request to a retirement is retried when it conflicts
-// with the controller's steps.
+// retirementAttempts is the number of attempts to write an operator's change to a retirement when the
+// controller updates the same retirement concurrently.
 const retirementAttempts = 8
 
 func (s *Server) readRetirements(ctx context.Context) ([]*wire.Document, error) {
 	return s.readAllShards(ctx, "retire/", "retirements")
 }
 
-// ListRetirements lists all retirements.
+// ListRetirements lists all retirements of base models.
 //
 // Example: GET /v1/retirements
 func (s *Server) ListRetirements(ctx context.Context) (*operator.Retirements, error) {
@@ -36,8 +36,8 @@
 	return list, nil
 }
 
-// PlanRetirement writes a planned retirement, checked against the service configuration in force and
-// against all others; nothing moves until it is started.
+// PlanRetirement writes the planned retirement of a base model, after checking it against the service
+// configuration in force and all other retirements. No traffic moves until the retirement is started.
 //
 // Example: POST /v1/retirements {"retirement": {"name": "spring", "service": "lector-main", "from": "lector", "to": "lector-2", "replace": {"rare": "rare-2"}}}
 func (s *Server) PlanRetirement(ctx context.Context, request *operator.NewRetirement) (*operator.Changed, error) {
@@ -53,7 +53,7 @@
 	var faults errs.Batch
 	planned.Validate(&faults)
 	var others []*retire.Retirement
-	version := uint64(0) // of the retirement that this one replaces; 0: none
+	version := uint64(0) // version of the stored retirement that this one replaces; 0 if there is none
 	for _, document := range documents {
 		other, err := retire.Read(document.Body)
 		if faults.Add(document.Key, err); err != nil {
@@ -65,7 +65,7 @@
 		}
 		version = document.Version
 		if other.Active() {
-			faults.Addf(errs.Conflict, "retirement %q of %s is %s: give another name, or end it first", other.Name, other.Service, other.State)
+			faults.Addf(errs.Conflict, "retirement %q of service %s is %s: use another name, or abort that retirement first", other.Name, other.Service, other.State)
 		}
 	}
 	faults.Add("retirement", planned.CheckConflicts(others))
@@ -76,7 +76,7 @@
 	return s.putRetirement(ctx, planned, version, request.Dry.Or(false))
 }
 
-// newPlanned copies what operators write of a retirement; the rest is the controller's.
+// newPlanned copies the fields of a retirement that operators set; the controller sets the others.
 func newPlanned(r *retire.Retirement) *retire.Retirement {
 	return &retire.Retirement{
 		Name:              r.Name,
@@ -92,7 +92,7 @@
 	}
 }
 
-// checkAgainstConfig checks a retirement against the service configuration in force.
+// checkAgainstConfig validates a retirement against the service configuration in force.
 func (s *Server) checkAgainstConfig(ctx context.Context, retirement *retire.Retirement) error {
 	_, config, err := s.readConfig(ctx)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return faults.Err()
 }
 
-// putRetirement writes a retirement over the version that was read.
+// putRetirement writes a retirement, provided that its stored version is still the given one.
 func (s *Server) putRetirement(ctx context.Context, retirement *retire.Retirement, version uint64, dryRun bool) (*operator.Changed, error) {
 	body, err := retirement.Write()
 	if err != nil {
@@ -113,9 +113,9 @@
 	return s.putServiceDocument(ctx, retirement.Service, put, dryRun, "retirement", string(retirement.State))
 }
 
-// AskRetirement starts, pauses, resumes or aborts a retirement; repeating it changes nothing. The
-// controller writes the same document, so a request that conflicts with a step is retried on the new
-// version.
+// AskRetirement starts, pauses, resumes or aborts the retirement of a base model; a repeated request changes
+// nothing. The controller writes the same document, so a request that conflicts with one of its writes is
+// retried on the new version.
 //
 // Example: POST /v1/retirements/lector-main/spring/pause
 func (s *Server) AskRetirement(ctx context.Context, params operator.AskRetirementParams) (*operator.Changed, error) {
@@ -135,11 +135,12 @@
 		}
 		conflict = err
 	}
-	return nil, errs.WrapAs(conflict, errs.Conflict, fmt.Sprintf("retirement %q keeps changing", params.Name))
+	return nil, errs.WrapAs(conflict, errs.Conflict, fmt.Sprintf("%s retirement %q: its version changed during each of %d attempts", params.Verb, params.Name, retirementAttempts))
 }
 
-// applyVerb applies an operator's verb to a retirement as it was read. retry says that the document
-// has changed meanwhile; a start isn't retried, since it was checked against another configuration.
+// applyVerb applies an operator's verb (start, pause, resume or abort) to a stored retirement. It returns retry
+// if the document was changed concurrently; a start isn't retried, since only the version that was read
+// has been checked against the configuration.
 func (s *Server) applyVerb(ctx context.Context, document *wire.Document, verb string) (changed *operator.Changed, retry bool, err error) {
 	retirement, err := retire.Read(document.Body)
 	if err != nil {
@@ -162,7 +163,7 @@
 	return changed, retry, err
 }
 
-// checkRetirements reports retirements that need an operator, and what blocks them.
+// checkRetirements reports retirements that are paused or blocked until an operator acts.
 func (s *Server) checkRetirements(ctx context.Context, report *statusReport) {
 	documents, err := s.readRetirements(ctx)
 	if err != nil {
@@ -176,7 +177,7 @@
 		}
 		name := retirement.Service + "/" + retirement.Name
 		if retirement.State == retire.StatePaused {
-			report.addProblem("retirement-paused", name, retirement.Reason, "find out why, then resume or abort it", runbookRetirementBlocked)
+			report.addProblem("retirement-paused", name, retirement.Reason, "remove the cause of the pause, then resume or abort the retirement", runbookRetirementBlocked)
 		}
 		for _, blocker := range retirement.Blockers {
 			if blocker.NeedsOperator {
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -1,10 +1,11 @@
-// Package operatorapi serves the operators' HTTP API. Every node serves it, and every node gives the
-// same response: control state is read by majority, and a view of the nodes or workers is reported by
-// one node, which the response names.
+// Package operatorapi serves the HTTP API for operators. Every node serves it, and a request may be sent to
+// any of them: control state is read from a majority of its replicas, and a list of nodes or workers comes
+// from a single node, which the response names.
 //
-// Server serves sites whose settings name the control nodes; groupServer serves sites with a group, whose
-// membership is part of the replicated log. The names of the methods and of their types are generated
-// from the API's schema, whose paths and JSON keys are those of the first release.
+// Server serves sites whose settings list the control nodes; groupServer serves platform sites, where one
+// consensus group holds the control state and the group's membership is part of its replicated log. The names
+// of the methods and of their types are generated from the API's schema, whose paths and JSON keys are kept
+// from the first release for compatibility.
 package operatorapi
 
 import (
@@ -21,22 +22,22 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxBodyBytes bounds a request's body: a configuration with what surrounds it.
+// maxBodyBytes limits a request's body: twice the largest configuration, to allow for the JSON around it.
 const maxBodyBytes = 2 * serviceconfig.MaxBytes
 
-// Timeouts of calls to one node, as ratios of the heal bound.
+// Timeouts of calls to a single node, as ratios of the recovery bound in the settings (Bounds.Heal).
 const (
-	statusTimeoutRatio = 1.0 / 12 // its status, or its view of nodes or workers
-	lookupTimeoutRatio = 1.0 / 24 // what it knows of one request or prompt
+	statusTimeoutRatio = 1.0 / 12 // for reading the node's status, or its list of nodes or workers
+	lookupTimeoutRatio = 1.0 / 24 // for looking up one request's routing or one prompt's cached prefixes
 )
 
-// Server handles operators' requests.
+// Server handles operators' requests on a site whose settings list the control nodes.
 type Server struct {
 	control   *controlclient.Client
 	view      func() clustermembership.View
 	clients   *daemon.Clients
 	bounds    settings.Bounds
-	configKey string // of the document that holds the site's configuration
+	configKey string // key of the document that holds the site's configuration
 }
 
 func newServer(process *daemon.Process, control *controlclient.Client, view func() clustermembership.View, clients *daemon.Clients, configKey string) *Server {
@@ -54,7 +55,7 @@
 	return process.Serve(process.Settings.Operator, requireKey(process.Settings.OperatorKey, http.MaxBytesHandler(api, maxBodyBytes)))
 }
 
-// NewError maps an error to its typed response.
+// NewError converts an error to an API response with the error's kind, HTTP status and remedy.
 //
 // Example: s.NewError(ctx, errs.New(errs.NotFound, "tenant"))
 func (s *Server) NewError(_ context.Context, err error) *operator.DeniedStatusCode {
@@ -62,8 +63,8 @@
 	return &operator.DeniedStatusCode{StatusCode: kind.HTTPStatus, Response: operator.Denial{Kind: kind.Name, Message: err.Error(), Remedy: kind.Remedy}}
 }
 
-// readAllShards reads the documents whose keys have a prefix, shard by shard, each by majority. what
-// names them in errors.
+// readAllShards reads all documents whose keys start with keyPrefix, each shard from a majority of its
+// replicas. what describes the documents in error messages.
 func (s *Server) readAllShards(ctx context.Context, keyPrefix, what string) ([]*wire.Document, error) {
 	var documents []*wire.Document
 	for shard := range uint32(controlclient.ShardCount) {
@@ -76,7 +77,8 @@
 	return documents, nil
 }
 
-// putServiceDocument writes a document of a service that has a state. what names it in errors.
+// putServiceDocument writes a document to the shard of a service; the response carries state as its note.
+// what describes the document in error messages.
 func (s *Server) putServiceDocument(ctx context.Context, service string, put *wire.Put, dryRun bool, what, state string) (*operator.Changed, error) {
 	request := &wire.ChangeRequest{Shard: controlclient.ShardOf(service), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}, DryRun: dryRun}
 	response, err := s.control.Change(ctx, request)
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -14,7 +14,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// GetStatus checks all parts of the site and reports problems, with remedies.
+// GetStatus checks nodes, shards, workers, calendar and retirements of the site, and reports problems with
+// remedies.
 //
 // Example: GET /v1/status
 func (s *Server) GetStatus(ctx context.Context) (*operator.Status, error) {
@@ -22,7 +23,7 @@
 	s.checkNodes(ctx, report)
 	s.checkShards(ctx, report)
 	if _, snapshot, err := s.readUpdates(ctx); err != nil {
-		report.addProblem("workers-unknown", entireSite, err.Error(), "see whether any edge machine runs", runbookEdgeDown)
+		report.addProblem("workers-unknown", entireSite, err.Error(), "check that at least one edge machine runs", runbookEdgeDown)
 	} else {
 		checkWorkers(snapshot, report)
 	}
@@ -31,11 +32,11 @@
 	return report.finish(), nil
 }
 
-// checkNodes reports nodes that are dead.
+// checkNodes reports the nodes that the cluster membership lists as dead.
 func (s *Server) checkNodes(ctx context.Context, report *statusReport) {
 	list, err := s.ListNodes(ctx)
 	if err != nil {
-		report.addProblem("nodes-unknown", entireSite, err.Error(), "see whether any core machine runs", runbookCoreDown)
+		report.addProblem("nodes-unknown", entireSite, err.Error(), "check that at least one core machine runs", runbookCoreDown)
 		return
 	}
 	for _, node := range list.Nodes {
@@ -46,17 +47,18 @@
 		if node.Role == clustermembership.RoleControlNode || node.Role == clustermembership.RolePlacementController {
 			help = runbookCoreDown
 		}
-		report.addProblem("node-gone", node.Name, "no heartbeat reaches its observers", "start it again, under the same name", help)
+		report.addProblem("node-gone", node.Name, "the nodes that monitor this node receive no heartbeats from it", "start the node again under the same name", help)
 	}
 }
 
-// checkShards reports the state of all replicas of the shards, and shards without a leader.
+// checkShards adds the state of every shard replica to the report, and a problem for each shard without a
+// leader.
 func (s *Server) checkShards(ctx context.Context, report *statusReport) {
 	hasLeader := map[uint32]bool{}
 	for _, node := range s.view().WithRole(clustermembership.RoleControlNode) {
 		replicas, err := s.readReplicas(ctx, node.Addr)
 		if err != nil {
-			report.addProblem("core-silent", node.Name, "it doesn't answer", "see whether it is cut off, frozen or stopped", runbookMachinePartition)
+			report.addProblem("core-silent", node.Name, "the control node doesn't answer status requests", "check whether its machine is partitioned, frozen or stopped", runbookMachinePartition)
 			continue
 		}
 		for _, replica := range replicas {
@@ -69,13 +71,13 @@
 	}
 	for shard := range uint32(controlclient.ShardCount) {
 		if !hasLeader[shard] {
-			report.addProblem("part-unowned", fmt.Sprintf("shard %d", shard), "no responding core machine is its leader",
-				"see that two of its three members run and reach each other", runbookCorePartitioned)
+			report.addProblem("part-unowned", fmt.Sprintf("shard %d", shard), "no responding core machine leads this shard",
+				"check that two of the shard's three members run and reach each other", runbookCorePartitioned)
 		}
 	}
 }
 
-// readReplicas asks a control node for the status of its replicas.
+// readReplicas asks a control node for the status of its shard replicas.
 func (s *Server) readReplicas(ctx context.Context, addr string) ([]*wire.ShardStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.bounds.Heal(statusTimeoutRatio))
 	defer cancel()
@@ -86,7 +88,7 @@
 	return response.Shards, nil
 }
 
-// checkReplica reports the problems of a replica and returns its state.
+// checkReplica reports the problems of a shard replica and returns its state.
 func checkReplica(replica *wire.ShardStatus, report *statusReport) (state string) {
 	where := fmt.Sprintf("%s shard %d", replica.Member, replica.Shard)
 	switch {
@@ -94,10 +96,10 @@
 		report.addProblem("member-out", where, replica.Failure, errs.DiskFailure.Remedy, runbookDiskFull)
 		return replicaFailed
 	case replica.Stuck != "":
-		report.addProblem("member-stuck", where, replica.Stuck, "bring one of the two data folders back", runbookDiskLost)
+		report.addProblem("member-stuck", where, replica.Stuck, "restore the data folder of one of the two members that lost it", runbookDiskLost)
 		return replicaStuck
 	case replica.Blank:
-		report.addProblem("member-blank", where, "it hasn't caught up from both others", "see that both other members run", runbookDiskLost)
+		report.addProblem("member-blank", where, "the replica lost its data and hasn't caught up from both other members yet", "check that both other members run", runbookDiskLost)
 		return replicaBlank
 	case replica.IsLeader:
 		return replicaLeads
@@ -110,13 +112,13 @@
 		Last: int64(status.LastIndex), StateBytes: int64(status.StateBytes), LogBytes: int64(status.LogBytes)}
 }
 
-// checkWorkers reports workers and stores that don't respond, and workers on outdated weights.
+// checkWorkers reports workers and prompt stores that fail health checks, and workers on outdated weights.
 func checkWorkers(snapshot *updatestream.Snapshot, report *statusReport) {
 	if snapshot.Config == nil {
-		report.addProblem("no-setup", entireSite, "no service configuration is in force", "apply one: pebblectl config apply --file …", runbookConfigWrong)
+		report.addProblem("no-setup", entireSite, "no service configuration is in force", "apply one: pebblectl config apply --file FILE", runbookConfigWrong)
 	}
 	stores, modelWorkers := 0, 0
-	outdated := map[string]int{} // workers by model
+	outdated := map[string]int{} // numbers of workers on outdated weights, by model
 	for _, worker := range snapshot.Workers {
 		switch {
 		case worker.State == updatestream.WorkerGone:
@@ -124,7 +126,7 @@
 			if worker.Kind == "store" {
 				help = runbookStoreEmpty
 			}
-			report.addProblem("worker-gone", worker.Name, "it is listed, yet doesn't answer probes", "have the platform replace it, or take it out of its list", help)
+			report.addProblem("worker-gone", worker.Name, "the platform lists this worker, but it fails health checks", "have the platform replace the worker or remove it from its worker list", help)
 		case worker.Kind == "store":
 			stores++
 		case snapshot.Config != nil && worker.Kind == "lm":
@@ -134,16 +136,16 @@
 		}
 	}
 	for _, model := range maputil.SortedKeys(outdated) {
-		named := snapshot.Weights[model].Version
-		report.addProblem("older-weights", model, fmt.Sprintf("%d of %d workers aren't on the named weights %d yet", outdated[model], modelWorkers, named),
-			"wait for the rollout; else see the placement controllers' logs", runbookOutdatedWeights)
+		target := snapshot.Weights[model].Version
+		report.addProblem("older-weights", model, fmt.Sprintf("%d of %d workers don't serve the target version %d of the weights yet", outdated[model], modelWorkers, target),
+			"wait for the rollout; if it doesn't finish, check the placement controllers' logs", runbookOutdatedWeights)
 	}
 	if stores == 0 {
-		report.addProblem("no-store", entireSite, "no prompt store answers", "service goes on without it; start it again", runbookStoreEmpty)
+		report.addProblem("no-store", entireSite, "no prompt store answers health checks", "start the prompt store again; requests are served without it meanwhile", runbookStoreEmpty)
 	}
 }
 
-// checkCalendar reports entries that are paused.
+// checkCalendar reports the calendar entries that are paused.
 func (s *Server) checkCalendar(ctx context.Context, report *statusReport) {
 	documents, err := s.readCalendar(ctx)
 	if err != nil {
@@ -152,7 +154,7 @@
 	}
 	for _, document := range documents {
 		if entry, err := calendar.Decode(document.Body); err == nil && entry.State == calendar.StatePaused {
-			report.addProblem("move-paused", entry.Service+"/"+entry.Name, entry.Reason, "find out why, then resume or undo it", runbookEntryPaused)
+			report.addProblem("move-paused", entry.Service+"/"+entry.Name, entry.Reason, "remove the cause of the pause, then resume or undo the calendar entry", runbookEntryPaused)
 		}
 	}
 }
--- a/internal/control/operatorapi/views.go
+++ b/internal/control/operatorapi/views.go
@@ -16,37 +16,37 @@
 	"pebbleloom/internal/wire"
 )
 
-// How requests' routing decisions are looked up.
+// Parameters for looking up the routing decisions of a request.
 const (
-	explainQueries    = 2    // a proxy reports to its node agent a moment later: query once more
-	explainPauseRatio = 0.2  // of the configuration bound: between two queries
-	explainedRequests = 1024 // that a node agent remembers
+	explainQueries    = 2    // queries of each node agent: a proxy reports its decisions to the agent with a delay
+	explainPauseRatio = 0.2  // pause between two queries, as a ratio of the configuration bound in the settings
+	explainedRequests = 1024 // number of recent requests whose decisions a node agent keeps
 )
 
-// nodeStateDead is the API's name of the state of a dead node.
+// nodeStateDead is the API's name for the state of a dead node.
 const nodeStateDead = "gone"
 
-// nodeStateName is the API's name of a node's state in the cluster membership.
+// nodeStateName returns the API's name for a node's state in the cluster membership.
 func nodeStateName(state uint32) string {
 	return [...]string{"alive", "suspect", nodeStateDead, "left"}[min(state, 3)]
 }
 
-// workerStateName is the API's name of a worker's state in the update stream.
+// workerStateName returns the API's name for a worker's state in the update stream.
 func workerStateName(state uint32) string {
 	return [...]string{"up", "unsure", "draining", "gone"}[min(state, 3)]
 }
 
-// firstResponding returns the first running node of a role, by name, that responds to a query.
+// firstResponding runs query on the live nodes of a role in turn until one succeeds, and returns that node's name.
 func (s *Server) firstResponding(role string, query func(addr string) error) (string, error) {
 	for _, node := range s.view().WithRole(role) {
 		if node.State == clustermembership.Alive && query(node.Addr) == nil {
 			return node.Name, nil
 		}
 	}
-	return "", errs.New(errs.OutcomeUnknown, "no %s answers", role)
+	return "", errs.New(errs.OutcomeUnknown, "no live node with role %s answers", role)
 }
 
-// ListNodes lists the nodes as one control node sees them.
+// ListNodes lists the nodes in one control node's view of the cluster membership.
 //
 // Example: GET /v1/nodes
 func (s *Server) ListNodes(ctx context.Context) (*operator.NodeList, error) {
@@ -71,13 +71,13 @@
 	return list, nil
 }
 
-// newNodeItem describes a node, but for its operator address.
+// newNodeItem converts a node to its API form, without the operator address.
 func newNodeItem(node *wire.Node) operator.NodeListNodesItem {
 	return operator.NodeListNodesItem{Name: node.Name, Role: node.Role, District: node.Zone, Addr: node.Addr,
 		State: nodeStateName(node.State), Incarnation: fmt.Sprint(node.Incarnation)}
 }
 
-// readUpdates reads a snapshot of the update stream from one node agent, and names that.
+// readUpdates reads a snapshot of the update stream from one node agent, and returns that node's name as seenBy.
 func (s *Server) readUpdates(ctx context.Context) (seenBy string, snapshot *updatestream.Snapshot, err error) {
 	var feed *wire.FeedResponse
 	seenBy, err = s.firstResponding(clustermembership.RoleNodeAgent, func(addr string) (err error) {
@@ -93,7 +93,7 @@
 	return seenBy, snapshot, err
 }
 
-// ListWorkers lists the workers as one node agent sees them.
+// ListWorkers lists the workers in one node agent's snapshot of the update stream.
 //
 // Example: GET /v1/workers
 func (s *Server) ListWorkers(ctx context.Context) (*operator.WorkerList, error) {
@@ -110,7 +110,7 @@
 	return list, nil
 }
 
-// GetPlacement reads a service's placement by majority.
+// GetPlacement reads the placement of a service from a majority of its shard's replicas.
 //
 // Example: GET /v1/placements/appraisals
 func (s *Server) GetPlacement(ctx context.Context, params operator.GetPlacementParams) (*operator.PlacementInForce, error) {
@@ -125,7 +125,7 @@
 	return &operator.PlacementInForce{Epoch: int64(document.Version), Placement: jx.Raw(document.Body)}, nil
 }
 
-// Explain asks all node agents how a request was routed.
+// Explain asks all node agents for the routing decisions of a request.
 //
 // Example: GET /v1/explain/r1
 func (s *Server) Explain(ctx context.Context, params operator.ExplainParams) (*operator.Explained, error) {
@@ -142,15 +142,16 @@
 		}
 	}
 	if len(explained.Goes) == 0 && unresponsive > 0 {
-		return nil, errs.New(errs.OutcomeUnknown, "%d edge machines don't answer, and no other knows request %q", unresponsive, params.Request)
+		return nil, errs.New(errs.OutcomeUnknown, "explain request %q: %d edge machines don't answer, and no other has a record of it", params.Request, unresponsive)
 	}
 	if len(explained.Goes) == 0 {
-		return nil, errs.New(errs.NotFound, "no edge machine remembers request %q: they keep the latest %d each", params.Request, explainedRequests)
+		return nil, errs.New(errs.NotFound, "explain request %q: no edge machine has a record of it; each keeps its latest %d requests", params.Request, explainedRequests)
 	}
 	return explained, nil
 }
 
-// addExplanations adds what each node agent knows of a request, and counts those that don't respond.
+// addExplanations adds every node agent's routing decisions for a request to explained, and returns the number
+// of agents that don't respond.
 func (s *Server) addExplanations(ctx context.Context, requestID string, explained *operator.Explained) (unresponsive int) {
 	for _, node := range s.view().WithRole(clustermembership.RoleNodeAgent) {
 		decisions, err := s.explainAt(ctx, node.Addr, requestID)
