--- a/internal/cli/group_test.go
+++ b/internal/cli/group_test.go
@@ -104,7 +104,7 @@
 			code := Run(args, &operatorSteps{steps}, &out, &stderr, site.http)
 			return code, out.String() + stderr.String()
 		}
-		if code, text := runbook(); code != 1 || !strings.Contains(text, "no core machine leads the group") {
+		if code, text := runbook(); code != 1 || !strings.Contains(text, "no core machine leads the consensus group") {
 			t.Errorf("runbook group-lost in a group with a leader: got exit code %d and output %s, want exit code 1 at the first check", code, text)
 		}
 		for _, i := range []int{2, 3, 4} {
--- a/internal/cli/retire.go
+++ b/internal/cli/retire.go
@@ -62,7 +62,7 @@
 // NeedsAttention reports whether the list is a status in which a retirement is paused or blocked by a node
 // that only an operator can repair.
 //
-// Example: if x.Wrong() { return 1 }
+// Example: if list.NeedsAttention() { return 1 }
 func (l *RetirementList) NeedsAttention() bool {
 	for _, r := range l.Retirements {
 		if r.State == retire.StatePaused || r.NeedsOperator() {
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -247,7 +247,7 @@
 	return names, series
 }
 
-// testSite implements backend.Client, by which processes reach workers, with the methods from here on.
+// The methods of testSite from here on implement backend.Client, through which processes reach the workers.
 
 func (site *testSite) ListWorkers(context.Context, string) (l []fleet.Worker, next string, err error) {
 	site.mu.Lock()
