--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -19,8 +19,8 @@
 (on a platform site: of any core machine, at the third port of its internal range)
 
   pebblectl --node 127.10.1.1:8090 config get
-  pebblectl config apply --file config.json --if-version 7    whole configuration, only onto version 7
-  pebblectl config patch --file part.json                     partial configuration (null removes)
+  pebblectl config apply --file config.json --if-version 7    replace the configuration if version 7 is in force
+  pebblectl config patch --file part.json                     merge a partial configuration (null removes a key)
   pebblectl config validate --file config.json                check without applying
   pebblectl config diff --file config.json                    show what apply would change
   pebblectl config render --file site.tmpl.json --set weights=3 --overlay night.json
@@ -190,11 +190,11 @@
 
 // needsAttention reports whether a command's result contains problems that an operator has to solve.
 func needsAttention(result any) bool {
-	switch x := result.(type) {
+	switch value := result.(type) {
 	case *operator.Status:
-		return !x.Ok
+		return !value.Ok
 	case *RetirementList:
-		return x.NeedsAttention()
+		return value.NeedsAttention()
 	}
 	return false
 }
--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -44,6 +44,7 @@
 	New  string `json:"new,omitempty"`
 }
 
+// flatten adds the values of a decoded JSON document to values as JSON, by their dotted paths.
 func flatten(prefix string, v any, values map[string]string) {
 	if object, ok := v.(map[string]any); ok {
 		for key, item := range object {
@@ -94,16 +95,16 @@
 	if err := batch.Err(); err != nil {
 		return nil, err
 	}
-	old, now := map[string]string{}, map[string]string{}
+	old, proposed := map[string]string{}, map[string]string{}
 	flatten("", inForceValue, old)
-	flatten("", fileValue, now)
+	flatten("", fileValue, proposed)
 	diffs := []Diff{}
 	for path, v := range old {
-		if now[path] != v {
-			diffs = append(diffs, Diff{path, v, now[path]})
+		if proposed[path] != v {
+			diffs = append(diffs, Diff{path, v, proposed[path]})
 		}
 	}
-	for path, v := range now {
+	for path, v := range proposed {
 		if _, ok := old[path]; !ok {
 			diffs = append(diffs, Diff{path, "", v})
 		}
@@ -169,6 +170,7 @@
 	return c.LookUp(ctx, &operator.Lookup{Model: inv.model, Tenant: inv.tenant, Parts: inv.parts})
 }
 
+// indent indents a JSON document; a text that isn't valid JSON is returned unchanged.
 func indent(raw []byte) string {
 	var v any
 	if json.Unmarshal(raw, &v) != nil {
@@ -181,8 +183,8 @@
 	return string(b)
 }
 
-// optional formats a number, or "-" if it is absent.
-func optional(n operator.OptInt) string {
+// formatOptional formats a number, or "-" if it is absent.
+func formatOptional(n operator.OptInt) string {
 	if v, ok := n.Get(); ok {
 		return strconv.Itoa(v)
 	}
@@ -230,7 +232,7 @@
 	case *operator.WorkerList:
 		fmt.Fprintf(table, "NAME\tSERVICE\tDISTRICT\tADDRESS\tSTATE\tWEIGHTS\tBUSY\tQUEUED\tSLOTS\n")
 		for _, worker := range result.Workers {
-			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\n", worker.Name, worker.Service, worker.District, worker.Addr, worker.State, worker.Weights, optional(worker.Busy), optional(worker.Queued), worker.Slots)
+			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\n", worker.Name, worker.Service, worker.District, worker.Addr, worker.State, worker.Weights, formatOptional(worker.Busy), formatOptional(worker.Queued), worker.Slots)
 		}
 		for _, model := range maputil.SortedKeys(result.Named.Or(nil)) {
 			fmt.Fprintf(table, "target weights of %s: %d\n", model, result.Named.Value[model])
@@ -255,7 +257,7 @@
 	case *operator.Found:
 		fmt.Fprintf(table, "KEY\tTOKENS\tHOTNESS\tHOLDERS\n")
 		for _, found := range result.Prefixes {
-			fmt.Fprintf(table, "%s\t%s\t%.2f\t%s\n", found.Key, optional(found.Tokens), found.Hotness, strings.Join(found.Holders, " "))
+			fmt.Fprintf(table, "%s\t%s\t%.2f\t%s\n", found.Key, formatOptional(found.Tokens), found.Hotness, strings.Join(found.Holders, " "))
 		}
 	}
 	if err := table.Flush(); err != nil {
--- a/internal/cli/group_test.go
+++ b/internal/cli/group_test.go
@@ -32,11 +32,11 @@
 	return strings.TrimSpace(after)
 }
 
-// operatorSteps is a standard input that answers yes to each confirmation of a runbook, after calling the
+// confirmingOperator is a standard input that answers yes to each confirmation of a runbook, after calling the
 // function for that confirmation.
-type operatorSteps struct{ steps []func() }
+type confirmingOperator struct{ steps []func() }
 
-func (o *operatorSteps) Read(answer []byte) (int, error) {
+func (o *confirmingOperator) Read(answer []byte) (int, error) {
 	if len(o.steps) == 0 {
 		return 0, io.EOF
 	}
@@ -101,7 +101,7 @@
 			var out, stderr bytes.Buffer
 			record := filepath.Join(t.TempDir(), "run.jsonl")
 			args := []string{"--node", operatorAt(1), "runbook", "run", "--name", "group-lost", "--record", record}
-			code := Run(args, &operatorSteps{steps}, &out, &stderr, site.http)
+			code := Run(args, &confirmingOperator{steps}, &out, &stderr, site.http)
 			return code, out.String() + stderr.String()
 		}
 		if code, text := runbook(); code != 1 || !strings.Contains(text, "no core machine leads the consensus group") {
--- a/internal/cli/parse.go
+++ b/internal/cli/parse.go
@@ -29,13 +29,13 @@
 	parser.String(&inv.file, "f", "file", "input file of the command (- for standard input)")
 	parser.Int64(&inv.ifVersion, "e", "if-version", "apply the change only if this version is in force")
 	parser.String(&inv.token, "t", "token", "idempotency token: a change repeated with the same token takes effect once")
-	parser.String(&inv.model, "m", "model", "name of a model")
+	parser.String(&inv.model, "m", "model", "model")
 	parser.Int64(&inv.weights, "w", "weights", "version of a model's weights")
-	parser.String(&inv.tenant, "", "tenant", "name of a tenant")
+	parser.String(&inv.tenant, "", "tenant", "tenant")
 	parser.String(&inv.key, "k", "key", "API key of a tenant")
-	parser.String(&inv.worker, "", "worker", "name of a worker")
+	parser.String(&inv.worker, "", "worker", "worker")
 	parser.Bool(&inv.undrain, "b", "back", "with drain: allow requests to the worker again")
-	parser.String(&inv.service, "s", "service", "name of a service")
+	parser.String(&inv.service, "s", "service", "service")
 	parser.String(&inv.name, "", "name", "name of a calendar entry, a retirement or a runbook")
 	parser.String(&inv.record, "", "record", "with runbook run: file for the record of the run")
 	parser.String(&inv.resume, "", "resume", "with runbook run: record of an interrupted run to resume")
@@ -56,12 +56,12 @@
 	tree := newCommandTree(parser)
 	words, err := set.ParseStrict(parser, args)
 	if err == nil {
-		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "parse flags")
+		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "flags")
 	}
 	if err != nil {
 		return nil, err
 	}
-	c, path := tree.used()
+	c, path := tree.selected()
 	if c == nil {
 		return nil, errs.New(errs.BadInput, "unknown or missing command: see pebblectl --help")
 	}
@@ -114,9 +114,9 @@
 	}
 }
 
-// used returns the command that the parsed command line selected and the path used for it; nil if it selected
+// selected returns the command that the parsed command line selected and the path used for it; nil if it selected
 // none.
-func (t *commandTree) used() (*command, string) {
+func (t *commandTree) selected() (*command, string) {
 	for _, c := range commands() {
 		for _, path := range []string{c.path, firstPath(c.path)} {
 			if t.subcommands[path].Used {
@@ -139,6 +139,7 @@
 	return path
 }
 
+// token returns the idempotency token from the command line, or a random one.
 func token(inv *invocation) string {
 	if inv.token != "" {
 		return inv.token
@@ -148,6 +149,7 @@
 	return "pebblectl-" + hex.EncodeToString(b)
 }
 
+// requireFlags returns an error that lists all flags without a value; pairs alternate flag names and values.
 func requireFlags(pairs ...string) error {
 	var b errs.Batch
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -158,6 +160,7 @@
 	return b.Err()
 }
 
+// readFile reads the JSON document from the file that --file names, or from standard input for "-".
 func readFile(inv *invocation, in io.Reader) ([]byte, error) {
 	if inv.file == "" {
 		return nil, errs.New(errs.BadInput, "required flag --file is missing: give a file, or - for standard input")
--- a/internal/cli/render.go
+++ b/internal/cli/render.go
@@ -26,26 +26,26 @@
 	if err != nil {
 		return nil, err
 	}
-	set, err := parseParameters(inv.parameters)
+	parameters, err := parseParameters(inv.parameters)
 	if err != nil {
 		return nil, err
 	}
-	var ls []serviceconfig.Overlay
-	for _, f := range inv.overlays {
-		b, err := os.ReadFile(f)
+	var overlays []serviceconfig.Overlay
+	for _, path := range inv.overlays {
+		body, err := os.ReadFile(path)
 		if err != nil {
-			return nil, errs.WrapAs(err, errs.BadInput, "read --overlay")
+			return nil, errs.WrapAs(err, errs.BadInput, "overlay")
 		}
-		ls = append(ls, serviceconfig.Overlay{Name: f, Body: b})
+		overlays = append(overlays, serviceconfig.Overlay{Name: path, Body: body})
 	}
-	body, os, err := serviceconfig.Render(raw, set, ls)
-	return &Rendered{body, os}, err
+	config, origins, err := serviceconfig.Render(raw, parameters, overlays)
+	return &Rendered{config, origins}, err
 }
 
-func formatRendered(w io.Writer, x *Rendered) {
-	fmt.Fprintln(w, indent(x.Config))
-	fmt.Fprintln(w, "PATH\tVALUE\tORIGIN")
-	for _, o := range x.Origins {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", o.Path, o.Value, o.From)
+func formatRendered(out io.Writer, rendered *Rendered) {
+	fmt.Fprintln(out, indent(rendered.Config))
+	fmt.Fprintln(out, "PATH\tVALUE\tORIGIN")
+	for _, origin := range rendered.Origins {
+		fmt.Fprintf(out, "%s\t%s\t%s\n", origin.Path, origin.Value, origin.From)
 	}
 }
--- a/internal/cli/retire.go
+++ b/internal/cli/retire.go
@@ -72,38 +72,38 @@
 	return false
 }
 
-func formatRetirements(out io.Writer, x *RetirementList) {
-	if x.history {
-		for _, r := range x.Retirements {
-			for _, l := range r.History {
-				fmt.Fprintf(out, "%s\t%s\t%s\n", r.Service, r.Name, l)
+func formatRetirements(out io.Writer, list *RetirementList) {
+	if list.history {
+		for _, r := range list.Retirements {
+			for _, transition := range r.History {
+				fmt.Fprintf(out, "%s\t%s\t%s\n", r.Service, r.Name, transition)
 			}
 		}
 		return
 	}
 	fmt.Fprintf(out, "SERVICE\tNAME\tFROM\tTO\tSTATE\tPROGRESS\tREASON\n")
-	for _, r := range x.Retirements {
+	for _, r := range list.Retirements {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.Service, r.Name, r.OldBase, r.NewBase, r.State, r.Progress(), r.Reason)
-		for _, h := range r.Blockers {
-			fmt.Fprintf(out, "\tblocked by %s:\t%s\n\tremedy:\t%s\n", h.Node, h.Reason, h.Remedy)
+		for _, blocker := range r.Blockers {
+			fmt.Fprintf(out, "\tblocked by %s:\t%s\n\tremedy:\t%s\n", blocker.Node, blocker.Reason, blocker.Remedy)
 		}
 	}
 }
 
-// retirements returns the rows of the view retirements for runbooks; the field held is true if a retirement is
+// retirementRows returns the rows of the view retirements for runbooks; the field held is true if a retirement is
 // blocked until an operator acts.
-func (env *nodeEnvironment) retirements(ctx context.Context) ([]map[string]string, error) {
-	m, err := env.client.ListRetirements(ctx)
+func (env *nodeEnvironment) retirementRows(ctx context.Context) ([]map[string]string, error) {
+	list, err := env.client.ListRetirements(ctx)
 	if err != nil {
 		return nil, typedError(err, "")
 	}
-	var l []map[string]string
-	for _, raw := range m.Retirements {
+	var rows []map[string]string
+	for _, raw := range list.Retirements {
 		r, err := retire.Read(raw)
 		if err != nil {
 			return nil, err
 		}
-		l = append(l, map[string]string{"name": r.Name, "service": r.Service, "state": string(r.State), "phase": string(r.Phase), "held": fmt.Sprint(r.NeedsOperator())})
+		rows = append(rows, map[string]string{"name": r.Name, "service": r.Service, "state": string(r.State), "phase": string(r.Phase), "held": fmt.Sprint(r.NeedsOperator())})
 	}
-	return l, nil
+	return rows, nil
 }
--- a/internal/cli/runbook.go
+++ b/internal/cli/runbook.go
@@ -23,14 +23,14 @@
 
 // Listing is the output of `pebblectl runbook list` and `pebblectl runbook check`.
 type Listing struct {
-	Books []runbook.Runbook `json:"books"`
+	Runbooks []runbook.Runbook `json:"books"`
 }
 
 // RunResult is the output of `pebblectl runbook run`.
 type RunResult struct {
-	Run    string                `json:"run"`
-	Record string                `json:"record"`
-	Lines  []runbook.RecordEntry `json:"lines"`
+	Run     string                `json:"run"`
+	Record  string                `json:"record"`
+	Entries []runbook.RecordEntry `json:"lines"`
 }
 
 func findRunbook(name string) (*runbook.Runbook, error) {
@@ -41,11 +41,11 @@
 		}
 		return runbook.Read(raw)
 	}
-	l, err := runbook.Builtin()
+	builtin, err := runbook.Builtin()
 	if err != nil {
 		return nil, err
 	}
-	for _, b := range l {
+	for _, b := range builtin {
 		if b.Name == name {
 			return &b, nil
 		}
@@ -54,8 +54,8 @@
 }
 
 func listRunbooks(context.Context, *operator.Client, *invocation, io.Reader) (any, error) {
-	l, err := runbook.Builtin()
-	return &Listing{l}, err
+	builtin, err := runbook.Builtin()
+	return &Listing{builtin}, err
 }
 
 func checkRunbook(_ context.Context, _ *operator.Client, inv *invocation, _ io.Reader) (any, error) {
@@ -72,10 +72,10 @@
 func parseParameters(pairs []string) (map[string]string, error) {
 	parameters := map[string]string{}
 	var b errs.Batch
-	for _, x := range pairs {
-		k, v, ok := strings.Cut(x, "=")
+	for _, pair := range pairs {
+		k, v, ok := strings.Cut(pair, "=")
 		if !ok || k == "" {
-			b.Addf(errs.BadInput, "--set %q is not in the form name=value", x)
+			b.Addf(errs.BadInput, "--set %q is not in the form name=value", pair)
 		}
 		parameters[k] = v
 	}
@@ -84,11 +84,11 @@
 
 // recordedRun is a run of a runbook whose steps are recorded in a file, from which the run can be resumed.
 type recordedRun struct {
-	runbook  *runbook.Runbook
-	progress runbook.Progress
-	result   *RunResult
-	record   *os.File  // file to which entries are appended; nil in a dry run
-	shownOn  io.Writer // receives each entry as text; nil with --json
+	runbook     *runbook.Runbook
+	progress    runbook.Progress
+	result      *RunResult
+	record      *os.File  // file to which entries are appended; nil in a dry run
+	entryOutput io.Writer // receives each entry as text; nil with --json
 }
 
 func runRunbook(_ context.Context, c *operator.Client, inv *invocation, in io.Reader) (any, error) {
@@ -131,7 +131,7 @@
 	run := &recordedRun{runbook: found, result: &RunResult{Record: inv.record},
 		progress: runbook.Progress{RunID: found.Name + "-" + hex.EncodeToString(id), Params: parameters}}
 	if !inv.asJSON {
-		run.shownOn = inv.progress
+		run.entryOutput = inv.progress
 	}
 	if inv.resume != "" {
 		if err := run.resume(inv.resume); err != nil {
@@ -161,9 +161,9 @@
 // doesn't repeat a step that was recorded as done.
 func (run *recordedRun) writeEntry(entry runbook.RecordEntry) error {
 	entry.At = time.Now().UTC().Format(time.RFC3339)
-	run.result.Lines = append(run.result.Lines, entry)
-	if run.shownOn != nil {
-		fmt.Fprintf(run.shownOn, "%2d %-8s %-8s %s %s\n", entry.Step, entry.Type, entry.State, entry.Text, entry.Detail)
+	run.result.Entries = append(run.result.Entries, entry)
+	if run.entryOutput != nil {
+		fmt.Fprintf(run.entryOutput, "%2d %-8s %-8s %s %s\n", entry.Step, entry.Type, entry.State, entry.Text, entry.Detail)
 	}
 	if run.record == nil {
 		return nil
@@ -198,7 +198,7 @@
 	read := map[string]func(context.Context) ([]row, error){"nodes": env.nodeRows, "workers": env.workerRows, "parts": env.shardRows,
 		"problems": env.problemRows, "moves": env.moveRows, "setup": env.configRows}[view]
 	if view == "retirements" {
-		return env.retirements(ctx)
+		return env.retirementRows(ctx)
 	}
 	if read == nil {
 		return nil, nil
@@ -286,8 +286,8 @@
 //
 // Example: err := w.Do("drain", map[string]string{"worker": "worker-3"}, "run-1/2")
 func (env *nodeEnvironment) Do(action string, arguments map[string]string, token string) error {
-	ctx, end := env.ctx()
-	defer end()
+	ctx, cancel := env.ctx()
+	defer cancel()
 	inv := &invocation{file: arguments["file"], token: token, ifVersion: -1, worker: arguments["worker"], undrain: action == "undrain", tenant: arguments["tenant"], key: arguments["key"],
 		model: arguments["model"], service: arguments["service"], name: arguments["name"]}
 	var err error
@@ -296,7 +296,7 @@
 		_, err = drainWorker(ctx, env.client, inv, nil)
 	case "name-weights":
 		if inv.weights, err = strconv.ParseInt(arguments["weights"], 10, 64); err != nil {
-			return errs.WrapAs(err, errs.BadInput, "parse weights argument of action name-weights")
+			return errs.WrapAs(err, errs.BadInput, "weights")
 		}
 		_, err = nameWeights(ctx, env.client, inv, nil)
 	case "revoke-key":
@@ -328,8 +328,8 @@
 		return true
 	}
 	fmt.Fprintf(env.out, "   %s [yes/no] ", text)
-	s, err := env.in.ReadString('\n')
-	return (err == nil || err == io.EOF) && strings.TrimSpace(s) == "yes"
+	answer, err := env.in.ReadString('\n')
+	return (err == nil || err == io.EOF) && strings.TrimSpace(answer) == "yes"
 }
 
 // Pause sleeps for one second.
@@ -339,11 +339,11 @@
 
 func formatRunbooks(out io.Writer, listing *Listing) {
 	fmt.Fprintln(out, "RUNBOOK\tWHEN\tPARAMETERS")
-	for _, listed := range listing.Books {
-		var ps []string
-		for k := range listed.Params {
-			ps = append(ps, k)
+	for _, listed := range listing.Runbooks {
+		var parameters []string
+		for name := range listed.Params {
+			parameters = append(parameters, name)
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\n", listed.Name, listed.When, strings.Join(ps, " "))
+		fmt.Fprintf(out, "%s\t%s\t%s\n", listed.Name, listed.When, strings.Join(parameters, " "))
 	}
 }
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -147,8 +147,8 @@
 
 // hasProblem reports whether a status contains a problem of a kind at a location that contains where.
 func (output commandOutput) hasProblem(kind, where string) bool {
-	for _, x := range output.Problems {
-		if x.Kind == kind && strings.Contains(x.Where, where) {
+	for _, problem := range output.Problems {
+		if problem.Kind == kind && strings.Contains(problem.Where, where) {
 			return true
 		}
 	}
@@ -156,20 +156,20 @@
 }
 
 func (output commandOutput) fact(name string) string {
-	for _, x := range output.Facts {
-		if x.Name == name {
-			return x.Value
+	for _, fact := range output.Facts {
+		if fact.Name == name {
+			return fact.Value
 		}
 	}
 	return ""
 }
 
 func (output commandOutput) replicaStates() map[string]int {
-	m := map[string]int{}
-	for _, x := range output.Parts {
-		m[x.State]++
+	counts := map[string]int{}
+	for _, replica := range output.Parts {
+		counts[replica.State]++
 	}
-	return m
+	return counts
 }
 
 // The status at any core machine shows the consensus group, the index nodes, the workers and the rollout of
@@ -195,7 +195,7 @@
 		t.Errorf("replicas of the consensus group: got %+v, want 1 leader, 2 followers and 1 learner", status.Parts)
 	}
 	for name, want := range map[string]string{"plan": "version 3", "members": "archive/m1 archive/m2 archive/m3", "index nodes": "4, serving: catalogue/m",
-		"duties of the site": "fence ", "workers": "3: 2 up, 1 draining"} {
+		"duties of the site": "fencing token ", "workers": "3: 2 up, 1 draining"} {
 		if !strings.Contains(status.fact(name), want) {
 			t.Errorf("status fact %s: got %q, want it to contain %q", name, status.fact(name), want)
 		}
--- a/internal/cli/site_world_test.go
+++ b/internal/cli/site_world_test.go
@@ -54,28 +54,28 @@
 	once   sync.Once
 }
 
-func (m *pipeListener) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-m.conns:
+	case c := <-l.conns:
 		return c, nil
-	case <-m.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (m *pipeListener) Close() error {
-	m.once.Do(func() {
-		close(m.closed)
-		m.site.mu.Lock()
-		defer m.site.mu.Unlock()
-		if m.site.listeners[m.addr] == m {
-			delete(m.site.listeners, m.addr)
+func (l *pipeListener) Close() error {
+	l.once.Do(func() {
+		close(l.closed)
+		l.site.mu.Lock()
+		defer l.site.mu.Unlock()
+		if l.site.listeners[l.addr] == l {
+			delete(l.site.listeners, l.addr)
 		}
 	})
 	return nil
 }
 
-func (m *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // memoryDisk is a storage.Disk in memory on which every write is durable at once.
 type memoryDisk struct {
@@ -121,16 +121,16 @@
 
 func (site *testSite) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	site.mu.Lock()
-	m := site.listeners[addr]
+	listener := site.listeners[addr]
 	site.mu.Unlock()
-	if m == nil {
+	if listener == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
 	near, far := net.Pipe()
 	select {
-	case m.conns <- far:
+	case listener.conns <- far:
 		return near, nil
-	case <-m.closed:
+	case <-listener.closed:
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -145,7 +145,7 @@
 		WorkerListRate: 47, MemoryLimitMB: 284, PortRange: [2]int{7360, 7375}, EnforceRevocation: true}
 	settings := set.Process{Name: fmt.Sprint("m", i), Zone: fmt.Sprint("d", i), Listen: at, Data: "x", Bounds: set.DefaultBounds(),
 		Seeds: []string{ip(1) + ":7360", ip(2) + ":7360", ip(3) + ":7360"}, Options: []string{"log=off"}, Site: siteSettings}
-	w := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
+	environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { seed += 7919; return seed * 0x9e3779b97f4a7c15 },
 		Disk: func(string) storage.Disk {
 			if site.disks[at] == nil {
 				site.disks[at] = &memoryDisk{files: map[string][]byte{}}
@@ -153,16 +153,16 @@
 			return site.disks[at]
 		},
 		Listen: func(a string) (net.Listener, error) {
-			m := &pipeListener{site: site, addr: a, conns: make(chan net.Conn), closed: make(chan struct{})}
+			listener := &pipeListener{site: site, addr: a, conns: make(chan net.Conn), closed: make(chan struct{})}
 			site.mu.Lock()
 			defer site.mu.Unlock()
-			site.listeners[a] = m
-			return m, nil
+			site.listeners[a] = listener
+			return listener, nil
 		},
 		Dial: site.dial, Journal: func(string) (io.Writer, error) { return io.Discard, nil }}
-	l := daemon.NewIn(w, role, settings)
-	site.processes[fmt.Sprint(role, i)] = l
-	return l
+	process := daemon.NewIn(environment, role, settings)
+	site.processes[fmt.Sprint(role, i)] = process
+	return process
 }
 
 func (site *testSite) requireNoError(err error) {
@@ -224,7 +224,7 @@
 	for from := time.Now(); !condition(); clock.Sleep(context.Background(), 100*time.Millisecond) {
 		if time.Since(from) > within {
 			_, out, stderr := site.runOn(1, "", "status")
-			site.t.Fatalf("waited %v in vain for: %s; status at the end:\n%s%s", within, what, out, stderr)
+			site.t.Fatalf("timed out after %v waiting for: %s; the status is now:\n%s%s", within, what, out, stderr)
 		}
 	}
 }
--- a/internal/cli/transport.go
+++ b/internal/cli/transport.go
@@ -31,6 +31,7 @@
 	return s.base.RoundTrip(r)
 }
 
+// operatorKey reads the operators' API key from the file that --operator-key names, or from PEBBLELOOM_KEY.
 func operatorKey(inv *invocation) (string, error) {
 	if inv.keyFile == "" {
 		return os.Getenv("PEBBLELOOM_KEY"), nil
@@ -42,12 +43,12 @@
 // typedError converts an error of an API call to one with a kind: that in the node's response or, without a
 // response, one that says whether the call may have taken effect.
 func typedError(err error, node string) error {
-	var d *operator.DeniedStatusCode
-	if errors.As(err, &d) {
-		return errs.New(errs.KindNamed(d.Response.Kind), "%s", d.Response.Message)
+	var rejection *operator.DeniedStatusCode
+	if errors.As(err, &rejection) {
+		return errs.New(errs.KindNamed(rejection.Response.Kind), "%s", rejection.Response.Message)
 	}
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var dialError *net.OpError
+	if errors.As(err, &dialError) && dialError.Op == "dial" {
 		return errs.New(errs.OutcomeUnknown, "node %s can't be reached: give another with --node", node)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -60,7 +61,7 @@
 		return errs.WrapAs(err, errs.MayHaveExecuted, "the connection to node "+node+" broke before a complete response")
 	}
 	if errs.KindOf(err) == errs.Internal && strings.Contains(err.Error(), "encode request: validate") {
-		return errs.WrapAs(err, errs.BadInput, "invalid value in command")
+		return errs.WrapAs(err, errs.BadInput, "command")
 	}
 	return err
 }
--- a/internal/control/operatorapi/config.go
+++ b/internal/control/operatorapi/config.go
@@ -105,7 +105,7 @@
 	}
 	model, ok := config.Models[request.Model]
 	if !ok {
-		return nil, errs.New(errs.NoSuchModel, "model %q", request.Model)
+		return nil, errs.New(errs.NoSuchModel, "model %q isn't in the configuration in force", request.Model)
 	}
 	if model.Weights == uint64(request.Weights) {
 		return &operator.Changed{Epoch: int64(document.Version), Outcome: wire.OutcomeDone, Note: operator.NewOptString(fmt.Sprintf("weights %d of %s are in force already", request.Weights, request.Model))}, nil
@@ -127,7 +127,7 @@
 	}
 	tenant, ok := config.Tenants[request.Tenant]
 	if !ok {
-		return nil, errs.New(errs.NotFound, "tenant %q", request.Tenant)
+		return nil, errs.New(errs.NotFound, "tenant %q isn't in the configuration in force", request.Tenant)
 	}
 	remaining := []string{}
 	for _, key := range tenant.Keys {
--- a/internal/control/operatorapi/group_status.go
+++ b/internal/control/operatorapi/group_status.go
@@ -80,7 +80,7 @@
 	held := false
 	for _, lease := range leases {
 		machine, _, _ := strings.Cut(lease.Holder, "/")
-		report.addFact("duties of the "+lease.Name, "%s, fence %d", lease.Holder, lease.Fence)
+		report.addFact("duties of the "+lease.Name, "%s, fencing token %d", lease.Holder, lease.Fence)
 		for _, node := range view.WithRole(clustermembership.RolePromptIndex) {
 			held = held || machine != "" && node.Name == clustermembership.RolePromptIndex+"/"+machine && node.State == clustermembership.Alive
 		}
--- a/internal/control/operatorapi/index.go
+++ b/internal/control/operatorapi/index.go
@@ -42,7 +42,7 @@
 	}
 	target, ok := config.Resolve(config.Routes[request.Model].DefaultTarget(request.Model))
 	if !ok {
-		return nil, errs.New(errs.NoSuchModel, "model %q", request.Model)
+		return nil, errs.New(errs.NoSuchModel, "model %q isn't in the configuration in force", request.Model)
 	}
 	model := prefix.QualifiedModel(target.Model, target.Adapter, target.Build)
 	chain := prefix.Chain(config.CacheDomain(request.Tenant), model, target.Weights, request.Parts)
@@ -71,12 +71,12 @@
 	}
 	tenant := slices.IndexFunc(plan.Tenants, func(t routingconfig.Tenant) bool { return t.Name == request.Tenant })
 	if tenant < 0 {
-		return nil, errs.New(errs.NotFound, "tenant %q", request.Tenant)
+		return nil, errs.New(errs.NotFound, "tenant %q isn't in the configuration in force", request.Tenant)
 	}
 	if !slices.ContainsFunc(plan.Services, func(service routingconfig.Service) bool {
 		return service.Engine != nil && slices.Contains(service.Engine.Models, request.Model)
 	}) {
-		return nil, errs.New(errs.NoSuchModel, "model %q", request.Model)
+		return nil, errs.New(errs.NoSuchModel, "model %q isn't in the configuration in force", request.Model)
 	}
 	workers, err := s.readWorkers(ctx)
 	if err != nil {
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -50,7 +50,7 @@
 func Serve(process *daemon.Process, control *controlclient.Client, view func() clustermembership.View, clients *daemon.Clients) error {
 	api, err := operator.NewServer(newServer(process, control, view, clients, controlclient.ConfigKey))
 	if err != nil {
-		return errs.Wrap(err, "operator API")
+		return errs.Wrap(err, "build handler of the operator API")
 	}
 	return process.Serve(process.Settings.Operator, requireKey(process.Settings.OperatorKey, http.MaxBytesHandler(api, maxBodyBytes)))
 }
--- a/internal/runbook/run.go
+++ b/internal/runbook/run.go
@@ -37,7 +37,7 @@
 		}
 		note := func(state StepState, detail string) error {
 			return errs.Wrap(record(RecordEntry{RunID: progress.RunID, Runbook: b.Name, Params: progress.Params, Step: i,
-				Type: step.Type, Text: step.Text, State: state, Detail: detail}), "write record of the run")
+				Type: step.Type, Text: step.Text, State: state, Detail: detail}), "record")
 		}
 		if dryRun && step.Type != Check {
 			if err := note(Planned, strings.TrimSpace(step.Action+" "+formatPairs(step.Args)+formatPairs(step.Match))); err != nil {
@@ -53,7 +53,7 @@
 			if recordErr := note(Failed, err.Error()); recordErr != nil {
 				return recordErr
 			}
-			return errs.Wrap(err, fmt.Sprintf("step %d (%s)", i, step.Text))
+			return errs.Wrap(err, fmt.Sprintf("runbook step %d (%s)", i, step.Text))
 		}
 		if err := note(Done, detail); err != nil {
 			return err
@@ -117,7 +117,7 @@
 			matching = append(matching, row["name"])
 		}
 	}
-	detail := fmt.Sprintf("%d of %d %s match %s", len(matching), len(rows), s.View, formatPairs(s.Match))
+	detail := fmt.Sprintf("%d of %d rows of view %s match %s", len(matching), len(rows), s.View, formatPairs(s.Match))
 	if len(matching) > 0 && len(matching) <= maxNamedRows {
 		detail += ": " + strings.Join(matching, " ")
 	}
--- a/internal/runbook/runbook.go
+++ b/internal/runbook/runbook.go
@@ -101,7 +101,7 @@
 	decoder := json.NewDecoder(strings.NewReader(string(raw)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(b); err != nil {
-		return nil, errs.WrapAs(err, errs.BadInput, "decode runbook")
+		return nil, errs.WrapAs(err, errs.BadInput, "runbook")
 	}
 	var faults errs.Batch
 	b.validate(&faults)
