--- a/internal/control/operatorapi/index.go
+++ b/internal/control/operatorapi/index.go
@@ -14,12 +14,12 @@
 	"pebbleloom/internal/wire"
 )
 
-// holderStateName is the API's name of the state in which a worker holds a prefix.
+// holderStateName returns the API's name for whether a worker's cached prefix is presumed or confirmed.
 func holderStateName(state uint32) string {
 	return [...]string{"", "presumed", "confirmed"}[min(state, 2)]
 }
 
-// newPrefixItem describes a prefix and what the prompt index has found of it; nil if nothing.
+// newPrefixItem describes a prompt prefix and its holders; found is nil if the prompt index doesn't know it.
 func newPrefixItem(key prefix.Key, found *wire.LookupResult) operator.FoundPrefixesItem {
 	item := operator.FoundPrefixesItem{Key: key.String(), Holders: []string{}}
 	if found == nil {
@@ -32,7 +32,7 @@
 	return item
 }
 
-// LookUp asks the prompt index for the holders of each prefix of a prompt.
+// LookUp asks the prompt index which workers cache each prefix of a prompt.
 //
 // Example: POST /v1/index {"model": "lector", "tenant": "biblioteca", "parts": ["…"]}
 func (s *Server) LookUp(ctx context.Context, request *operator.Lookup) (*operator.Found, error) {
@@ -42,7 +42,7 @@
 	}
 	target, ok := config.Resolve(config.Routes[request.Model].DefaultTarget(request.Model))
 	if !ok {
-		return nil, errs.New(errs.NoSuchModel, "model %q", request.Model)
+		return nil, errs.New(errs.NoSuchModel, "model %q isn't in the configuration in force", request.Model)
 	}
 	model := prefix.QualifiedModel(target.Model, target.Adapter, target.Build)
 	chain := prefix.Chain(config.CacheDomain(request.Tenant), model, target.Weights, request.Parts)
@@ -60,8 +60,8 @@
 	return response, nil
 }
 
-// LookUp asks the prompt index for the holders of each part of a prompt, named by its ID, under the
-// named version of the model's weights; if none is named, under the newest that a worker serves.
+// LookUp asks the prompt index which workers cache each part of a prompt, given by part ID, for the target
+// version of the model's weights; without a target, for the newest version that any worker serves.
 //
 // Example: POST /v1/index {"model": "lector", "tenant": "biblioteca", "parts": ["5c1e07a2"]}
 func (s *groupServer) LookUp(ctx context.Context, request *operator.Lookup) (*operator.Found, error) {
@@ -71,12 +71,12 @@
 	}
 	tenant := slices.IndexFunc(plan.Tenants, func(t routingconfig.Tenant) bool { return t.Name == request.Tenant })
 	if tenant < 0 {
-		return nil, errs.New(errs.NotFound, "tenant %q", request.Tenant)
+		return nil, errs.New(errs.NotFound, "tenant %q isn't in the configuration in force", request.Tenant)
 	}
 	if !slices.ContainsFunc(plan.Services, func(service routingconfig.Service) bool {
 		return service.Engine != nil && slices.Contains(service.Engine.Models, request.Model)
 	}) {
-		return nil, errs.New(errs.NoSuchModel, "model %q", request.Model)
+		return nil, errs.New(errs.NoSuchModel, "model %q isn't in the configuration in force", request.Model)
 	}
 	workers, err := s.readWorkers(ctx)
 	if err != nil {
@@ -96,12 +96,12 @@
 	return response, nil
 }
 
-// readPlan reads and decodes the plan in force.
+// readPlan reads and decodes the routing plan in force.
 func (s *groupServer) readPlan(ctx context.Context) (*routingconfig.Plan, error) {
 	document, err := s.readConfigDocument(ctx)
 	if err != nil {
 		return nil, err
 	}
 	plan, err := s.decodePlan(document.Body)
-	return plan, errs.Wrap(err, "read plan")
+	return plan, errs.Wrap(err, "decode routing plan")
 }
