--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -23,11 +23,11 @@
 	process   *daemon.Process
 	actor     *queue.Actor[table]
 	member    *clustermembership.Member
-	view      atomic.Pointer[clustermembership.View] // latest cluster membership, read by the actor
+	view      atomic.Pointer[clustermembership.View] // latest cluster membership, which commands of the actor apply to the table
 	connect   func(addr string) wire.ControlNode
 	published atomic.Pointer[publishedSnapshot]
 
-	// Accessed only by the actor's commands.
+	// The fields followed and seeds are accessed only by commands of the actor.
 	followed map[string]context.CancelFunc // cancels the long polling of a control node, by its address
 	seeds    []string
 }
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -26,8 +26,8 @@
 	version         uint64
 	changed         chan struct{}
 	requests        map[string]int
-	waitingRequests map[string]int    // by address: long polls that have not been answered yet
-	behavior        map[string]string // by address: "" (responds), hangs, errs, empty (is in no group), behind (sends no plan)
+	waitingRequests map[string]int    // by address of the node: number of long polls that have not been answered yet
+	behavior        map[string]string // by address of the node: "" (responds), hangs, errs, empty (is in no group), behind (sends no plan)
 }
 
 func newFakeGroup(members ...string) *fakeGroup {
@@ -50,7 +50,7 @@
 	return g.requests[addr]
 }
 
-// waitingCount returns how many requests the node at addr has not answered yet.
+// waitingCount returns how many long polls the node at addr has received but not answered yet.
 func (g *fakeGroup) waitingCount(addr string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -107,13 +107,13 @@
 func runAgent(t *testing.T, group *fakeGroup, test func(t *testing.T, a *Agent)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		group.changed = make(chan struct{}) // must be created inside the synctest bubble
+		group.changed = make(chan struct{}) // created here because a channel that is used in a synctest bubble must be created inside it
 		environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 }}
 		process := daemon.NewIn(environment, "agent", settings.Process{Name: "edge-1", Bounds: settings.DefaultBounds(),
 			Seeds: []string{"1:1", "1:2", "9:9"}, Options: []string{"log=off"}})
 		a := newAgent(process, &versionCodec{}, func(addr string) wire.ControlNode { return fakeControlNode{group, addr} })
 		if a.Snapshot() == nil || a.Snapshot().Plan != nil {
-			t.Fatalf("snapshot before any response: got %+v, want one without a plan", a.Snapshot())
+			t.Fatalf("snapshot before any response of a control node: got %+v, want one without a plan", a.Snapshot())
 		}
 		a.actor.Ask(a.updateFollowed)
 		process.Every(process.Settings.Bounds.Config(longPollRatio), func() { a.actor.Ask(a.updateFollowed) })
@@ -144,7 +144,7 @@
 	runAgent(t, group, func(t *testing.T, agent *Agent) {
 		synctest.Wait()
 		if planVersion(agent) != 1 {
-			t.Fatalf("plan version after start: got %d, want 1", planVersion(agent))
+			t.Fatalf("plan version after the start with one of three members unresponsive: got %d, want 1", planVersion(agent))
 		}
 		wait(10*time.Second + 100*time.Millisecond)
 		changed, before := agent.Changed(), agent.Snapshot()
@@ -164,8 +164,8 @@
 	})
 }
 
-// While nothing changes, each member gets about one request per long-poll wait, seeds that aren't members get
-// none, and the freshness proof is never older than two long-poll waits.
+// While the plan doesn't change, each member of the consensus group gets about one request per long-poll wait, seeds
+// that aren't members get none, and the freshness proof is never older than two long-poll waits.
 func TestQuietSiteIsPolledOncePerLongPoll(t *testing.T) {
 	group := newFakeGroup(threeMembers...)
 	group.behavior["9:9"] = "empty"
@@ -222,15 +222,15 @@
 		}
 		// Once a quorum is responsive again, a proof is obtained without waiting for a long poll to end.
 		group.change(func() { group.behavior["1:3"] = "" })
-		wait(agent.process.Settings.Bounds.Config(responseGraceRatio+maxRetryDelayRatio) + time.Millisecond) // until the pending request to 1:3 has timed out and was retried
+		wait(agent.process.Settings.Bounds.Config(responseGraceRatio+maxRetryDelayRatio) + time.Millisecond) // waits until the pending request to 1:3 has timed out and was retried
 		if agent.Snapshot().ProofAt <= proofAt {
 			t.Errorf("freshness proof did not advance after a quorum recovered: it is %v old", agent.process.Clock.Now()-agent.Snapshot().ProofAt)
 		}
 	})
 }
 
-// The agent keeps polling the current members when a member is replaced by one at another address, and finds
-// the new members through the seeds when all of them are replaced at once.
+// The agent keeps polling the current members of the consensus group when one of them is replaced by a node at
+// another address, and finds the new members through the seeds when all members are replaced at once.
 func TestMembersAreFollowedAsTheyChange(t *testing.T) {
 	group := newFakeGroup(threeMembers...)
 	runAgent(t, group, func(t *testing.T, agent *Agent) {
@@ -274,29 +274,30 @@
 			t.Errorf("requests in ten seconds to a node that sends empty responses: got %d, want at most 40", n)
 		}
 		if n := group.requestCount("1:1"); n > 12 {
-			t.Errorf("requests in ten seconds to a member that lags behind: got %d, want at most 12", n)
+			t.Errorf("requests in ten seconds to a member without the newest plan: got %d, want at most 12", n)
 		}
 		if a.Snapshot().Plan == nil || a.Snapshot().Plan.Version != 1 {
-			t.Errorf("plan from the remaining member: got %v, want version 1", a.Snapshot().Plan)
+			t.Errorf("plan while one member lags behind and one sends empty responses: got %v, want version 1 from the third member", a.Snapshot().Plan)
 		}
 	})
 }
 
-// All seeds that a process started with are down. After its settings list other seeds, it finds the members.
+// None of the seeds that a process started with responds. After its settings list other seeds, the process finds the
+// members of the consensus group through them.
 func TestSeedsChangeWhileItRuns(t *testing.T) {
 	group := newFakeGroup("2:1/x", "2:2/y", "2:3/z")
 	group.behavior["1:1"], group.behavior["1:2"], group.behavior["9:9"] = "hangs", "errs", "hangs"
 	runAgent(t, group, func(t *testing.T, a *Agent) {
 		wait(5 * time.Second)
 		if a.Snapshot().Plan != nil {
-			t.Fatalf("plan while all seeds are down: got version %d, want none", a.Snapshot().Plan.Version)
+			t.Fatalf("plan while none of the seeds responds: got version %d, want none", a.Snapshot().Plan.Version)
 		}
 		changed := a.process.Settings
 		changed.Seeds = []string{"2:3", "8:8", "8:9"}
 		a.process.ApplySettings(changed)
 		wait(2 * time.Second)
 		if planVersion(a) != 1 || a.Snapshot().ProofAt == 0 {
-			t.Fatalf("after the seeds changed: got plan %d with proof at %v, want plan 1 with a proof", planVersion(a), a.Snapshot().ProofAt)
+			t.Fatalf("after the settings listed a reachable seed: got plan %d with proof at %v, want plan 1 with a proof", planVersion(a), a.Snapshot().ProofAt)
 		}
 	})
 }
--- a/internal/data/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -23,20 +23,20 @@
 	// update. The delay doubles with each retry, up to maxRetryDelayRatio.
 	minRetryDelayRatio = 1.0 / 40
 	maxRetryDelayRatio = 1.0 / 5
-	// startRetryDelayRatio replaces maxRetryDelayRatio for the time startPhaseRatio after the start while there
-	// is no freshness proof, because the whole site may just have restarted.
+	// startRetryDelayRatio replaces maxRetryDelayRatio for the time startPhaseRatio after the start of polling, as
+	// long as there is no freshness proof, because the whole site may just have restarted.
 	startRetryDelayRatio = 1.0 / 25
 	startPhaseRatio      = 1.0 / 2
 )
 
-// address returns the network address of a member, whose name has the form "address/incarnation".
+// address returns the network address of a member of the consensus group, whose name has the form "address/incarnation".
 func address(member string) string {
 	addr, _, _ := strings.Cut(member, "/")
 	return addr
 }
 
-// follow polls one member until ctx is canceled, at the latest when the process stops. Each member is polled
-// by its own goroutine, so that an unresponsive member does not delay updates from the others.
+// follow polls the control node at addr until ctx is canceled, at the latest when the process stops. Each control node is
+// polled by its own goroutine, so that an unresponsive one does not delay updates from the others.
 func (a *Agent) follow(ctx context.Context, addr string) {
 	bounds := a.process.Settings.Bounds
 	longPollTime := bounds.Config(longPollRatio)
--- a/internal/data/agent/freshnessproof.go
+++ b/internal/data/agent/freshnessproof.go
@@ -47,7 +47,7 @@
 // about plans between u and v, so it is not counted while u is in use.
 type FreshnessProof struct {
 	generation   uint64 // newest restore generation that any member reported
-	term, index  uint64 // log position of the newest membership of that generation
+	term, index  uint64 // log position of the newest known membership in that restore generation
 	members      []string
 	attestations map[string]attestation // latest attestation of each member
 	freshUntil   time.Duration
@@ -93,7 +93,7 @@
 		return
 	}
 	if requestedAt <= p.attestations[response.Member].requestedAt {
-		return // responses may arrive out of order
+		return // responses may arrive out of order: an attestation for a request sent as late or later is already recorded
 	}
 	p.attestations[response.Member] = attestation{requestedAt, version, response.MembersTerm, response.MembersIndex}
 }
@@ -125,7 +125,7 @@
 //
 // Example: if now-p.FreshUntil(7) > bound { reject() }
 func (p *FreshnessProof) FreshUntil(version uint64) time.Duration {
-	var requestedAt []time.Duration // of attestations for the newest membership and at most this version
+	var requestedAt []time.Duration // send times of the requests whose attestations count: those for the newest membership and at most this plan version
 	for _, member := range p.members {
 		a, ok := p.attestations[member]
 		if ok && a.version <= version && a.term == p.term && a.index == p.index {
@@ -137,6 +137,6 @@
 		return p.freshUntil
 	}
 	slices.Sort(requestedAt)
-	p.freshUntil = max(p.freshUntil, requestedAt[len(requestedAt)-quorum]) // a quorum was sent its requests at that instant or later
+	p.freshUntil = max(p.freshUntil, requestedAt[len(requestedAt)-quorum]) // the requests to the members of a quorum were sent at that instant or later
 	return p.freshUntil
 }
--- a/internal/data/agent/freshnessproof_test.go
+++ b/internal/data/agent/freshnessproof_test.go
@@ -62,7 +62,7 @@
 	return best
 }
 
-// Tries every order of eight responses, between which a member is added to the group. The proof must never be
+// Tries every order of eight responses, between which a member is added to the consensus group. The proof must never be
 // later than what a quorum attested, must never decrease, and must be the latest possible after all responses.
 func TestEveryOrderOfResponses(t *testing.T) {
 	four := append(slices.Clone(threeMembers), "1:4/d")
@@ -73,7 +73,7 @@
 		{attestingResponse(threeMembers[1], 1, 1, threeMembers...), 7, 20},
 		{attestingResponse(threeMembers[2], 1, 1, threeMembers...), 7, 30},
 		{attestingResponse(threeMembers[0], 1, 9, four...), 7, 40},
-		{attestingResponse(threeMembers[1], 1, 9, four...), 8, 50}, // received a newer plan
+		{attestingResponse(threeMembers[1], 1, 9, four...), 8, 50}, // this member has also received plan 8
 		{withoutAttestation, 7, 60},
 		{attestingResponse("1:4/d", 1, 9, four...), 7, 70},
 		{attestingResponse(threeMembers[2], 1, 9, four...), 7, 80},
@@ -109,7 +109,7 @@
 	if at := proof.FreshUntil(7); at != 0 {
 		t.Fatalf("attestations of one of three members: FreshUntil is %v, want 0", at)
 	}
-	proof.AddResponse(attestingResponse("1:1/x", 1, 1, threeMembers...), 7, 90) // same address, new incarnation: the member lost its disk
+	proof.AddResponse(attestingResponse("1:1/x", 1, 1, threeMembers...), 7, 90) // member 1:1 after it lost its disk: same address, new incarnation
 	proof.AddResponse(attestingResponse("9:9/z", 1, 1, threeMembers...), 7, 95)
 	proof.AddResponse(&wire.FollowResponse{Member: threeMembers[1], NothingNewer: true}, 7, 99)
 	if at := proof.FreshUntil(7); at != 0 {
@@ -122,9 +122,9 @@
 	proof := NewFreshnessProof()
 	proof.AddResponse(attestingResponse(threeMembers[0], 1, 1, four...), 7, 10)
 	proof.AddResponse(attestingResponse("1:4/d", 1, 1, four...), 7, 20)
-	proof.AddResponse(attestingResponse(threeMembers[0], 1, 5, threeMembers...), 7, 30) // member 1:4/d was removed
+	proof.AddResponse(attestingResponse(threeMembers[0], 1, 5, threeMembers...), 7, 30) // member 1:1/a reports the later membership without 1:4/d
 	proof.AddResponse(attestingResponse("1:4/d", 1, 1, four...), 7, 40)
-	proof.AddResponse(attestingResponse(threeMembers[1], 1, 1, four...), 7, 50) // has not received the removal yet
+	proof.AddResponse(attestingResponse(threeMembers[1], 1, 1, four...), 7, 50) // member 1:2/b still reports the membership with 1:4/d
 	if at := proof.FreshUntil(7); at != 0 {
 		t.Fatalf("attestations of one current member, one removed member and one with an outdated membership: FreshUntil is %v, want 0", at)
 	}
@@ -145,6 +145,6 @@
 	// The leader of term 3 has truncated the uncommitted membership from the log of member 3.
 	proof.AddResponse(attestingResponse("3", 1, 1, old...), 7, 20)
 	if at := proof.FreshUntil(7); at != 0 {
-		t.Fatalf("FreshUntil is %v, want 0: the quorum {1,2} of {1,2,3} may have acknowledged a newer plan", at)
+		t.Fatalf("attestations of members a and 4 for {1,2,3,4,a}, and of 3 for {1,2,3,4}: FreshUntil is %v, want 0, because the quorum {1,2} of {1,2,3} may have acknowledged a newer plan", at)
 	}
 }
--- a/internal/data/agent/restored_test.go
+++ b/internal/data/agent/restored_test.go
@@ -11,7 +11,7 @@
 // restoredMember is the only member of the group that was restored from the disk of threeMembers[0].
 const restoredMember = "1:1/r"
 
-// restoredGeneration is the restore generation of that group; the group before the restore has generation 0.
+// restoredGeneration is the restore generation of the restored group; the group before the restore has generation 0.
 const restoredGeneration = 1<<32 | 7
 
 // restoredResponse returns a response of the restored group's only member. Its term is lower than that of the
@@ -53,7 +53,7 @@
 			t.Fatalf("responses %v: got members %v of restore generation %d, want only %s of generation %d", order, members, proof.Generation(), restoredMember, uint64(restoredGeneration))
 		}
 		if before < 35 {
-			t.Fatalf("after all responses, in order %v: proof at %v, want at least 35ns", order, before)
+			t.Fatalf("after all responses, in order %v: freshness proof at %v, want at least 35ns", order, before)
 		}
 	})
 }
@@ -70,7 +70,7 @@
 	state.applyResponse(newFollowResponse(threeMembers[1], true), 7, startTime+2, startTime+2)
 	provedAt := state.snapshot.ProofAt
 	if provedAt != startTime+1 {
-		t.Fatalf("proof before the restore: got %v, want %v", provedAt, startTime+1)
+		t.Fatalf("instant of the freshness proof before the restore: got %v, want %v", provedAt, startTime+1)
 	}
 	older := newDocument(t, fleet.WeightsKey, 8, fleet.Weights{Versions: map[string]uint64{"m": 3}})
 	changed, err := state.applyResponse(restoredResponse(planDocument(6), older), 7, startTime+3, startTime+3)
@@ -78,7 +78,7 @@
 		t.Fatalf("response of the restored group: got changed %v, error %v, snapshot %+v; want changed, plan 6, weights version 3 and no placements", changed, err, state.snapshot)
 	}
 	if state.snapshot.ProofAt != startTime+3 {
-		t.Errorf("proof of the restored group's plan: got %v, want %v", state.snapshot.ProofAt, startTime+3)
+		t.Errorf("instant of the freshness proof for the restored group's plan: got %v, want %v", state.snapshot.ProofAt, startTime+3)
 	}
 	if request := state.newRequest(0); request.RestoreGeneration != restoredGeneration || requestedVersion(request) != 6 {
 		t.Errorf("request after the restore: got %v, want restore generation %d and plan version 6", request, uint64(restoredGeneration))
--- a/internal/data/agent/simulatedgroup_test.go
+++ b/internal/data/agent/simulatedgroup_test.go
@@ -13,7 +13,7 @@
 type logEntry struct {
 	term    int
 	version uint64   // plan version; 0: the entry contains no plan
-	members []string // nil: the entry contains no membership
+	members []string // members of the group from this entry on; nil: the entry contains no membership
 }
 
 // simulatedMember is the state of one member; commit is the length of the log that it knows to be committed.
@@ -36,7 +36,7 @@
 type simulatedLeader struct {
 	name         string
 	term, commit int
-	match        map[string]int // length of the log that is known to be replicated, by member
+	match        map[string]int // by member: length of the prefix of the leader's log that the member is known to have
 }
 
 // pendingRequest is a request of the agent that a member has not received yet.
@@ -60,8 +60,8 @@
 	pendingRequests   []pendingRequest
 	version           uint64 // version of the plan that the agent uses
 	ignoresMembership bool   // injected fault: each response counts as if it reported the newest membership
-	isRefuted         bool   // a plan newer than the one in use was committed before the proof's instant
-	proofs            int    // responses after which the agent had a proof
+	isRefuted         bool   // whether a plan newer than the agent's was committed before the instant of its freshness proof
+	proofs            int    // number of responses after which the agent had a proof
 }
 
 // newestMembership returns the last membership in a log and the index of its entry.
@@ -239,14 +239,14 @@
 	return group
 }
 
-// In random simulations of a group with leader elections and membership changes, no plan newer than the one in
-// use may have been committed before the proof's instant, whatever the order of steps and responses.
+// In random simulations of a consensus group with leader elections and membership changes, no plan newer than the agent's
+// may have been committed before the instant of its freshness proof, whatever the order of steps and responses.
 func TestNoFalseProofInAChangingGroup(t *testing.T) {
 	proofs, changed := 0, 0
 	for seed := range uint64(40000) {
 		group := randomWalk(seed, false)
 		if group.isRefuted {
-			t.Fatalf("seed %d: a plan newer than %d was committed before the proof's instant; commit steps by plan version: %v", seed, group.version, group.committed)
+			t.Fatalf("simulation with seed %d: a plan newer than %d was committed before the proof's instant; commit steps by plan version: %v", seed, group.version, group.committed)
 		}
 		proofs += group.proofs
 		if group.proof.index > 0 {
@@ -258,13 +258,13 @@
 	}
 }
 
-// The same simulations must detect an agent that ignores which membership a response reports. Otherwise
-// TestNoFalseProofInAChangingGroup would pass without checking anything.
+// The simulations of TestNoFalseProofInAChangingGroup must detect an agent that ignores which membership a response
+// reports. Otherwise that test could pass without checking anything.
 func TestRandomWalksFindThePlantedFault(t *testing.T) {
 	for seed := range uint64(40000) {
 		if randomWalk(seed, true).isRefuted {
 			return
 		}
 	}
-	t.Fatal("no simulation detected the injected fault of ignoring the reported membership")
+	t.Fatal("none of 40000 simulations refuted the proof of an agent that ignores which membership a response reports, want at least one")
 }
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -24,22 +24,22 @@
 	// heal bound (the time within which service is restored after a failure).
 	edgeMemoryRatio = 5
 	// joiningRatio is how long after its start a node may not know all other nodes yet, as a fraction of the
-	// leave bound (the longest time for which a worker that left may still get requests).
+	// leave bound (the longest time for which a worker may still get requests after it has left).
 	joiningRatio = 1.0 / 3
 	// outOfContactRatio is the age of the freshness proof above which the agent may have missed updates, as a
-	// multiple of the configuration bound.
+	// multiple of the configuration bound (the longest time for which an outdated configuration may be in use).
 	outOfContactRatio = 1.5
 )
 
-// table is the state of an agent. Only the actor's goroutine accesses it, so its methods do no I/O.
+// table is the state of an Agent. Only the goroutine of Agent.actor accesses it, so its methods do no I/O.
 type table struct {
 	bounds     settings.Bounds
 	codec      backend.Codec
 	startedAt  time.Duration
 	proof      *FreshnessProof
-	versions   map[string]uint64        // newest version received by document key, even if it could not be decoded
+	versions   map[string]uint64        // newest version received of each document, by document key; counts even if it could not be decoded
 	edgeSeenAt map[string]time.Duration // when an edge machine was last seen alive, by its name
-	snapshot   fleet.Snapshot           // published as a shallow copy: its maps and slices are replaced, never modified
+	snapshot   fleet.Snapshot           // current control state; shallow copies of it are published, so its maps and slices are replaced, never modified
 }
 
 func newTable(bounds settings.Bounds, codec backend.Codec, now time.Duration) *table {
@@ -54,15 +54,16 @@
 	}
 }
 
-// isOutOfContact reports whether the agent may have missed updates: there is no freshness proof, or it is
-// older than outOfContactRatio allows.
+// isOutOfContact reports whether the agent may have missed updates: there is no freshness proof, or the proof
+// is older than outOfContactRatio times the configuration bound (the longest time for which an outdated
+// configuration may be in use).
 func (t *table) isOutOfContact(now time.Duration) bool {
 	return t.snapshot.ProofAt == 0 || now-t.snapshot.ProofAt > t.bounds.Config(outOfContactRatio)
 }
 
-// longPollTime returns how long a member may wait for an update before it responds to a request sent now.
-// An agent whose process was suspended or lost contact can't serve until it has a new freshness proof, so it
-// requests an immediate response.
+// longPollTime returns how long a member of the consensus group may wait for an update before it responds to a
+// request sent now. An agent whose process was suspended, or that lost contact with the group, can't serve until
+// it has a new freshness proof, so it requests an immediate response.
 func (t *table) longPollTime(now time.Duration) time.Duration {
 	if t.snapshot.Plan != nil && t.isOutOfContact(now) {
 		return 0
@@ -70,7 +71,7 @@
 	return t.bounds.Config(longPollRatio)
 }
 
-// newRequest returns the next long-poll request to a member, with the versions of all known documents.
+// newRequest returns the next long-poll request to a member of the consensus group, with the versions of all known documents.
 func (t *table) newRequest(longPollTime time.Duration) *wire.FollowRequest {
 	request := &wire.FollowRequest{MaxWaitNs: uint64(longPollTime), ProofKey: routingconfig.DocumentKey, AcceptsCompressed: true, RestoreGeneration: t.proof.Generation()}
 	for _, key := range []string{routingconfig.DocumentKey, fleet.WorkersKey, fleet.WeightsKey, fleet.PlacementKey} {
@@ -95,13 +96,13 @@
 	return key == routingconfig.DocumentKey || key == fleet.WorkersKey || key == fleet.WeightsKey || isPlacement(key)
 }
 
-// applyResponse applies a member's response to a request that was sent at requestedAt with plan version
-// requested. It reports whether the response contained a newer document. The error lists the documents that
+// applyResponse applies the response of a member of the consensus group to a request that was sent at requestedAt
+// and that reported plan version requested as known. It reports whether the response contained a newer document. The error lists the documents that
 // could not be decoded; all others are applied.
 func (t *table) applyResponse(response *wire.FollowResponse, requested uint64, requestedAt, now time.Duration) (changed bool, err error) {
 	switch known := t.proof.Generation(); {
 	case response.RestoreGeneration < known:
-		return false, nil // sent by an abandoned group, which a restored one has replaced
+		return false, nil // the responding member belongs to an abandoned consensus group, which a restored one has replaced
 	case response.RestoreGeneration > known && len(response.Members) > 0:
 		t.forgetDocuments()
 		requested, changed = 0, true
@@ -124,7 +125,7 @@
 	return changed, faults.Err()
 }
 
-// forgetDocuments prepares the table for the documents of a restored group, which may have lost versions that
+// forgetDocuments prepares the table for the documents of a restored consensus group, which may have lost versions that
 // this agent has received. The plan and the workers stay in use until the restored group sends others; until
 // then the freshness proof of the plan does not advance.
 func (t *table) forgetDocuments() {
@@ -133,7 +134,8 @@
 	t.snapshot.NamedVersions, t.snapshot.NamedAt, t.snapshot.EarlierVersions = nil, nil, nil
 }
 
-// updateProof sets the instant up to which the plan in use is proved to have been the newest.
+// updateProof sets ProofAt of the snapshot to the instant up to which the plan in use is proved to have been the
+// newest.
 func (t *table) updateProof() {
 	if t.snapshot.Plan != nil {
 		t.snapshot.ProofAt = t.proof.FreshUntil(t.snapshot.Plan.Version)
@@ -143,14 +145,14 @@
 // applyMembership stores the cluster membership and the number of edge machines in the snapshot. It reports
 // whether either changed.
 func (t *table) applyMembership(view clustermembership.View, now time.Duration) bool {
-	isAlone := true // no control node is in the membership
+	isAlone := true // whether the cluster membership contains no control node
 	for _, node := range view.Nodes {
 		isAlone = isAlone && node.Role != clustermembership.RoleControlNode
 		if node.Role == clustermembership.RoleNodeAgent && node.State != clustermembership.Dead {
 			t.edgeSeenAt[node.Name] = now
 		}
 	}
-	if now-t.snapshot.ProofAt <= t.bounds.Config(outOfContactRatio) { // while out of contact, machines that seem dead may only be unreachable, so none is forgotten
+	if now-t.snapshot.ProofAt <= t.bounds.Config(outOfContactRatio) { // an agent without contact to the control nodes can't distinguish dead edge machines from unreachable ones, so it forgets none
 		maps.DeleteFunc(t.edgeSeenAt, func(_ string, seenAt time.Duration) bool { return now-seenAt > t.bounds.Heal(edgeMemoryRatio) })
 	}
 	edges := max(1, len(t.edgeSeenAt))
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -49,8 +49,9 @@
 
 func newTestTable() *table { return newTable(settings.DefaultBounds(), &versionCodec{}, startTime) }
 
-// Tries every order of the members' responses: the version in use and the proof never decrease, only newer
-// versions count as a change, and a member that sends a plan also attests it.
+// Tries every order of the members' responses: the plan version in use and the instant of the
+// freshness proof never decrease, only newer plans count as a change, and a member that sends a plan also attests
+// that it has no newer one.
 func TestPlanVersionNeverDecreases(t *testing.T) {
 	type receivedResponse struct {
 		response    *wire.FollowResponse
@@ -76,7 +77,7 @@
 				reported = d.Version
 			}
 			if err != nil || changed != (reported > newest) {
-				t.Fatalf("responses %v, at plan %d after newest plan %d: got changed %v, error %v; want changed only for a newer plan and no error", responses, reported, newest, changed, err)
+				t.Fatalf("responses %v, at the one with plan %d (0: none) after newest plan %d: got changed %v, error %v; want changed only for a newer plan and no error", responses, reported, newest, changed, err)
 			}
 			newest = max(newest, reported)
 			if newest > 0 && state.snapshot.Plan.Version != newest || state.versions[routingconfig.DocumentKey] != newest || state.snapshot.ProofAt < proof {
@@ -85,7 +86,7 @@
 			proof = state.snapshot.ProofAt
 		}
 		if proof != startTime+4 {
-			t.Fatalf("after all responses, in order %v: proof at %v, want %v", responses, proof, startTime+4)
+			t.Fatalf("after all responses, in order %v: freshness proof at %v, want %v", responses, proof, startTime+4)
 		}
 	})
 }
@@ -118,7 +119,7 @@
 		t.Fatal(err)
 	}
 	if state.snapshot.Workers[0].ID != "w1" || state.snapshot.Placements["s"] == nil || len(state.snapshot.Placements) != 1 || before.Placements != nil {
-		t.Fatalf("got snapshot %+v (copy taken before the update: %+v), want worker w1 and one placement, and the copy unchanged", state.snapshot, before)
+		t.Fatalf("response with a list of workers and a placement: got snapshot %+v (copy taken before: %+v), want worker w1 and one placement, and the copy unchanged", state.snapshot, before)
 	}
 	got := map[string]uint64{}
 	request := state.newRequest(time.Second)
@@ -131,14 +132,15 @@
 	published := state.snapshot
 	state.applyResponse(newFollowResponse(threeMembers[0], true, newDocument(t, fleet.PlacementKey+"t", 1, map[string]any{}), newDocument(t, fleet.WorkersKey, 2, fleet.WorkerList{})), 0, startTime, startTime)
 	if len(state.snapshot.Placements) != 2 || len(published.Placements) != 1 || len(state.snapshot.Workers) != 1 {
-		t.Fatalf("got %d placements, %d in the published copy, %d workers; want 2, 1 and 1 (published copy unchanged, older list of workers ignored)",
+		t.Fatalf("response with a second placement and an older list of workers: got %d placements, %d in the published copy, %d workers; want 2, 1 and 1 (published copy unchanged, older list of workers ignored)",
 			len(state.snapshot.Placements), len(published.Placements), len(state.snapshot.Workers))
 	}
 }
 
-// NamedAt is the instant from which the weights bound of a version counts. An agent that was out of contact when
-// a version was configured uses an earlier instant than that of the response, and the bounds of earlier versions
-// are never extended.
+// NamedAt is the instant at which a version of the weights was configured, from which the weights bound (the longest
+// time for which requests may still start on superseded weights) is counted. An agent that was out of contact with
+// the control nodes when a version was configured uses an earlier instant than that of the response, and the bound of
+// an earlier version is never extended.
 func TestWhenWeightsWereNamed(t *testing.T) {
 	state := newTestTable()
 	bounds := state.bounds
@@ -158,11 +160,11 @@
 		t.Fatalf("weights configured while in contact: NamedAt is %v, want m at %v and n at %v", namedAt, now+1, now+2)
 	}
 	if earlier := state.snapshot.EarlierVersions; len(earlier["m"]) != 1 || earlier["m"][0].Version != 1 || len(earlier["n"]) != 1 || earlier["n"][0] != (fleet.NamedVersion{Version: 7, At: now + 1}) {
-		t.Fatalf("earlier versions: got %v, want version 1 of m and version 7 of n, configured at %v", earlier, now+1)
+		t.Fatalf("earlier weights versions after m and n changed once: got %v, want version 1 of m and version 7 of n, configured at %v", earlier, now+1)
 	}
 	nameWeights(4, now+bounds.Config(2), map[string]uint64{"m": 3})
 	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 2 || earlier[1] != (fleet.NamedVersion{Version: 2, At: now + 1}) {
-		t.Fatalf("earlier versions of m: got %v, want versions 1 and 2, the latter configured at %v", earlier, now+1)
+		t.Fatalf("earlier weights versions of m after it changed twice: got %v, want versions 1 and 2, the latter configured at %v", earlier, now+1)
 	}
 	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now || len(namedAt) != 1 {
 		t.Fatalf("weights configured while out of contact since %v: NamedAt is %v, want m at that instant alone", now, namedAt)
@@ -172,17 +174,17 @@
 		t.Fatalf("weights configured while out of contact for three times the weights bound: NamedAt is %v, want m at %v", namedAt, now+bounds.Weights(2.5))
 	}
 	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 1 || earlier[0].Version != 3 {
-		t.Fatalf("earlier versions of m after the bound of version 3 expired: got %v, want version 3 alone", earlier)
+		t.Fatalf("earlier weights versions of m after the weights bound of version 3 expired: got %v, want version 3 alone", earlier)
 	}
-	for v := uint64(5); v < 30; v++ { // in quick succession: dropping old versions must not extend any bound
+	for v := uint64(5); v < 30; v++ { // changes the weights in quick succession: dropping old versions must not extend the weights bound of any other
 		nameWeights(v+1, now+bounds.Weights(3)+time.Duration(v), map[string]uint64{"m": v})
 	}
 	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != maxEarlierVersions || earlier[0].At != now {
-		t.Fatalf("earlier versions of m after 25 changes: got %v, want %d versions, the oldest configured at %v", earlier, maxEarlierVersions, now)
+		t.Fatalf("earlier weights versions of m after 25 more changes: got %v, want %d versions, the oldest configured at %v", earlier, maxEarlierVersions, now)
 	}
 }
 
-// membershipOf returns a membership of one control node and some edge machines, the first of which are dead.
+// membershipOf returns a cluster membership of one control node and some edge machines, the first of which are dead.
 func membershipOf(edges int, dead int) (view clustermembership.View) {
 	view.Nodes = append(view.Nodes, &wire.Node{Name: "archive/c", Role: clustermembership.RoleControlNode})
 	for i := range edges {
