--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -19,8 +19,8 @@
 // until it is acknowledged, and the index applies each number once, so a lost response does not lead to
 // double counting.
 //
-// The accesses of the current and the previous half window are also kept after they were acknowledged. They
-// are queued again for an index node that reports that it has lost its state.
+// The accesses of the current and the previous half window (halves of the time for which accesses are kept) are also
+// kept after they were acknowledged. They are queued again for an index node that reports that it has lost its state.
 //
 // AccessCounter is used by both senders of accesses: Client and the prompt index client of package
 // callerproxy. It does no I/O and isn't safe for concurrent use: the sender's actor serializes all calls,
@@ -40,7 +40,7 @@
 	lastNumber uint64
 	pending    map[prefix.Key]*wire.Access
 	inFlight   *wire.CountRequest // unacknowledged batch: sent again with the same sequence number
-	sending    bool               // a call with inFlight has not returned yet
+	sending    bool               // whether the call that sends inFlight is still in progress
 }
 
 // NewAccessCounter returns an empty counter for the batches of one sender. The incarnation distinguishes this
@@ -78,7 +78,7 @@
 	mergeAccess(c.window, key, access)
 }
 
-// RotateWindow starts a new half window if the current one is over, and discards the previous one.
+// RotateWindow starts a new half window if the current one is over, and discards the accesses of the one before that.
 //
 // Example: c.RotateWindow(clock.Now())
 func (c *AccessCounter) RotateWindow(now time.Duration) {
@@ -128,7 +128,7 @@
 	}
 	queue.sending = false
 	if queue.inFlight != batch {
-		return // the batch was dropped by DropPending in the meantime
+		return // DropPending has dropped the batch while it was being sent
 	}
 	queue.inFlight = nil
 	if !response.ResendWindow {
--- a/internal/data/indexclient/accesscounter_test.go
+++ b/internal/data/indexclient/accesscounter_test.go
@@ -40,11 +40,11 @@
 	addAccess(counter, 1)
 	first := counter.NextBatch(testNode, nil)
 	if first.GetSequence() != 1 || !slices.Equal(keysOf(first), []int{1}) || first.Accesses[0].Count != 1 {
-		t.Fatalf("first batch: got %v, want sequence 1 with one access to key 1", first)
+		t.Fatalf("NextBatch after one access: got %v, want sequence 1 with one access to key 1", first)
 	}
 	addAccess(counter, 2)
 	if batch := counter.NextBatch(testNode, nil); batch != nil {
-		t.Errorf("NextBatch while a batch is being sent: got %v, want nil", batch)
+		t.Errorf("NextBatch while the first batch is being sent: got %v, want nil", batch)
 	}
 	counter.RecordFailure(testNode)
 	if batch := counter.NextBatch(testNode, nil); batch != first || !slices.Equal(keysOf(batch), []int{1}) {
@@ -52,7 +52,7 @@
 	}
 	counter.Acknowledge(testNode, first, &wire.CountResponse{Sequence: 1}, isAlwaysAssigned)
 	if batch := counter.NextBatch(testNode, nil); batch.GetSequence() != 2 || !slices.Equal(keysOf(batch), []int{2}) {
-		t.Errorf("NextBatch after the acknowledgement: got %v, want sequence 2 with an access to key 2", batch)
+		t.Errorf("NextBatch after the acknowledgement of the first batch: got %v, want sequence 2 with an access to key 2", batch)
 	}
 }
 
@@ -69,7 +69,7 @@
 	}
 }
 
-// A node stops serving while a batch is in flight. A late response to that batch must not acknowledge the next
+// An index node stops serving while a batch to it is in flight. A late response to that batch must not acknowledge the next
 // one, and sequence numbers continue.
 func TestDroppedBatchIsNotAcknowledged(t *testing.T) {
 	counter := newTestCounter()
@@ -80,11 +80,11 @@
 	counter.Acknowledge(testNode, dropped, &wire.CountResponse{Sequence: 1, ResendWindow: true}, isAlwaysAssigned)
 	next := counter.NextBatch(testNode, nil)
 	if next.GetSequence() != 2 || !slices.Equal(keysOf(next), []int{2}) {
-		t.Errorf("batch after a dropped one: got %v, want sequence 2 with an access to key 2", next)
+		t.Errorf("NextBatch after DropPending dropped a batch in flight: got %v, want sequence 2 with an access to key 2", next)
 	}
 }
 
-// A node that lost its state gets the accesses of the last two half windows again, without presumed holders,
+// An index node that lost its state gets the accesses of the last two half windows again, without presumed holders,
 // except those to keys that aren't assigned to it.
 func TestWindowIsSentAgain(t *testing.T) {
 	counter := newTestCounter()
@@ -98,6 +98,6 @@
 	counter.Acknowledge(testNode, counter.NextBatch(testNode, nil), &wire.CountResponse{Sequence: 1, ResendWindow: true}, isAssigned)
 	batch := counter.NextBatch(testNode, nil)
 	if batch.GetSequence() != 2 || !slices.Equal(keysOf(batch), []int{3}) || len(batch.Accesses[0].PresumedHolders) != 0 {
-		t.Errorf("batch resent to a node that lost its state: got %v, want sequence 2 with an access to key 3 without presumed holders", batch)
+		t.Errorf("batch resent to an index node that lost its state: got %v, want sequence 2 with an access to key 3 without presumed holders", batch)
 	}
 }
--- a/internal/data/indexclient/batch.go
+++ b/internal/data/indexclient/batch.go
@@ -35,12 +35,13 @@
 // batchResult accumulates the responses of index nodes to a batch of lookups.
 type batchResult struct {
 	found   map[prefix.Key]*wire.LookupResult
-	isFinal map[prefix.Key]bool // whether a warm index node has responded, for each key of the batch
+	isFinal map[prefix.Key]bool // by key of the batch: whether a warm index node (one that knows the contents of the workers' caches) has responded
 	asked   map[string]bool     // names of the index nodes that were called
 }
 
 // lookUpBatch resolves a batch of lookups. The first attempt calls as few index nodes as possible to cover all
-// keys. The second one calls the other nodes assigned to the keys for which no warm node has responded.
+// keys. The second one calls the other nodes assigned to the keys for which no warm node (one that knows the
+// contents of the workers' caches) has responded.
 func (c *Client) lookUpBatch(lookups []pendingLookup) {
 	result := &batchResult{found: map[prefix.Key]*wire.LookupResult{}, isFinal: map[prefix.Key]bool{}, asked: map[string]bool{}}
 	keys, wait := joinKeys(lookups, result.isFinal)
@@ -66,7 +67,7 @@
 			lookup.result <- nil
 			continue
 		}
-		lookup.result <- result.found // shared by all callers, so not modified from here on
+		lookup.result <- result.found // the callers of Lookup share this map, so it must not be modified any more
 	}
 }
 
@@ -85,7 +86,8 @@
 	return keys, wait
 }
 
-// missing returns the keys for which no warm index node has responded.
+// missing returns the keys for which no warm index node (one that knows the contents of the workers' caches) has
+// responded.
 func (r *batchResult) missing(keys []prefix.Key) (missing []prefix.Key) {
 	for _, key := range keys {
 		if !r.isFinal[key] {
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -31,7 +31,8 @@
 	// cacheLifetimeRatio is the lifetime of a cached lookup result. A longer lifetime saves calls; with a shorter
 	// one it is noticed sooner that a worker has evicted a part.
 	cacheLifetimeRatio = 1.0 / 48
-	// lateNodeRatio is how long an index node that responded late, or wasn't warm, is only called as a last resort.
+	// lateNodeRatio is how long an index node is only called as a last resort after it responded late, or before it
+	// had collected the contents of the workers' caches.
 	lateNodeRatio = 1.0 / 12
 	// lateProbeRatio is the minimum time between two calls to an index node that responded late.
 	lateProbeRatio = 1.0 / 96
@@ -45,7 +46,7 @@
 	maxCachedAnswers     = 4096
 	maxBatchedLookups    = 63 // lookups in a batch in addition to the first one
 	maxConcurrentBatches = 4
-	maxConnections       = 64 // cached connections to index nodes; all are dropped when there are more
+	maxConnections       = 64 // cached connections to index nodes; if there are more when another one is opened, all are dropped from the cache
 )
 
 // Client looks up keys in batches and reports the accesses made by requests of this edge machine. All methods
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -22,12 +22,12 @@
 // fakeIndex simulates the index nodes. All know the same holders; the behavior of each can be set separately.
 type fakeIndex struct {
 	mu           sync.Mutex
-	behavior     map[string]string // by address: "" (responds), hangs, errors, cold (responds, but isn't warm)
-	called       []string          // addresses of all Lookup calls, in order
-	keyCount     int               // keys of all Lookup calls
+	behavior     map[string]string // by address of the node: "" (responds), hangs, errors, cold (responds, but doesn't know the workers' caches yet)
+	called       []string          // addresses of the nodes that got a Lookup call, in order of the calls
+	keyCount     int               // total number of keys in all Lookup calls
 	batches      map[string][]*wire.CountRequest
 	holders      map[prefix.Key]string
-	resendWindow bool          // the next Count call is answered as by a node that lost its state
+	resendWindow bool          // whether the next Count call is answered as by an index node that lost its state
 	unblock      chan struct{} // if set, Lookup calls block until it is closed
 }
 
@@ -92,7 +92,8 @@
 	return nodes
 }
 
-// runClient runs a test in a synctest bubble with a client of a fake index; serving are the nodes in use.
+// runClient runs a test in a synctest bubble with a client of a fake index; serving are the index nodes to
+// which keys are assigned.
 func runClient(t *testing.T, index *fakeIndex, test func(client *Client, serving []*wire.Node)) {
 	t.Helper()
 	if index.behavior == nil {
@@ -166,13 +167,13 @@
 			lookUp(i)
 		}
 		if len(index.called) != maxConcurrentBatches {
-			t.Errorf("concurrent lookup calls: got %d, want %d", len(index.called), maxConcurrentBatches)
+			t.Errorf("lookup calls in flight at the same time: got %d, want %d", len(index.called), maxConcurrentBatches)
 		}
 		close(index.unblock)
 		wg.Wait()
-		// The run loop had already taken one lookup from the ring while the other 20 waited in it; all 21 form one batch.
+		// Client.run had already taken one lookup from its queue while the other 20 waited there; all 21 form one batch.
 		if len(index.called) != maxConcurrentBatches+1 || index.keyCount != 2*maxConcurrentBatches-1+22 {
-			t.Errorf("after all lookups: got %d calls with %d keys, want %d calls with %d keys", len(index.called), index.keyCount, maxConcurrentBatches+1, 2*maxConcurrentBatches-1+22)
+			t.Errorf("25 concurrent lookups of two keys each: got %d calls with %d keys, want %d calls with %d keys", len(index.called), index.keyCount, maxConcurrentBatches+1, 2*maxConcurrentBatches-1+22)
 		}
 	})
 }
@@ -204,7 +205,7 @@
 		runClient(t, index, func(client *Client, serving []*wire.Node) {
 			index.setBehavior(serving[1].Addr, behavior)
 			if found := client.Lookup(context.Background(), newKeys(2), lookupWait); len(found[newKey(1)].GetHolders()) != 1 || len(index.called) != 2 {
-				t.Errorf("lookup with a node of behavior %q: got %v after calls of %v, want the holder of key 1 after calls of two nodes", behavior, found, index.called)
+				t.Errorf("lookup while the first index node called has behavior %q: got %v after calls of %v, want the holder of key 1 after calls of two nodes", behavior, found, index.called)
 			}
 		})
 	}
@@ -232,12 +233,12 @@
 			batches := index.batches[node.Addr]
 			if len(batches) != 1 || len(batches[0].Accesses) != 1 || batches[0].Sequence != 1 || batches[0].Accesses[0].Count != 4 ||
 				!slices.Equal(batches[0].Accesses[0].PresumedHolders, []string{"w1", "w2", "store"}) || !batches[0].Accesses[0].Head {
-				t.Fatalf("batches sent to %s: got %v, want one with sequence 1 and four accesses to one key, presumably held by w1, w2 and store", node.Addr, batches)
+				t.Fatalf("batches sent to index node %s: got %v, want one with sequence 1 and four accesses to one key, presumably held by w1, w2 and store", node.Addr, batches)
 			}
 		}
 		advance(client.bounds.Heal(3 * flushRatio))
 		if len(index.batches[serving[0].Addr]) != 1 {
-			t.Errorf("batches sent to %s without new accesses: got %d in total, want still 1", serving[0].Addr, len(index.batches[serving[0].Addr]))
+			t.Errorf("batches sent to index node %s after flushes without new accesses: got %d in total, want still 1", serving[0].Addr, len(index.batches[serving[0].Addr]))
 		}
 		index.setBehavior(serving[0].Addr, "errors")
 		client.RecordAccesses("llm", newPart(2), "w1", "")
@@ -252,7 +253,7 @@
 	})
 }
 
-// An index node that lost its state gets the accesses of the last two half windows again.
+// An index node that lost its state is sent the accesses of the last two half windows again.
 func TestRestartedIndexNodeGetsTheWindow(t *testing.T) {
 	index := &fakeIndex{}
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
@@ -268,7 +269,7 @@
 			if len(batches) == 3 {
 				resent++
 				if len(batches[2].Accesses) != 2 || len(batches[2].Accesses[0].PresumedHolders) != 0 {
-					t.Errorf("batch resent to a node that lost its state: got %v, want two accesses without presumed holders", batches[2])
+					t.Errorf("batch resent to an index node that lost its state: got %v, want two accesses without presumed holders", batches[2])
 				}
 			}
 		}
@@ -298,7 +299,7 @@
 		advance(client.bounds.Heal(2 * flushRatio))
 		batches := index.batches[serving[0].Addr]
 		if len(batches) != 2 || batches[1].Sequence != 2 {
-			t.Errorf("batches sent to a node that left and returned: got %v, want two with sequences 1 and 2", batches)
+			t.Errorf("batches sent to an index node that left and returned: got %v, want two with sequences 1 and 2", batches)
 		}
 	})
 }
@@ -331,8 +332,8 @@
 	})
 }
 
-// Index nodes that aren't warm, because they have just started, can't know that no worker caches a part. Their
-// empty results must count as misses.
+// Index nodes that have just started and don't know the contents of the workers' caches yet can't know that no worker
+// caches a prompt part. Their results without a holder must be ignored.
 func TestColdIndexCannotRuleOutHolders(t *testing.T) {
 	index := &fakeIndex{holders: map[prefix.Key]string{newKey(3): "w"}}
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
@@ -340,14 +341,14 @@
 			index.setBehavior(n.Addr, "cold")
 		}
 		if found := client.Lookup(context.Background(), newKeys(5), lookupWait); len(found) != 0 {
-			t.Errorf("lookup while no index node is warm: got %d results, want none", len(found))
+			t.Errorf("lookup while no index node knows the workers' caches yet: got %d results, want none", len(found))
 		}
 		for _, n := range serving {
 			index.setBehavior(n.Addr, "")
 		}
 		advance(client.bounds.Heal(lateNodeRatio))
 		if found := client.Lookup(context.Background(), newKeys(5), lookupWait); len(found) != 5 || len(found[newKey(3)].GetHolders()) != 1 {
-			t.Errorf("lookup after the index nodes became warm: got %d results, %d holders of key 3; want 5 results and one holder", len(found), len(found[newKey(3)].GetHolders()))
+			t.Errorf("lookup after the index nodes learned the workers' caches: got %d results, %d holders of key 3; want 5 results and one holder", len(found), len(found[newKey(3)].GetHolders()))
 		}
 	})
 }
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -16,12 +16,12 @@
 // results and counted accesses. Only the actor's goroutine accesses it.
 type table struct {
 	client     *Client
-	membership []*wire.Node // the cluster membership that shards was last compared with
+	membership []*wire.Node // cluster membership for which shards was last computed, or found unchanged
 	layout     string       // names and addresses of the index nodes in shards
 	shards     *promptindex.Shards
-	sameZone   map[string]bool          // whether an index node is in the client's zone
-	lateUntil  map[string]time.Duration // by index node: it is only called as a last resort until then
-	probeAt    map[string]time.Duration // by late index node: it isn't called again before then
+	sameZone   map[string]bool          // by name of the index node: whether it is in the client's zone
+	lateUntil  map[string]time.Duration // by name of the index node: until when it is only called as a last resort
+	probeAt    map[string]time.Duration // by name of a late index node: the earliest time of its next call
 	cached     map[prefix.Key]cachedAnswer
 	accesses   *AccessCounter
 }
@@ -75,8 +75,9 @@
 	return t.shards
 }
 
-// planCalls distributes keys over as few index nodes as possible, excluding those already asked. Late nodes are
-// used only if their next probe is due and no other node is left; see isPreferred for the order.
+// planCalls distributes keys over as few index nodes as possible, excluding those already asked. Late nodes
+// (whose last response came too late, or before they had collected the contents of the workers' caches) are used
+// only if their next probe is due and no other node is left; see isPreferred for the order.
 func (t *table) planCalls(keys []prefix.Key, asked map[string]bool, now time.Duration) (calls []nodeCall) {
 	shards := t.currentShards()
 	for len(keys) > 0 {
@@ -128,7 +129,7 @@
 	return best
 }
 
-// isPreferred reports whether index node a is called rather than b. In order of precedence, a node is preferred
+// isPreferred reports whether planCalls calls index node a rather than b. In order of precedence, a node is preferred
 // if it isn't late, if more of the keys are assigned to it, and if it is in the client's zone. Ties are broken
 // by a hash that includes the client's name, so that edge machines don't all call the same node.
 func (t *table) isPreferred(a, b string, keyCounts map[string]int, now time.Duration) bool {
@@ -144,8 +145,9 @@
 	return rendezvous.Hash(t.client.name+a) > rendezvous.Hash(t.client.name+b)
 }
 
-// recordResult records whether a call to an index node succeeded: it was warm and responded in time with a
-// result for every key. Otherwise the node counts as late for a while.
+// recordResult records whether a call to an index node succeeded: the node responded in time with a result for
+// every key, and had collected the contents of the workers' caches. Otherwise the node counts as late for the time
+// lateNodeRatio.
 func (t *table) recordResult(node string, succeeded bool, now time.Duration) {
 	if succeeded {
 		delete(t.lateUntil, node)
