--- a/internal/data/updatestream/snapshot.go
+++ b/internal/data/updatestream/snapshot.go
@@ -12,26 +12,26 @@
 // The states of a worker, from the most to the least usable. The values are part of the wire protocol.
 const (
 	WorkerUp       uint32 = iota
-	WorkerSuspect         // a request or a probe has failed since the last successful probe
+	WorkerSuspect         // a request to the worker or a health probe has failed since its last successful probe
 	WorkerDraining        // the worker gets no new requests
-	WorkerGone            // no probe has ever succeeded, or none for a long time
+	WorkerGone            // no health probe of the worker has ever succeeded, or none for a long time
 )
 
 // Snapshot is the control state that requests are routed by. It is never modified once it is shared. Instants
 // are readings of the machine's monotonic clock.
 type Snapshot struct {
-	Version         uint64 // of the update as a whole
+	Version         uint64 // version of the whole update, reported as known in the next request to the node agent
 	ConfigVersion   uint64
-	ListsVersion    uint64 // of the lists of workers, nodes, placements and stores
+	ListsVersion    uint64 // common version of the lists of workers, nodes, placements and stores
 	Config          *serviceconfig.Config
 	ProofAt         time.Duration // instant at which no configuration newer than ConfigVersion had been acknowledged; 0: no proof
 	LatestProofAt   time.Duration // latest ProofAt of this configuration version, kept when the node agent restarts without a proof
 	WorkersListedAt time.Duration // when the list of workers was last read successfully from the platform
 	Workers         []*wire.Worker
 	Nodes           []*wire.Node
-	Placements      map[string]*placement.Placement // by service
+	Placements      map[string]*placement.Placement // placement of prompt prefixes, by name of the service
 	Stores          []string                        // addresses of the KV cache stores
-	Weights         map[string]WeightsHistory       // by model
+	Weights         map[string]WeightsHistory       // configured versions of the weights, by name of the model
 }
 
 // IsFresh reports whether the configuration may still be used at the instant now: the proof that it is the newest
@@ -88,7 +88,7 @@
 func (s *Snapshot) applyConfig(document *wire.Document, old *Snapshot, now time.Duration) error {
 	if old != nil && old.Config != nil && (document == nil || old.ConfigVersion == document.Version) {
 		s.ConfigVersion, s.Config, s.Weights = old.ConfigVersion, old.Config, old.Weights
-		s.LatestProofAt = max(old.LatestProofAt, s.ProofAt) // an earlier proof of the same version stays valid
+		s.LatestProofAt = max(old.LatestProofAt, s.ProofAt) // the earlier proof that this configuration version was the newest stays valid even if the response has none
 		return nil
 	}
 	if document == nil {
--- a/internal/data/updatestream/snapshot_test.go
+++ b/internal/data/updatestream/snapshot_test.go
@@ -8,7 +8,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// newDocument returns a configuration with one model m whose weights have the given version.
+// newDocument returns a configuration document of the given version, with one model m and the
+// given version of its weights.
 func newDocument(version uint64, weights string) *wire.Document {
 	return &wire.Document{Version: version, Body: []byte(`{"models":{"m":{"weights":` + weights + `}},"services":{"s":{"model":"m"}},"ways":{"m":{"service":"s"}}}`)}
 }
@@ -22,8 +23,8 @@
 	return s
 }
 
-// Fields that a response omits keep their previous values, and fields that it contains replace them. A shared
-// snapshot is never modified.
+// Fields that a response of the node agent omits keep the values of the previous snapshot, and fields that it contains
+// replace them. The previous snapshot is not modified.
 func TestOmittedFieldsStayTheSame(t *testing.T) {
 	a := mustRead(t, &wire.FeedResponse{Version: 1, ListsVersion: 7, ProofAtNs: 10, Config: newDocument(3, "1"), Workers: []*wire.Worker{{Name: "w"}},
 		Placements: []*wire.Document{{Key: "s", Version: 2, Body: []byte(`{"replicated":["aa"]}`)}}}, nil, 100)
@@ -47,7 +48,7 @@
 	weights       uint64 // version of the weights of model m in the configuration
 }
 
-// readChain reads successive updates and returns the last snapshot.
+// readChain passes successive updates to ReadSnapshot and returns the last snapshot.
 func readChain(t *testing.T, chain ...update) (snapshot *Snapshot) {
 	t.Helper()
 	for _, u := range chain {
@@ -60,22 +61,22 @@
 	return snapshot
 }
 
-// The instant at which a version of the weights was superseded doesn't change however many versions follow: newer
-// weights can't have been acknowledged before the last proof that the older ones were the newest. A process that
-// never received the older ones knows no such instant and allows none of them.
+// The instant at which a version of the weights was superseded doesn't change however many versions follow: a newer
+// version can't have been acknowledged before the last proof that the older one was the newest. A process that never
+// received the older version knows no such instant.
 func TestInstantsAtWhichWeightsAreSuperseded(t *testing.T) {
 	for name, test := range map[string]struct {
 		chain []update
-		since map[uint64]uint64 // expected instant by version; 0: unknown or not superseded
+		since map[uint64]uint64 // expected instant of being superseded, by version of the weights; 0: unknown or not superseded
 	}{
 		"only the newest version received":      {[]update{{1, 50, 2}}, map[uint64]uint64{1: 0, 2: 0}},
 		"superseded once":                       {[]update{{1, 50, 1}, {2, 500, 2}}, map[uint64]uint64{1: 50}},
 		"same weights in a third configuration": {[]update{{1, 50, 1}, {2, 500, 2}, {3, 900, 2}}, map[uint64]uint64{1: 50}},
-		"later proof of the first version":      {[]update{{1, 50, 1}, {0, 90, 0}, {2, 500, 2}}, map[uint64]uint64{1: 90}},
+		"later proof that version 1 is newest":  {[]update{{1, 50, 1}, {0, 90, 0}, {2, 500, 2}}, map[uint64]uint64{1: 90}},
 		"superseded twice":                      {[]update{{1, 50, 1}, {2, 500, 2}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 500}},
-		"one version not received":              {[]update{{1, 50, 1}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 50}},
+		"version 2 was not received":            {[]update{{1, 50, 1}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 50}},
 		"node agent restarted without proof":    {[]update{{1, 50, 1}, {0, 0, 0}, {2, 500, 2}}, map[uint64]uint64{1: 50}},
-		"no proof for the second version":       {[]update{{1, 50, 1}, {2, 0, 2}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 0}},
+		"no proof that version 2 was newest":    {[]update{{1, 50, 1}, {2, 0, 2}, {3, 900, 3}}, map[uint64]uint64{1: 50, 2: 0}},
 		"reverted to an earlier version":        {[]update{{1, 50, 1}, {2, 500, 2}, {3, 600, 1}, {4, 900, 2}}, map[uint64]uint64{1: 600}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -97,7 +98,7 @@
 	}
 	history := readChain(t, many...).Weights["m"]
 	if _, _, ok := history.SupersededAt(5); ok || len(history.Past) != maxPastVersions {
-		t.Errorf("history after 20 versions: got %+v, want %d past versions and no instant for the dropped version 5", history, maxPastVersions)
+		t.Errorf("weights history after 20 versions: got %+v, want %d past versions and no instant for the dropped version 5", history, maxPastVersions)
 	}
 }
 
--- a/internal/data/updatestream/weights.go
+++ b/internal/data/updatestream/weights.go
@@ -14,13 +14,13 @@
 	Past              []WeightsHistory // earlier versions, oldest first, each with an empty Past
 }
 
-// maxPastVersions is the maximum number of earlier versions of a model that are kept. Requests may not start on
-// versions that are no longer kept.
+// maxPastVersions is the maximum number of earlier versions of a model's weights that are kept. Requests may not start
+// on versions that are no longer kept.
 const maxPastVersions = 8
 
-// next returns the history extended by the version in a newer configuration. provenUntil is the latest instant
+// next returns the history extended by the weights version in a newer configuration. provenUntil is the latest instant
 // at which the previous configuration was proved to be the newest. A new history starts for a new model, and for
-// one whose version decreased.
+// one whose weights version decreased.
 func (h WeightsHistory) next(version uint64, provenUntil, now time.Duration) WeightsHistory {
 	h.ProvenNewestUntil = max(h.ProvenNewestUntil, provenUntil)
 	switch {
@@ -33,8 +33,8 @@
 	return WeightsHistory{Version: version, FirstSeen: now, Past: past[max(0, len(past)-maxPastVersions):]}
 }
 
-// SupersededAt returns when a version was superseded by a newer one: not before notBefore, as shown by a proof,
-// and at the latest at seen, when this process received the newer version. ok is false if no version is newer
+// SupersededAt returns when a version of the weights was superseded by a newer one: not before notBefore, as shown
+// by a proof, and at the latest at seen, when this process received the newer version. ok is false if no version is newer
 // or if there was no such proof.
 //
 // Example: notBefore, seen, ok := snapshot.Weights["lector"].SupersededAt(3)
