--- a/internal/data/backend/backend.go
+++ b/internal/data/backend/backend.go
@@ -33,7 +33,7 @@
 	Busy            bool              // an order is being executed
 	Sequence        uint64            // how many orders the worker has accepted
 	Weights         map[string]uint64 // version of the loaded weights, by model
-	Queued, Running int               // number of requests
+	Queued, Running int               // numbers of requests that wait in the worker's queue, and that are being executed
 	UsedTokens      int               // tokens stored in the KV cache
 	CapacityTokens  int               // tokens that fit into the KV cache
 }
@@ -44,7 +44,7 @@
 	Version      uint64
 	Mode         string // how requests in progress are treated: always ModeAwait
 	LeaseHolder  string // node that holds the lease under which the order is sent
-	FencingToken uint64 // of that lease: a worker rejects an order whose token is lower than one it has seen
+	FencingToken uint64 // fencing token of LeaseHolder's lease: a worker rejects an order whose token is lower than one it has seen
 	Instance     string // ID of the intended worker, since another one may have taken over its address
 	// Sequence is the number of orders that the worker must have accepted so far; nil: any number. It prevents
 	// an order whose outcome is unknown and its retry from both taking effect.
@@ -62,11 +62,11 @@
 const (
 	OutcomeUnknown       Outcome = iota // no response was received; the order may have been accepted
 	OutcomeStarted                      // the order was accepted and is being executed
-	OutcomeAlreadyDone                  // the worker already serves that version
+	OutcomeAlreadyDone                  // the worker already serves Order.Version of the weights
 	OutcomeBusy                         // another order is being executed, or Order.Sequence differs
 	OutcomeFenced                       // the worker has seen a higher fencing token
 	OutcomeRejected                     // the model or version doesn't exist, or the order is malformed
-	OutcomeWrongInstance                // the worker at that address isn't Order.Instance
+	OutcomeWrongInstance                // the worker at the called address isn't the one named in Order.Instance
 	OutcomeThrottled                    // too many orders in a short time, or too many concurrent calls
 )
 
--- a/internal/data/backend/client.go
+++ b/internal/data/backend/client.go
@@ -95,7 +95,7 @@
 			return nil, err
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // on failure, the worker's own validation of the order has to suffice
+			_ = tcp.SetLinger(0) // on close, discards undelivered data; if this can't be set, only the worker's own validation rejects an order that arrives late
 		}
 		guard, _ := ctx.Value(guardKey{}).(func() bool)
 		return &singleUseConn{Conn: conn, guard: guard}, nil
