--- a/internal/data/placement/curve.go
+++ b/internal/data/placement/curve.go
@@ -73,7 +73,7 @@
 	}
 	var solution mat.VecDense
 	if err := solution.SolveVec(powers, durations); err != nil {
-		return Curve{}, errs.WrapAs(err, errs.BadInput, "fit prefill curve: the samples need prompts of more different lengths")
+		return Curve{}, errs.WrapAs(err, errs.BadInput, "fit prefill curve: the samples have too few different prompt lengths")
 	}
 	curve := Curve{Samples: len(samples)}
 	for j := range degree + 1 {
--- a/internal/data/placement/placement.go
+++ b/internal/data/placement/placement.go
@@ -32,20 +32,20 @@
 	Version          uint64   `json:"-"` // version of the document in the control state
 	Service          string   `json:"service"`
 	Mode             Mode     `json:"mode"`
-	FencingToken     uint64   `json:"fence"` // of the lease under which the document was written
+	FencingToken     uint64   `json:"fence"` // fencing token of the lease under which the document was written
 	Workers          []string `json:"workers"`
 	Replicated       []string `json:"replicated"`        // keys of the replicated prefixes, most frequently accessed first
 	Cordoned         []string `json:"rolling,omitempty"` // workers that get no new requests while they load other weights
 	ReplicatedRatio  float64  `json:"ratio"`             // fraction of Entries that is replicated
-	RMax             float64  `json:"r_max"`             // result of the function RMax
+	RMax             float64  `json:"r_max"`             // largest fraction of a request's tokens to fetch from other workers, as computed by the function RMax
 	Entries          int      `json:"entries"`           // number of hot entries that the placement was computed from
-	FetchBandwidth   float64  `json:"b"`                 // of KV cache transfers between workers, in tokens per second
+	FetchBandwidth   float64  `json:"b"`                 // bandwidth of KV cache transfers between workers, in tokens per second
 	PrefillCurve     Curve    `json:"prefill"`
 	MeanSharedTokens float64  `json:"mean_len"` // mean number of tokens in the shared part of a request
 	AdmissionFloor   float64  `json:"floor"`    // access frequency of the least used cached entry that is not the first part of a prompt
 	Reason           string   `json:"why"`      // explanation for operators
 
-	replicated map[string]bool // the keys in Replicated
+	replicated map[string]bool // set of the keys in Replicated
 }
 
 // Read decodes a stored placement document of the given version. Its errors are of kind errs.BadInput.
@@ -64,10 +64,11 @@
 	return p, nil
 }
 
-// Tolerance of the admission floor: a change of the floor by no more than this isn't published.
+// Tolerances for changes of Placement.AdmissionFloor: a change within them is not by itself a reason to publish the
+// placement.
 const (
-	floorToleranceRatio  = 0.25 // fraction of the old floor
-	floorToleranceOffset = 0.05 // added to that fraction, in the unit of the floor
+	floorToleranceRatio  = 0.25 // tolerated change as a fraction of the old admission floor
+	floorToleranceOffset = 0.05 // tolerated change in addition to that by floorToleranceRatio, in the unit of the admission floor
 )
 
 // Changed reports whether a newly computed placement differs enough from the old one to be published. If old is
--- a/internal/data/placement/placement_test.go
+++ b/internal/data/placement/placement_test.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// The expected values were computed by hand from R_max = α·t·B·(N−1) / (c·S·N).
+// The expected results of RMax were computed by hand from R_max = α·t·B·(N−1) / (c·S·N).
 func TestRMax(t *testing.T) {
 	for _, test := range []struct {
 		name                                           string
@@ -16,10 +16,10 @@
 		want                                           float64
 	}{
 		{"typical values, result between 0 and 1", 0.5, 0.2, 4000, 1000, 4, 0.5 * 0.2 * 4000 * 3 / (1000 * 4)},
-		{"one worker: no other to fetch from", 1, 1, 1e6, 10, 1, 0},
+		{"one worker: no other worker to fetch from", 1, 1, 1e6, 10, 1, 0},
 		{"no workers", 1, 1, 1e6, 10, 0, 0},
-		{"bandwidth above what is needed: limited to 1", 1, 1, 1e6, 10, 18, 1},
-		{"no shared part", 1, 1, 1e6, 0, 4, 0},
+		{"high bandwidth: result limited to 1", 1, 1, 1e6, 10, 18, 1},
+		{"requests without a shared part", 1, 1, 1e6, 0, 4, 0},
 		{"negative prefill time counts as zero", 1, -0.1, 1e6, 10, 4, 0},
 		{"alpha 0 tolerates no fetch", 0, 1, 1e6, 10, 4, 0},
 	} {
@@ -56,12 +56,13 @@
 	} {
 		sorted, n := SelectReplicated(test.entries, test.rMax)
 		if n != test.want || len(sorted) > 0 && sorted[0].Key != test.wantFirst {
-			t.Errorf("SelectReplicated, case %q: got the first %d of %v, want %d with key %q first", test.name, n, sorted, test.want, test.wantFirst)
+			t.Errorf("SelectReplicated, case %q: got the first %d of %v as replicated, want %d, with key %q first", test.name, n, sorted, test.want, test.wantFirst)
 		}
 	}
 }
 
-// When a worker leaves, only its own keys move to other workers. The keys are distributed evenly.
+// When a worker leaves, only the keys of which it was the shard worker move to other workers. The keys are distributed
+// evenly over the workers.
 func TestShardWorkersAreEvenAndStable(t *testing.T) {
 	workers := []string{"a", "b", "c", "d", "e", "f"}
 	keys := map[string]int{}
@@ -111,8 +112,8 @@
 		{"the order of the replicated set", func(next *Placement) { next.Replicated = []string{"k2", "k1"} }, true},
 		{"the workers", func(next *Placement) { next.Workers = []string{"a"} }, true},
 		{"the mode", func(next *Placement) { next.Mode = ModeAllSharded }, true},
-		{"the floor within its tolerance", func(next *Placement) { next.AdmissionFloor = 2.5 }, false},
-		{"the floor beyond its tolerance", func(next *Placement) { next.AdmissionFloor = 2.6 }, true},
+		{"the admission floor within its tolerance", func(next *Placement) { next.AdmissionFloor = 2.5 }, false},
+		{"the admission floor beyond its tolerance", func(next *Placement) { next.AdmissionFloor = 2.6 }, true},
 	} {
 		next := old
 		test.change(&next)
--- a/internal/data/placement/replication.go
+++ b/internal/data/placement/replication.go
@@ -5,7 +5,8 @@
 	"sort"
 )
 
-// cdfTolerance compensates for rounding errors when the summed frequencies reach the threshold exactly.
+// cdfTolerance compensates for rounding errors when the summed access frequencies in SelectReplicated reach the
+// threshold 1 − rMax exactly.
 const cdfTolerance = 1e-12
 
 // RMax returns the largest fraction of a request's tokens that may be fetched from other workers such that
@@ -25,7 +26,7 @@
 // EntryFrequency is the access frequency of one prefix entry in the past period.
 type EntryFrequency struct {
 	Key       string
-	Frequency float64 // in any unit; need not be normalized
+	Frequency float64 // in any unit, the same for all entries; the sum of all frequencies need not be 1
 	Tokens    int
 }
 
