--- a/internal/data/prefix/prefix_test.go
+++ b/internal/data/prefix/prefix_test.go
@@ -13,9 +13,9 @@
 		for _, model := range []string{"m", "m2", ""} {
 			for weights := range uint64(3) {
 				for _, parts := range [][]string{{"ab", "c"}, {"a", "bc"}, {"abc"}, {"c", "ab"}, {"", "abc"}, {"abc", ""}, {"a\x00b"}, {"a", "b"}} {
-					prompt := fmt.Sprintf("%q %q %d %q", domain, model, weights, parts)
+					prompt := fmt.Sprintf("(domain %q, model %q, weights %d, parts %q)", domain, model, weights, parts)
 					for i, entry := range Chain(domain, model, weights, parts) {
-						name := fmt.Sprintf("%q %q %d %q", domain, model, weights, parts[:i+1])
+						name := fmt.Sprintf("(domain %q, model %q, weights %d, parts %q)", domain, model, weights, parts[:i+1])
 						if other, ok := seen[entry.Key]; ok && other != name {
 							t.Fatalf("prefix %s of prompt %s has the same key as prefix %s, want different keys", name, prompt, other)
 						}
--- a/internal/data/retrybudget/bucket_test.go
+++ b/internal/data/retrybudget/bucket_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// In every interval of a random sequence there are at most ratio × requests + allowance retries, while the number of
+// In every interval of a random sequence of requests and retries there are at most ratio × requests + allowance retries, while the number of
 // nodes that share the allowance varies.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		ratio, total := []float64{0, 0.2, 0.5}[r.IntN(3)], float64(r.IntN(8))
 		b := newBucket(ratio)
-		onlyRequests := true // whether the current phase consists of requests or of retries
+		onlyRequests := true // whether the current phase consists of requests; otherwise it consists of retries
 		var log []int        // sequence of events: 1 is a request, -1 a retry
 		for range 400 {
 			allowance := PerNode(total*3, 3+r.IntN(3))
@@ -42,7 +42,7 @@
 	}
 }
 
-// When the number of nodes that share the allowance increases, tokens above the smaller share are lost. When it
+// When the number of nodes that share a retry allowance increases, tokens of a node's bucket above the smaller share are lost. When it
 // decreases, the larger share doesn't add tokens that were not deposited.
 func TestTokensAreCappedWhenNodesAreAdded(t *testing.T) {
 	for _, nodes := range [][2]int{{1, 10}, {10, 1}} {
@@ -63,7 +63,7 @@
 // excess returns the maximum, over all intervals of the log, by which the number of retries exceeds
 // ratio × requests + allowance. In the log, true is a retry and false is a request.
 func excess(log []bool, ratio, allowance float64) float64 {
-	worst, run := 0.0, 0.0 // run: the maximum over the intervals that end at the current event
+	worst, run := 0.0, 0.0 // run is the maximum of retries − ratio × requests over the intervals that end at the current event
 	for _, retry := range log {
 		if retry {
 			run++
@@ -75,11 +75,11 @@
 	return worst - allowance
 }
 
-// The limit on retries also holds in every interval with bursts and pauses of traffic, with a node's share that
+// The limit of a bucket on retries also holds in every interval with bursts and pauses of traffic, with a node's share that
 // varies as nodes are added and removed, and with restarts.
 func TestRetriesInEveryWindow(t *testing.T) {
 	if excess([]bool{false, true, true}, 0.2, 1) <= 0 || excess([]bool{true, false, false, false, false, false, true}, 0.2, 1) > roundingSlack {
-		t.Fatal("excess: want a positive result for one retry too many, and none for a sequence within the limit")
+		t.Fatal("excess: want a positive result for a sequence with one retry too many, and no positive result for one within the limit")
 	}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 5))
@@ -87,7 +87,7 @@
 		var log []bool
 		granted, rejected := 0, 0
 		for range 40 {
-			requests, retries := r.IntN(60), r.IntN(60) // in one phase, from no traffic to a burst
+			requests, retries := r.IntN(60), r.IntN(60) // numbers of requests and retries in one phase of traffic, from none to a burst
 			allowance := share / float64(1+r.IntN(2))
 			if r.IntN(10) == 0 {
 				budget = newBucket(0.2)
--- a/internal/data/retrybudget/budget.go
+++ b/internal/data/retrybudget/budget.go
@@ -8,7 +8,7 @@
 // Budget is one node's share of a site-wide retry budget. Each request adds a fraction of a retry to it, and the
 // nodes of the site together accumulate at most an allowance of unused retries. It is safe for concurrent use.
 type Budget struct {
-	allowance float64 // of all nodes of the site together
+	allowance float64 // maximum number of unused retries of all nodes of the site together
 	mu        sync.Mutex
 	bucket    *bucket
 }
@@ -21,7 +21,7 @@
 	return &Budget{allowance: allowance, bucket: newBucket(ratio)}
 }
 
-// Deposit adds the share of a retry for a request's first attempt. nodes is the number of nodes that share the
+// Deposit adds the fraction of a retry that a request's first attempt earns. nodes is the number of nodes that share the
 // allowance.
 //
 // Example: misdirected.Deposit(snapshot.Edges)
@@ -44,7 +44,7 @@
 // ByService holds one node's share of a separate retry budget for each service. It is safe for concurrent use.
 // Budgets are never removed, because only the few services in the configuration get one.
 type ByService struct {
-	ratio, allowance float64 // of each service; the allowance is that of all nodes of the site together
+	ratio, allowance float64 // for each service: retries added per request, and maximum unused retries of all nodes of the site together
 	mu               sync.Mutex
 	buckets          map[string]*bucket
 }
@@ -57,7 +57,7 @@
 	return &ByService{ratio: ratio, allowance: allowance, buckets: map[string]*bucket{}}
 }
 
-// Deposit adds the share of a retry for the first attempt of a request to a service. nodes is the number of nodes
+// Deposit adds the fraction of a retry that the first attempt of a request to a service earns. nodes is the number of nodes
 // that share the allowance.
 //
 // Example: budgets.Deposit("chat", snapshot.Edges)
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -38,17 +38,17 @@
 	}
 	var seen []int
 	if !actor.Ask(func(table *[]int) { seen = slices.Clone(*table) }) || !slices.Equal(seen, []int{0, 1, 2}) {
-		t.Fatalf("table after three commands: got %v, want [0 1 2] and Ask to return true", seen)
+		t.Fatalf("actor's table after three commands: got %v, want [0 1 2] and Ask to return true", seen)
 	}
 }
 
-// While the queue is full, Send blocks and TrySend rejects the command.
+// While the actor's queue is full, Send blocks and TrySend rejects the command.
 func TestSendWaitsForCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		count, blocked := 0, make(chan struct{})
 		actor := NewActor(&count, 1)
 		actor.Send(func(*int) { <-blocked })
-		synctest.Wait() // until the command runs and blocks the actor
+		synctest.Wait() // waits until the command runs and blocks the actor
 		increment := func(count *int) { *count++ }
 		actor.Send(increment)
 		if actor.TrySend(increment) {
@@ -64,7 +64,7 @@
 		seen := 0
 		actor.Ask(func(count *int) { seen = *count })
 		if seen != 2 {
-			t.Errorf("increments executed: got %d, want 2", seen)
+			t.Errorf("increment commands executed by the actor: got %d, want 2", seen)
 		}
 		actor.Stop()
 		synctest.Wait()
@@ -80,7 +80,7 @@
 		actor := NewActor(new(int), 1)
 		actor.Stop()
 		actor.Stop()
-		synctest.Wait() // until the actor's goroutine has ended
+		synctest.Wait() // waits until the actor's goroutine has ended
 		if actor.Ask(func(*int) {}) {
 			t.Fatal("Ask on a stopped actor: got true, want false")
 		}
@@ -103,7 +103,7 @@
 					results[call].ran = true
 				})
 			})
-			synctest.Wait() // the first command runs, the second is queued
+			synctest.Wait() // now the command of the first call is running, and that of the second one, if already made, is queued
 		}
 		actor.Stop()
 		synctest.Wait()
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -15,7 +15,7 @@
 			rest := Order(key, slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == removed }))
 			want := slices.DeleteFunc(slices.Clone(ordered), func(name string) bool { return name == removed })
 			if !slices.Equal(rest, want) {
-				t.Fatalf("order for key %s after removing name %s: got %v, want %v", key, removed, rest, want)
+				t.Fatalf("Order of the names for key %s after removing name %s: got %v, want %v", key, removed, rest, want)
 			}
 		}
 	}
