--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -28,7 +28,7 @@
 	published atomic.Pointer[publishedSnapshot]
 
 	// The fields followed and seeds are accessed only by commands of the actor.
-	followed map[string]context.CancelFunc // cancels the long polling of a control node, by its address
+	followed map[string]context.CancelFunc // by address of a control node: stops the long polling of that node
 	seeds    []string
 }
 
@@ -129,7 +129,8 @@
 	close(old.replaced)
 }
 
-// updateMembership applies the latest cluster membership to the table and publishes the result if it differs.
+// updateMembership applies the latest cluster membership to the table, and publishes a new snapshot if this changed
+// the table's snapshot.
 func (a *Agent) updateMembership(t *table) {
 	if t.applyMembership(*a.view.Load(), a.process.Clock.Now()) {
 		a.publish(t, true)
@@ -156,8 +157,8 @@
 }
 
 // controlNodes returns the addresses of the control nodes to poll: normally the members of the consensus
-// group. An agent that is out of contact also polls the seeds and all known control nodes, because the
-// members may have been replaced in the meantime.
+// group. An agent without a recent freshness proof also polls the seeds and all known control nodes, because
+// the members may have been replaced in the meantime.
 func (a *Agent) controlNodes(t *table) map[string]bool {
 	addrs := map[string]bool{}
 	for _, member := range t.proof.Members() {
@@ -178,15 +179,15 @@
 }
 
 // handleResponse applies the response of one member of the consensus group and reports whether it contained
-// an update. requested is the version of the plan that the request was sent with.
+// an update. requested is the plan version that the request reported as known.
 func (a *Agent) handleResponse(response *wire.FollowResponse, requested uint64, requestedAt time.Duration) (isUpdate bool) {
 	a.actor.Ask(func(t *table) {
 		generation, term, index, hadNoProof := t.proof.generation, t.proof.term, t.proof.index, t.snapshot.ProofAt == 0
 		var err error
 		isUpdate, err = t.applyResponse(response, requested, requestedAt, a.process.Clock.Now())
 		if err != nil {
-			// Documents are validated before they are stored, but a newer release may use a format that this
-			// one does not know.
+			// Control nodes validate documents before they store them, but those of a newer release may use a
+			// format that this release can't decode.
 			a.process.Log.Error("failed to decode documents from control node; keeping their previous versions", "from", response.Member, "error", err)
 		}
 		a.publish(t, isUpdate)
--- a/internal/data/agent/documents.go
+++ b/internal/data/agent/documents.go
@@ -76,13 +76,13 @@
 // control nodes receives a change immediately. One that was out of contact, or has just started, can't know
 // when the change was made: it assumes that half the weights bound (the longest time for which requests may still
 // start on superseded weights) has elapsed since, or the time since the last contact if that is shorter.
-func (t *table) applyWeights(named map[string]uint64, now time.Duration) {
+func (t *table) applyWeights(configured map[string]uint64, now time.Duration) {
 	since := now
 	if t.isOutOfContact(now) {
 		since = max(t.snapshot.ProofAt, now-t.bounds.Weights(assumedElapsedRatio))
 	}
 	namedAt, earlier := map[string]time.Duration{}, map[string][]fleet.NamedVersion{}
-	for model, version := range named {
+	for model, version := range configured {
 		namedAt[model], earlier[model] = since, t.snapshot.EarlierVersions[model]
 		previous, ok := t.snapshot.NamedVersions[model]
 		switch {
@@ -93,7 +93,7 @@
 			earlier[model] = t.addEarlierVersion(earlier[model], before, now)
 		}
 	}
-	t.snapshot.NamedVersions, t.snapshot.NamedAt, t.snapshot.EarlierVersions = named, namedAt, earlier
+	t.snapshot.NamedVersions, t.snapshot.NamedAt, t.snapshot.EarlierVersions = configured, namedAt, earlier
 }
 
 // maxEarlierVersions is the maximum number of earlier versions of the weights that are kept for one model.
--- a/internal/data/agent/follow.go
+++ b/internal/data/agent/follow.go
@@ -13,14 +13,16 @@
 // Timing of the requests to members of the consensus group, as fractions of the configuration bound (the
 // longest time for which an outdated configuration may be in use).
 const (
-	// longPollRatio is how long a member may wait for an update before it responds. Updates are sent
+	// longPollRatio is how long a member may wait for an update before it responds, as a fraction of the
+	// configuration bound. Updates are sent
 	// immediately, so this only determines how often members are polled while nothing changes. Without
 	// failures, a freshness proof is never older than two such waits.
 	longPollRatio = 1.0 / 2
-	// responseGraceRatio is added to the wait of a long poll to get the timeout of the request.
+	// responseGraceRatio is added to the wait of a long poll to get the timeout of the request, as a fraction of the
+	// configuration bound.
 	responseGraceRatio = 1.0 / 4
 	// minRetryDelayRatio is the initial retry delay after an error or after an early response without an
-	// update. The delay doubles with each retry, up to maxRetryDelayRatio.
+	// update, as a fraction of the configuration bound. The delay doubles with each retry, up to maxRetryDelayRatio.
 	minRetryDelayRatio = 1.0 / 40
 	maxRetryDelayRatio = 1.0 / 5
 	// startRetryDelayRatio replaces maxRetryDelayRatio for the time startPhaseRatio after the start of polling, as
@@ -63,7 +65,7 @@
 	}
 }
 
-// requestedVersion returns the version of the plan that a request reports as known to the agent; 0 if none.
+// requestedVersion returns the plan version that a request reports as known to the agent; 0 if the agent knows none.
 func requestedVersion(request *wire.FollowRequest) uint64 {
 	for _, known := range request.Known {
 		if known.Key == routingconfig.DocumentKey {
--- a/internal/data/agent/freshnessproof.go
+++ b/internal/data/agent/freshnessproof.go
@@ -49,14 +49,14 @@
 	generation   uint64 // newest restore generation that any member reported
 	term, index  uint64 // log position of the newest known membership in that restore generation
 	members      []string
-	attestations map[string]attestation // latest attestation of each member
+	attestations map[string]attestation // latest attestation of each group member, by name of the member
 	freshUntil   time.Duration
 }
 
-// attestation is a member's latest statement that its disk had no plan newer than a version.
+// attestation is a group member's latest statement that its disk had no plan newer than a given version.
 type attestation struct {
 	requestedAt time.Duration // when the request was sent; the statement was made later
-	version     uint64        // plan version; the member's disk had no newer one
+	version     uint64        // plan version than which the member's disk had no newer one
 	term, index uint64        // log position of the newest membership on the member's disk
 }
 
@@ -78,7 +78,7 @@
 // Example: request.RestoreGeneration = p.Generation()
 func (p *FreshnessProof) Generation() uint64 { return p.generation }
 
-// AddResponse records a member's response to a request that was sent at requestedAt. version is the higher
+// AddResponse records the response of a member of the consensus group to a request that was sent at requestedAt. version is the higher
 // of the plan versions in the request and in the response.
 //
 // Example: p.AddResponse(response, 7, requestedAt)
@@ -98,7 +98,7 @@
 	p.attestations[response.Member] = attestation{requestedAt, version, response.MembersTerm, response.MembersIndex}
 }
 
-// isNewerMembership reports whether a response contains a newer membership of the group than p.members.
+// isNewerMembership reports whether a response contains a newer membership of the consensus group than p.members.
 func (p *FreshnessProof) isNewerMembership(response *wire.FollowResponse) bool {
 	if response.RestoreGeneration != p.generation {
 		return response.RestoreGeneration > p.generation
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -38,7 +38,7 @@
 	startedAt  time.Duration
 	proof      *FreshnessProof
 	versions   map[string]uint64        // newest version received of each document, by document key; counts even if it could not be decoded
-	edgeSeenAt map[string]time.Duration // when an edge machine was last seen alive, by its name
+	edgeSeenAt map[string]time.Duration // by name of an edge machine: when it was last seen alive
 	snapshot   fleet.Snapshot           // current control state; shallow copies of it are published, so its maps and slices are replaced, never modified
 }
 
@@ -145,9 +145,9 @@
 // applyMembership stores the cluster membership and the number of edge machines in the snapshot. It reports
 // whether either changed.
 func (t *table) applyMembership(view clustermembership.View, now time.Duration) bool {
-	isAlone := true // whether the cluster membership contains no control node
+	knowsNoControlNode := true // whether the cluster membership contains no control node
 	for _, node := range view.Nodes {
-		isAlone = isAlone && node.Role != clustermembership.RoleControlNode
+		knowsNoControlNode = knowsNoControlNode && node.Role != clustermembership.RoleControlNode
 		if node.Role == clustermembership.RoleNodeAgent && node.State != clustermembership.Dead {
 			t.edgeSeenAt[node.Name] = now
 		}
@@ -157,7 +157,7 @@
 	}
 	edges := max(1, len(t.edgeSeenAt))
 	isJoining := now-t.startedAt < t.bounds.Leave(joiningRatio)
-	if isAlone && t.snapshot.EdgeCount == assumedEdges || isJoining {
+	if knowsNoControlNode && t.snapshot.EdgeCount == assumedEdges || isJoining {
 		edges = max(edges, assumedEdges)
 	}
 	if edges == t.snapshot.EdgeCount && slices.Equal(view.Nodes, t.snapshot.Nodes) {
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -144,32 +144,32 @@
 func TestWhenWeightsWereNamed(t *testing.T) {
 	state := newTestTable()
 	bounds := state.bounds
-	nameWeights := func(v uint64, now time.Duration, named map[string]uint64) {
+	configureWeights := func(v uint64, now time.Duration, named map[string]uint64) {
 		state.applyResponse(newFollowResponse(threeMembers[0], true, newDocument(t, fleet.WeightsKey, v, fleet.Weights{Versions: named})), 1, now, now)
 	}
-	nameWeights(1, startTime, map[string]uint64{"m": 1})
+	configureWeights(1, startTime, map[string]uint64{"m": 1})
 	if at := state.snapshot.NamedAt["m"]; at != startTime-bounds.Weights(0.5) {
 		t.Fatalf("weights configured before the agent started: NamedAt is %v, want %v", at, startTime-bounds.Weights(0.5))
 	}
 	now := startTime + time.Minute
 	state.applyResponse(newFollowResponse(threeMembers[1], true, planDocument(1)), 0, now, now)
 	state.applyResponse(newFollowResponse(threeMembers[0], true), 1, now, now)
-	nameWeights(2, now+1, map[string]uint64{"m": 2, "n": 7})
-	nameWeights(3, now+2, map[string]uint64{"m": 2, "n": 8})
+	configureWeights(2, now+1, map[string]uint64{"m": 2, "n": 7})
+	configureWeights(3, now+2, map[string]uint64{"m": 2, "n": 8})
 	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now+1 || namedAt["n"] != now+2 {
 		t.Fatalf("weights configured while in contact: NamedAt is %v, want m at %v and n at %v", namedAt, now+1, now+2)
 	}
 	if earlier := state.snapshot.EarlierVersions; len(earlier["m"]) != 1 || earlier["m"][0].Version != 1 || len(earlier["n"]) != 1 || earlier["n"][0] != (fleet.NamedVersion{Version: 7, At: now + 1}) {
 		t.Fatalf("earlier weights versions after m and n changed once: got %v, want version 1 of m and version 7 of n, configured at %v", earlier, now+1)
 	}
-	nameWeights(4, now+bounds.Config(2), map[string]uint64{"m": 3})
+	configureWeights(4, now+bounds.Config(2), map[string]uint64{"m": 3})
 	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 2 || earlier[1] != (fleet.NamedVersion{Version: 2, At: now + 1}) {
 		t.Fatalf("earlier weights versions of m after it changed twice: got %v, want versions 1 and 2, the latter configured at %v", earlier, now+1)
 	}
 	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now || len(namedAt) != 1 {
 		t.Fatalf("weights configured while out of contact since %v: NamedAt is %v, want m at that instant alone", now, namedAt)
 	}
-	nameWeights(5, now+bounds.Weights(3), map[string]uint64{"m": 4})
+	configureWeights(5, now+bounds.Weights(3), map[string]uint64{"m": 4})
 	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now+bounds.Weights(2.5) {
 		t.Fatalf("weights configured while out of contact for three times the weights bound: NamedAt is %v, want m at %v", namedAt, now+bounds.Weights(2.5))
 	}
@@ -177,7 +177,7 @@
 		t.Fatalf("earlier weights versions of m after the weights bound of version 3 expired: got %v, want version 3 alone", earlier)
 	}
 	for v := uint64(5); v < 30; v++ { // changes the weights in quick succession: dropping old versions must not extend the weights bound of any other
-		nameWeights(v+1, now+bounds.Weights(3)+time.Duration(v), map[string]uint64{"m": v})
+		configureWeights(v+1, now+bounds.Weights(3)+time.Duration(v), map[string]uint64{"m": v})
 	}
 	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != maxEarlierVersions || earlier[0].At != now {
 		t.Fatalf("earlier weights versions of m after 25 more changes: got %v, want %d versions, the oldest configured at %v", earlier, maxEarlierVersions, now)
