--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxPendingKeys     = 4096 // keys with unsent accesses per index node; accesses to further keys are not counted
-	maxPresumedHolders = 8    // presumed holders per key in one batch; further ones are not reported
+	maxPendingKeys     = 4096 // maximum number of keys with unsent accesses per index node; accesses to further keys are not counted
+	maxPresumedHolders = 8    // maximum number of presumed holders per key in one batch; further ones are not reported
 )
 
 // AccessCounter accumulates accesses to prompt parts until the nodes of the prompt index have acknowledged
@@ -29,7 +29,7 @@
 	sender         string
 	incarnation    uint64
 	halfWindow     time.Duration         // half of the time for which accesses are kept for resending
-	queues         map[string]*nodeQueue // by name of the index node
+	queues         map[string]*nodeQueue // unacknowledged accesses, by name of the index node
 	window         map[prefix.Key]*wire.Access
 	previousWindow map[prefix.Key]*wire.Access
 	windowStart    time.Duration
@@ -93,7 +93,7 @@
 func (c *AccessCounter) Nodes() []string { return slices.Collect(maps.Keys(c.queues)) }
 
 // NextBatch returns the batch to send to an index node now: the unacknowledged one, or else a new one. It is
-// nil while a batch is being sent, and if there is nothing to send. The batch carries the given current loads
+// nil while a batch to that node is being sent, and if there is nothing to send. The batch carries the given current loads
 // of the workers (nil: none), also when it is sent again; loads are sent even if there are no accesses.
 //
 // Example: if batch := c.NextBatch(node, loads); batch != nil { go send(node, batch) }
@@ -143,7 +143,7 @@
 	}
 }
 
-// RecordFailure records that a batch wasn't acknowledged. NextBatch then returns the same batch again.
+// RecordFailure records that an index node didn't acknowledge the batch that was sent to it. NextBatch then returns the same batch again.
 //
 // Example: if err != nil { c.RecordFailure(node) }
 func (c *AccessCounter) RecordFailure(node string) {
@@ -162,7 +162,8 @@
 	}
 }
 
-// mergeAccess adds an access to a map of pending accesses; one to a new key is dropped if the map is full.
+// mergeAccess adds an access to a map of pending accesses. If the map already has maxPendingKeys keys, an access to
+// another key is dropped.
 func mergeAccess(pending map[prefix.Key]*wire.Access, key prefix.Key, access *wire.Access) {
 	merged := pending[key]
 	if merged == nil {
--- a/internal/data/indexclient/batch.go
+++ b/internal/data/indexclient/batch.go
@@ -116,7 +116,7 @@
 	err      error
 }
 
-// callNodes makes all calls concurrently and merges the responses into result.
+// callNodes makes all planned lookup calls to index nodes concurrently and merges the responses into result.
 func (c *Client) callNodes(ctx context.Context, calls []nodeCall, result *batchResult) {
 	responses := make(chan nodeResponse, len(calls))
 	for _, call := range calls {
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -20,21 +20,23 @@
 // Timing, as fractions of the heal bound (the time within which service is restored after a failure) unless
 // the comment says otherwise.
 const (
-	// flushRatio is the interval at which counted accesses are sent to the index. A longer interval saves calls;
+	// flushRatio is the interval at which counted accesses are sent to the index, as a fraction of the heal bound. A
+	// longer interval saves calls;
 	// a shorter one lets other edge machines find newly cached parts sooner.
 	flushRatio = 1.0 / 60
-	// flushTimeoutRatio is the timeout of the call that sends one batch of accesses.
+	// flushTimeoutRatio is the timeout of the call that sends one batch of accesses, as a fraction of the heal bound.
 	flushTimeoutRatio = 1.0 / 24
 	// resendWindowRatio is half of the time for which accesses are kept, to be resent to an index node that has
-	// lost its state.
+	// lost its state, as a multiple of the heal bound.
 	resendWindowRatio = 1.25
-	// cacheLifetimeRatio is the lifetime of a cached lookup result. A longer lifetime saves calls; with a shorter
+	// cacheLifetimeRatio is the lifetime of a cached lookup result, as a fraction of the heal bound. A longer lifetime saves calls; with a shorter
 	// one it is noticed sooner that a worker has evicted a part.
 	cacheLifetimeRatio = 1.0 / 48
 	// lateNodeRatio is how long an index node is only called as a last resort after it responded late, or before it
-	// had collected the contents of the workers' caches.
+	// had collected the contents of the workers' caches, as a fraction of the heal bound.
 	lateNodeRatio = 1.0 / 12
-	// lateProbeRatio is the minimum time between two calls to an index node that responded late.
+	// lateProbeRatio is the minimum time between two calls to an index node that responded late, as a fraction of the
+	// heal bound.
 	lateProbeRatio = 1.0 / 96
 	// firstAttemptRatio is the fraction of a lookup's timeout (not of the heal bound) after which the first
 	// attempt is abandoned, so that time is left to call the other nodes assigned to the keys.
@@ -44,7 +46,7 @@
 // Limits on memory and on concurrent calls.
 const (
 	maxCachedAnswers     = 4096
-	maxBatchedLookups    = 63 // lookups in a batch in addition to the first one
+	maxBatchedLookups    = 63 // maximum number of lookups in a batch in addition to the first one
 	maxConcurrentBatches = 4
 	maxConnections       = 64 // cached connections to index nodes; if there are more when another one is opened, all are dropped from the cache
 )
@@ -69,7 +71,7 @@
 type pendingLookup struct {
 	keys   []prefix.Key
 	wait   time.Duration
-	result chan map[prefix.Key]*wire.LookupResult // buffered, so that a caller that timed out doesn't block the batch
+	result chan map[prefix.Key]*wire.LookupResult // receives the result of the lookup; buffered, so that a caller that timed out doesn't block the batch
 }
 
 // New returns an edge machine's client of the prompt index; nodes must return the current cluster membership.
@@ -78,7 +80,7 @@
 func New(process *daemon.Process, nodes func() []*wire.Node) *Client {
 	clients := daemon.NewClients(process)
 	connections := map[string]wire.PromptIndex{}
-	var mu sync.Mutex // guards connections
+	var mu sync.Mutex // guards the map connections
 	return start(process, nodes, func(addr string) wire.PromptIndex {
 		mu.Lock()
 		defer mu.Unlock()
@@ -94,8 +96,8 @@
 	})
 }
 
-// start returns a client that uses connect to reach index nodes, and starts its goroutines. They end when the
-// process stops, which waits for them.
+// start returns a client that uses connect to reach index nodes, and starts its goroutines. The goroutines end
+// when the process stops; stopping waits for them.
 func start(process *daemon.Process, nodes func() []*wire.Node, connect func(addr string) wire.PromptIndex) *Client {
 	bounds := process.Settings.Bounds
 	client := &Client{
--- a/internal/data/indexclient/flush.go
+++ b/internal/data/indexclient/flush.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// flush starts sending each index node the accesses counted for it.
+// flush starts the calls that send each index node the accesses counted for it.
 func (c *Client) flush() {
 	loads := c.loads()
 	c.actor.Ask(func(t *table) {
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -13,11 +13,11 @@
 )
 
 // table is the mutable state of a Client: the assignment of keys to index nodes, late nodes, cached lookup
-// results and counted accesses. Only the actor's goroutine accesses it.
+// results and counted accesses. Only the goroutine of Client.actor accesses it.
 type table struct {
 	client     *Client
 	membership []*wire.Node // cluster membership for which shards was last computed, or found unchanged
-	layout     string       // names and addresses of the index nodes in shards
+	layout     string       // names and addresses of the index nodes that shards was computed from
 	shards     *promptindex.Shards
 	sameZone   map[string]bool          // by name of the index node: whether it is in the client's zone
 	lateUntil  map[string]time.Duration // by name of the index node: until when it is only called as a last resort
@@ -119,7 +119,7 @@
 	return counts
 }
 
-// bestNode returns the index node to call next; "" if there is none.
+// bestNode returns the preferred index node among the keys of keyCounts; "" if there is none.
 func (t *table) bestNode(keyCounts map[string]int, now time.Duration) (best string) {
 	for _, node := range maputil.SortedKeys(keyCounts) {
 		if best == "" || t.isPreferred(node, best, keyCounts, now) {
