--- a/internal/data/backend/backend.go
+++ b/internal/data/backend/backend.go
@@ -30,7 +30,7 @@
 
 // Report is a worker's status. It may be a few hundred milliseconds old.
 type Report struct {
-	Busy            bool              // an order is being executed
+	Busy            bool              // whether the worker is executing an order
 	Sequence        uint64            // how many orders the worker has accepted
 	Weights         map[string]uint64 // version of the loaded weights, by model
 	Queued, Running int               // numbers of requests that wait in the worker's queue, and that are being executed
@@ -58,30 +58,30 @@
 // Outcome is a worker's response to an order.
 type Outcome int
 
-// The possible outcomes of an order.
+// The possible outcomes of an order to load weights.
 const (
-	OutcomeUnknown       Outcome = iota // no response was received; the order may have been accepted
-	OutcomeStarted                      // the order was accepted and is being executed
+	OutcomeUnknown       Outcome = iota // no response to the order was received; the worker may have accepted it
+	OutcomeStarted                      // the worker accepted the order and is executing it
 	OutcomeAlreadyDone                  // the worker already serves Order.Version of the weights
-	OutcomeBusy                         // another order is being executed, or Order.Sequence differs
-	OutcomeFenced                       // the worker has seen a higher fencing token
-	OutcomeRejected                     // the model or version doesn't exist, or the order is malformed
+	OutcomeBusy                         // the worker is executing another order, or has not accepted exactly Order.Sequence orders
+	OutcomeFenced                       // the worker has seen a fencing token higher than Order.FencingToken
+	OutcomeRejected                     // the worker rejected the order: its model or version doesn't exist, or it is malformed
 	OutcomeWrongInstance                // the worker at the called address isn't the one named in Order.Instance
-	OutcomeThrottled                    // too many orders in a short time, or too many concurrent calls
+	OutcomeThrottled                    // the worker rejected the order: too many orders in a short time, or too many concurrent calls
 )
 
 // CacheChange reports that a prompt part was added to, or evicted from, the cache of a worker or KV cache store.
 type CacheChange struct {
 	Salt, Part, Model string
-	Tokens            int // length of the cached part; 0: the part was evicted
+	Tokens            int // length of the cached part in tokens; 0: the part was evicted
 }
 
 // CacheEvents contains the changes of a prompt cache since a sequence number, or its complete contents.
 type CacheEvents struct {
 	BootID       uint64 // identifies the cache's process: a new ID means that earlier contents are lost
 	NextSequence uint64 // the sequence number to pass to the next call of Client.CacheEvents
-	Gap          bool   // some changes are missing: read the complete contents with Client.CachedPrefixes
-	Throttled    bool   // the call was rejected because the limit of concurrent long polls is reached
+	Gap          bool   // whether some changes since the sequence number are missing: read the complete contents with Client.CachedPrefixes
+	Throttled    bool   // whether the call was rejected because the limit of concurrent long polls is reached
 	Changes      []CacheChange
 }
 
--- a/internal/data/backend/client.go
+++ b/internal/data/backend/client.go
@@ -118,12 +118,12 @@
 // singleUseConn is the connection of a single call. Only one goroutine may write to it.
 type singleUseConn struct {
 	net.Conn
-	guard   func() bool // reports whether the call may be sent; nil: always
-	started bool        // whether data may already have been written
+	guard   func() bool // reports whether the call may still be sent; nil: it always may
+	started bool        // whether data of the call may already have been written
 }
 
-// Write checks the guard before it writes the first byte, and fails with a notSentError if sending is no longer
-// allowed.
+// Write checks the guard of the call before it writes the first byte, and fails with a notSentError if the call may no
+// longer be sent.
 //
 // Example: n, err := conn.Write(request)
 func (c *singleUseConn) Write(p []byte) (int, error) {
--- a/internal/data/placement/placement.go
+++ b/internal/data/placement/placement.go
@@ -36,14 +36,14 @@
 	Workers          []string `json:"workers"`
 	Replicated       []string `json:"replicated"`        // keys of the replicated prefixes, most frequently accessed first
 	Cordoned         []string `json:"rolling,omitempty"` // workers that get no new requests while they load other weights
-	ReplicatedRatio  float64  `json:"ratio"`             // fraction of Entries that is replicated
+	ReplicatedRatio  float64  `json:"ratio"`             // fraction of the entries counted in Entries that is replicated
 	RMax             float64  `json:"r_max"`             // largest fraction of a request's tokens to fetch from other workers, as computed by the function RMax
-	Entries          int      `json:"entries"`           // number of hot entries that the placement was computed from
+	Entries          int      `json:"entries"`           // number of frequently accessed prompt index entries that the placement was computed from
 	FetchBandwidth   float64  `json:"b"`                 // bandwidth of KV cache transfers between workers, in tokens per second
 	PrefillCurve     Curve    `json:"prefill"`
 	MeanSharedTokens float64  `json:"mean_len"` // mean number of tokens in the shared part of a request
 	AdmissionFloor   float64  `json:"floor"`    // access frequency of the least used cached entry that is not the first part of a prompt
-	Reason           string   `json:"why"`      // explanation for operators
+	Reason           string   `json:"why"`      // explanation of the placement for operators
 
 	replicated map[string]bool // set of the keys in Replicated
 }
--- a/internal/data/placement/placement_test.go
+++ b/internal/data/placement/placement_test.go
@@ -95,7 +95,7 @@
 		t.Error("Fit of samples that all have the same length: got no error, want one")
 	}
 	if d := Default(); d.Samples < 50 || d.At(3000) <= d.At(1000) || d.RMSErrorMicros > 0.2*d.At(1000) {
-		t.Errorf("embedded curve: got %+v, want at least 50 samples, longer durations for more tokens and an RMS error of at most 20%% at 1000 tokens", d)
+		t.Errorf("embedded prefill curve: got %+v, want at least 50 samples, longer durations for more tokens and an RMS error of at most 20%% at 1000 tokens", d)
 	}
 }
 
--- a/internal/data/placement/replication.go
+++ b/internal/data/placement/replication.go
@@ -23,7 +23,7 @@
 	return math.Min(1, alpha*prefillSeconds*bandwidth*float64(workers-1)/(sharedTokens*float64(workers)))
 }
 
-// EntryFrequency is the access frequency of one prefix entry in the past period.
+// EntryFrequency is the access frequency of one prompt index entry in the period that a placement is computed from.
 type EntryFrequency struct {
 	Key       string
 	Frequency float64 // in any unit, the same for all entries; the sum of all frequencies need not be 1
@@ -49,7 +49,7 @@
 		total += entry.Frequency
 	}
 	if total <= 0 {
-		return sorted, 0 // without accesses no entry is hot
+		return sorted, 0 // without any accesses, no entry is replicated
 	}
 	cdf := 0.0
 	for i, entry := range sorted {
--- a/internal/data/retrybudget/bucket.go
+++ b/internal/data/retrybudget/bucket.go
@@ -20,7 +20,7 @@
 
 // tryWithdraw takes the token for one retry and reports whether the bucket held one.
 func (b *bucket) tryWithdraw(allowance float64) bool {
-	b.tokens = min(allowance, b.tokens) // the capacity may have decreased since the last call
+	b.tokens = min(allowance, b.tokens) // the allowance may have decreased since the last call, because nodes were added
 	if b.tokens < 1-roundingSlack {
 		return false
 	}
--- a/internal/data/updatestream/follower.go
+++ b/internal/data/updatestream/follower.go
@@ -24,7 +24,7 @@
 	Log          hclog.Logger
 	NodeAgent    func() wire.NodeAgent   // returns a client of the node agent, nil if none is known yet; called before each request
 	LongPollTime time.Duration           // how long the node agent may wait for an update before it responds
-	AddReports   func(*wire.FeedRequest) // adds this process's observations since the last request; may be nil
+	AddReports   func(*wire.FeedRequest) // adds this process's observations since the last request to a new one; may be nil
 	OnSnapshot   func(*Snapshot)         // called with every new snapshot; must not block; may be nil
 }
 
@@ -32,7 +32,7 @@
 type Follower struct {
 	config  Config
 	current atomic.Pointer[Snapshot]
-	fixed   func() *Snapshot // if not nil, replaces current in tests
+	fixed   func() *Snapshot // set only in tests: returns the snapshot to use instead of current
 }
 
 // Follow starts polling a node agent for updates, until ctx is canceled, and returns the Follower.
@@ -60,7 +60,7 @@
 }
 
 // OnSeedsChanged returns an OnSnapshot callback that calls setSeeds with the seeds of each new version of the
-// configuration.
+// configuration. Versions that don't list exactly three seeds are ignored.
 //
 // Example: updatestream.Config{OnSnapshot: updatestream.OnSeedsChanged(member.SetSeeds)}
 func OnSeedsChanged(setSeeds func([]string)) func(*Snapshot) {
--- a/internal/data/updatestream/weights.go
+++ b/internal/data/updatestream/weights.go
@@ -42,15 +42,15 @@
 	if version >= h.Version { // common case, checked first because every request makes this call
 		return 0, 0, false
 	}
-	named := append(slices.Clone(h.Past), h)
-	for i, newer := range named {
+	versions := append(slices.Clone(h.Past), h)
+	for i, newer := range versions {
 		if newer.Version <= version {
 			continue
 		}
-		if i == 0 || named[i-1].ProvenNewestUntil == 0 {
+		if i == 0 || versions[i-1].ProvenNewestUntil == 0 {
 			return 0, newer.FirstSeen, false
 		}
-		return named[i-1].ProvenNewestUntil, newer.FirstSeen, true
+		return versions[i-1].ProvenNewestUntil, newer.FirstSeen, true
 	}
 	return 0, 0, false
 }
--- a/internal/queue/actor.go
+++ b/internal/queue/actor.go
@@ -40,7 +40,7 @@
 func (a *Actor[T]) TrySend(command func(*T)) bool { return a.commands.Offer(command) }
 
 // Send queues a command, and blocks while the queue is full. It returns false if the actor is stopped before the
-// command could be queued. It must not be called from a command of the same actor, which could deadlock.
+// command could be queued. A command queued after Stop may never run. It must not be called from a command of the same actor, which could deadlock.
 //
 // Example: actor.Send(func(t *table) { t.inFlight-- })
 func (a *Actor[T]) Send(command func(*T)) bool {
@@ -58,7 +58,7 @@
 //
 // Example: actor.Ask(func(t *table) { count = t.count })
 func (a *Actor[T]) Ask(command func(*T)) bool {
-	var claimed atomic.Bool // set by the actor when it starts the command, or by this call when it cancels the command
+	var claimed atomic.Bool // set by the actor when it starts the command, or by this call of Ask when it cancels the command
 	done := make(chan struct{})
 	runIfClaimed := func(table *T) {
 		if claimed.CompareAndSwap(false, true) {
@@ -81,8 +81,8 @@
 	return true
 }
 
-// Stop ends the actor's goroutine after the command that is currently running, without waiting for it. Commands
-// still in the queue are not run. Stop may be called more than once.
+// Stop makes the actor's goroutine end after the command that is currently running, without waiting for it. Commands
+// still in the queue may be dropped without running. Stop may be called more than once.
 //
 // Example: defer actor.Stop()
 func (a *Actor[T]) Stop() { a.once.Do(func() { close(a.stopped) }) }
