--- a/internal/data/agent/agent.go
+++ b/internal/data/agent/agent.go
@@ -129,8 +129,8 @@
 	close(old.replaced)
 }
 
-// updateMembership applies the latest cluster membership to the table, and publishes a new snapshot if this changed
-// the table's snapshot.
+// updateMembership applies the latest cluster membership to the table, and publishes a new snapshot if this changed the
+// table's snapshot.
 func (a *Agent) updateMembership(t *table) {
 	if t.applyMembership(*a.view.Load(), a.process.Clock.Now()) {
 		a.publish(t, true)
@@ -156,9 +156,9 @@
 	}
 }
 
-// controlNodes returns the addresses of the control nodes to poll: normally the members of the consensus
-// group. An agent without a recent freshness proof also polls the seeds and all known control nodes, because
-// the members may have been replaced in the meantime.
+// controlNodes returns the addresses of the control nodes to poll: normally the members of the consensus group. An
+// agent without a recent freshness proof also polls the seeds and all known control nodes, because the members may have
+// been replaced in the meantime.
 func (a *Agent) controlNodes(t *table) map[string]bool {
 	addrs := map[string]bool{}
 	for _, member := range t.proof.Members() {
@@ -178,16 +178,16 @@
 	return addrs
 }
 
-// handleResponse applies the response of one member of the consensus group and reports whether it contained
-// an update. requested is the plan version that the request reported as known.
+// handleResponse applies the response of one member of the consensus group and reports whether it contained an update.
+// requested is the plan version that the request reported as known.
 func (a *Agent) handleResponse(response *wire.FollowResponse, requested uint64, requestedAt time.Duration) (isUpdate bool) {
 	a.actor.Ask(func(t *table) {
 		generation, term, index, hadNoProof := t.proof.generation, t.proof.term, t.proof.index, t.snapshot.ProofAt == 0
 		var err error
 		isUpdate, err = t.applyResponse(response, requested, requestedAt, a.process.Clock.Now())
 		if err != nil {
-			// Control nodes validate documents before they store them, but those of a newer release may use a
-			// format that this release can't decode.
+			// Control nodes validate documents before they store them, but those of a newer release may use a format
+			// that this release can't decode.
 			a.process.Log.Error("failed to decode documents from control node; keeping their previous versions", "from", response.Member, "error", err)
 		}
 		a.publish(t, isUpdate)
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -229,8 +229,8 @@
 	})
 }
 
-// The agent keeps polling the current members of the consensus group when one of them is replaced by a node at
-// another address, and finds the new members through the seeds when all members are replaced at once.
+// The agent keeps polling the current members of the consensus group when one of them is replaced by a node at another
+// address, and finds the new members through the seeds when all members are replaced at once.
 func TestMembersAreFollowedAsTheyChange(t *testing.T) {
 	group := newFakeGroup(threeMembers...)
 	runAgent(t, group, func(t *testing.T, agent *Agent) {
--- a/internal/data/agent/documents.go
+++ b/internal/data/agent/documents.go
@@ -72,10 +72,10 @@
 // agent was out of contact with the control nodes.
 const assumedElapsedRatio = 0.5
 
-// applyWeights sets the configured version of the weights of each model. An agent in contact with the
-// control nodes receives a change immediately. One that was out of contact, or has just started, can't know
-// when the change was made: it assumes that half the weights bound (the longest time for which requests may still
-// start on superseded weights) has elapsed since, or the time since the last contact if that is shorter.
+// applyWeights sets the configured version of the weights of each model. An agent in contact with the control nodes
+// receives a change immediately. One that was out of contact, or has just started, can't know when the change was made:
+// it assumes that half the weights bound (the longest time for which requests may still start on superseded weights)
+// has elapsed since, or the time since the last contact if that is shorter.
 func (t *table) applyWeights(configured map[string]uint64, now time.Duration) {
 	since := now
 	if t.isOutOfContact(now) {
@@ -99,11 +99,11 @@
 // maxEarlierVersions is the maximum number of earlier versions of the weights that are kept for one model.
 const maxEarlierVersions = 8
 
-// addEarlierVersion appends a version to the earlier versions of a model, oldest first. A version is dropped
-// once the weights bound (the longest time for which requests may still start on superseded weights) has elapsed since
-// its successor was configured, because it no longer has any effect. If more than
-// maxEarlierVersions are left, the oldest is dropped and its successor takes over its earlier instant, so that
-// the time of the successor ends too early rather than too late.
+// addEarlierVersion appends a version to the earlier versions of a model, oldest first. A version is dropped once the
+// weights bound (the longest time for which requests may still start on superseded weights) has elapsed since its
+// successor was configured, because it no longer has any effect. If more than maxEarlierVersions are left, the oldest
+// is dropped and its successor takes over its earlier instant, so that the time of the successor ends too early rather
+// than too late.
 func (t *table) addEarlierVersion(before []fleet.NamedVersion, version fleet.NamedVersion, now time.Duration) []fleet.NamedVersion {
 	all := append(slices.Clone(before), version)
 	for len(all) > 1 && now-all[1].At >= t.bounds.Weights(1) {
--- a/internal/data/agent/freshnessproof.go
+++ b/internal/data/agent/freshnessproof.go
@@ -78,8 +78,8 @@
 // Example: request.RestoreGeneration = p.Generation()
 func (p *FreshnessProof) Generation() uint64 { return p.generation }
 
-// AddResponse records the response of a member of the consensus group to a request that was sent at requestedAt. version is the higher
-// of the plan versions in the request and in the response.
+// AddResponse records the response of a member of the consensus group to a request that was sent at requestedAt.
+// version is the higher of the plan versions in the request and in the response.
 //
 // Example: p.AddResponse(response, 7, requestedAt)
 func (p *FreshnessProof) AddResponse(response *wire.FollowResponse, version uint64, requestedAt time.Duration) {
--- a/internal/data/agent/simulatedgroup_test.go
+++ b/internal/data/agent/simulatedgroup_test.go
@@ -239,8 +239,8 @@
 	return group
 }
 
-// In random simulations of a consensus group with leader elections and membership changes, no plan newer than the agent's
-// may have been committed before the instant of its freshness proof, whatever the order of steps and responses.
+// In random simulations of a consensus group with leader elections and membership changes, no plan newer than the
+// agent's may have been committed before the instant of its freshness proof, whatever the order of steps and responses.
 func TestNoFalseProofInAChangingGroup(t *testing.T) {
 	proofs, changed := 0, 0
 	for seed := range uint64(40000) {
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -23,11 +23,11 @@
 	// edgeMemoryRatio is how long an edge machine is counted after it was last seen alive, as a multiple of the
 	// heal bound (the time within which service is restored after a failure).
 	edgeMemoryRatio = 5
-	// joiningRatio is how long after its start a node may not know all other nodes yet, as a fraction of the
-	// leave bound (the longest time for which a worker may still get requests after it has left).
+	// joiningRatio is how long after its start a node may not know all other nodes yet, as a fraction of the leave
+	// bound (the longest time for which a worker may still get requests after it has left).
 	joiningRatio = 1.0 / 3
-	// outOfContactRatio is the age of the freshness proof above which the agent may have missed updates, as a
-	// multiple of the configuration bound (the longest time for which an outdated configuration may be in use).
+	// outOfContactRatio is the age of the freshness proof above which the agent may have missed updates, as a multiple
+	// of the configuration bound (the longest time for which an outdated configuration may be in use).
 	outOfContactRatio = 1.5
 )
 
@@ -54,16 +54,16 @@
 	}
 }
 
-// isOutOfContact reports whether the agent may have missed updates: there is no freshness proof, or the proof
-// is older than outOfContactRatio times the configuration bound (the longest time for which an outdated
-// configuration may be in use).
+// isOutOfContact reports whether the agent may have missed updates: there is no freshness proof, or the proof is older
+// than outOfContactRatio times the configuration bound (the longest time for which an outdated configuration may be in
+// use).
 func (t *table) isOutOfContact(now time.Duration) bool {
 	return t.snapshot.ProofAt == 0 || now-t.snapshot.ProofAt > t.bounds.Config(outOfContactRatio)
 }
 
-// longPollTime returns how long a member of the consensus group may wait for an update before it responds to a
-// request sent now. An agent whose process was suspended, or that lost contact with the group, can't serve until
-// it has a new freshness proof, so it requests an immediate response.
+// longPollTime returns how long a member of the consensus group may wait for an update before it responds to a request
+// sent now. An agent whose process was suspended, or that lost contact with the group, can't serve until it has a new
+// freshness proof, so it requests an immediate response.
 func (t *table) longPollTime(now time.Duration) time.Duration {
 	if t.snapshot.Plan != nil && t.isOutOfContact(now) {
 		return 0
@@ -71,7 +71,8 @@
 	return t.bounds.Config(longPollRatio)
 }
 
-// newRequest returns the next long-poll request to a member of the consensus group, with the versions of all known documents.
+// newRequest returns the next long-poll request to a member of the consensus group, with the versions of all known
+// documents.
 func (t *table) newRequest(longPollTime time.Duration) *wire.FollowRequest {
 	request := &wire.FollowRequest{MaxWaitNs: uint64(longPollTime), ProofKey: routingconfig.DocumentKey, AcceptsCompressed: true, RestoreGeneration: t.proof.Generation()}
 	for _, key := range []string{routingconfig.DocumentKey, fleet.WorkersKey, fleet.WeightsKey, fleet.PlacementKey} {
@@ -96,9 +97,9 @@
 	return key == routingconfig.DocumentKey || key == fleet.WorkersKey || key == fleet.WeightsKey || isPlacement(key)
 }
 
-// applyResponse applies the response of a member of the consensus group to a request that was sent at requestedAt
-// and that reported plan version requested as known. It reports whether the response contained a newer document. The error lists the documents that
-// could not be decoded; all others are applied.
+// applyResponse applies the response of a member of the consensus group to a request that was sent at requestedAt and
+// that reported plan version requested as known. It reports whether the response contained a newer document. The error
+// lists the documents that could not be decoded; all others are applied.
 func (t *table) applyResponse(response *wire.FollowResponse, requested uint64, requestedAt, now time.Duration) (changed bool, err error) {
 	switch known := t.proof.Generation(); {
 	case response.RestoreGeneration < known:
@@ -126,8 +127,8 @@
 }
 
 // forgetDocuments prepares the table for the documents of a restored consensus group, which may have lost versions that
-// this agent has received. The plan and the workers stay in use until the restored group sends others; until
-// then the freshness proof of the plan does not advance.
+// this agent has received. The plan and the workers stay in use until the restored group sends others; until then the
+// freshness proof of the plan does not advance.
 func (t *table) forgetDocuments() {
 	clear(t.versions)
 	t.snapshot.Placements = nil
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -49,9 +49,8 @@
 
 func newTestTable() *table { return newTable(settings.DefaultBounds(), &versionCodec{}, startTime) }
 
-// Tries every order of the members' responses: the plan version in use and the instant of the
-// freshness proof never decrease, only newer plans count as a change, and a member that sends a plan also attests
-// that it has no newer one.
+// Tries every order of the members' responses: the plan version in use and the instant of the freshness proof never
+// decrease, only newer plans count as a change, and a member that sends a plan also attests that it has no newer one.
 func TestPlanVersionNeverDecreases(t *testing.T) {
 	type receivedResponse struct {
 		response    *wire.FollowResponse
@@ -138,9 +137,9 @@
 }
 
 // NamedAt is the instant at which a version of the weights was configured, from which the weights bound (the longest
-// time for which requests may still start on superseded weights) is counted. An agent that was out of contact with
-// the control nodes when a version was configured uses an earlier instant than that of the response, and the bound of
-// an earlier version is never extended.
+// time for which requests may still start on superseded weights) is counted. An agent that was out of contact with the
+// control nodes when a version was configured uses an earlier instant than that of the response, and the bound of an
+// earlier version is never extended.
 func TestWhenWeightsWereNamed(t *testing.T) {
 	state := newTestTable()
 	bounds := state.bounds
--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -92,9 +92,9 @@
 // Example: for _, node := range c.Nodes() { send(node, c.NextBatch(node, nil)) }
 func (c *AccessCounter) Nodes() []string { return slices.Collect(maps.Keys(c.queues)) }
 
-// NextBatch returns the batch to send to an index node now: the unacknowledged one, or else a new one. It is
-// nil while a batch to that node is being sent, and if there is nothing to send. The batch carries the given current loads
-// of the workers (nil: none), also when it is sent again; loads are sent even if there are no accesses.
+// NextBatch returns the batch to send to an index node now: the unacknowledged one, or else a new one. It is nil while
+// a batch to that node is being sent, and if there is nothing to send. The batch carries the given current loads of the
+// workers (nil: none), also when it is sent again; loads are sent even if there are no accesses.
 //
 // Example: if batch := c.NextBatch(node, loads); batch != nil { go send(node, batch) }
 func (c *AccessCounter) NextBatch(node string, loads *wire.WorkerLoads) *wire.CountRequest {
@@ -143,7 +143,8 @@
 	}
 }
 
-// RecordFailure records that an index node didn't acknowledge the batch that was sent to it. NextBatch then returns the same batch again.
+// RecordFailure records that an index node didn't acknowledge the batch that was sent to it. NextBatch then returns the
+// same batch again.
 //
 // Example: if err != nil { c.RecordFailure(node) }
 func (c *AccessCounter) RecordFailure(node string) {
--- a/internal/data/indexclient/accesscounter_test.go
+++ b/internal/data/indexclient/accesscounter_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// An index node stops serving while a batch to it is in flight. A late response to that batch must not acknowledge the next
-// one, and sequence numbers continue.
+// An index node stops serving while a batch to it is in flight. A late response to that batch must not acknowledge the
+// next one, and sequence numbers continue.
 func TestDroppedBatchIsNotAcknowledged(t *testing.T) {
 	counter := newTestCounter()
 	addAccess(counter, 1)
--- a/internal/data/indexclient/batch.go
+++ b/internal/data/indexclient/batch.go
@@ -39,9 +39,9 @@
 	asked   map[string]bool     // names of the index nodes that were called
 }
 
-// lookUpBatch resolves a batch of lookups. The first attempt calls as few index nodes as possible to cover all
-// keys. The second one calls the other nodes assigned to the keys for which no warm node (one that knows the
-// contents of the workers' caches) has responded.
+// lookUpBatch resolves a batch of lookups. The first attempt calls as few index nodes as possible to cover all keys.
+// The second one calls the other nodes assigned to the keys for which no warm node (one that knows the contents of the
+// workers' caches) has responded.
 func (c *Client) lookUpBatch(lookups []pendingLookup) {
 	result := &batchResult{found: map[prefix.Key]*wire.LookupResult{}, isFinal: map[prefix.Key]bool{}, asked: map[string]bool{}}
 	keys, wait := joinKeys(lookups, result.isFinal)
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -21,19 +21,18 @@
 // the comment says otherwise.
 const (
 	// flushRatio is the interval at which counted accesses are sent to the index, as a fraction of the heal bound. A
-	// longer interval saves calls;
-	// a shorter one lets other edge machines find newly cached parts sooner.
+	// longer interval saves calls; a shorter one lets other edge machines find newly cached parts sooner.
 	flushRatio = 1.0 / 60
 	// flushTimeoutRatio is the timeout of the call that sends one batch of accesses, as a fraction of the heal bound.
 	flushTimeoutRatio = 1.0 / 24
-	// resendWindowRatio is half of the time for which accesses are kept, to be resent to an index node that has
-	// lost its state, as a multiple of the heal bound.
+	// resendWindowRatio is half of the time for which accesses are kept, to be resent to an index node that has lost
+	// its state, as a multiple of the heal bound.
 	resendWindowRatio = 1.25
-	// cacheLifetimeRatio is the lifetime of a cached lookup result, as a fraction of the heal bound. A longer lifetime saves calls; with a shorter
-	// one it is noticed sooner that a worker has evicted a part.
+	// cacheLifetimeRatio is the lifetime of a cached lookup result, as a fraction of the heal bound. A longer lifetime
+	// saves calls; with a shorter one it is noticed sooner that a worker has evicted a part.
 	cacheLifetimeRatio = 1.0 / 48
-	// lateNodeRatio is how long an index node is only called as a last resort after it responded late, or before it
-	// had collected the contents of the workers' caches, as a fraction of the heal bound.
+	// lateNodeRatio is how long an index node is only called as a last resort after it responded late, or before it had
+	// collected the contents of the workers' caches, as a fraction of the heal bound.
 	lateNodeRatio = 1.0 / 12
 	// lateProbeRatio is the minimum time between two calls to an index node that responded late, as a fraction of the
 	// heal bound.
@@ -96,8 +95,8 @@
 	})
 }
 
-// start returns a client that uses connect to reach index nodes, and starts its goroutines. The goroutines end
-// when the process stops; stopping waits for them.
+// start returns a client that uses connect to reach index nodes, and starts its goroutines. The goroutines end when the
+// process stops; stopping waits for them.
 func start(process *daemon.Process, nodes func() []*wire.Node, connect func(addr string) wire.PromptIndex) *Client {
 	bounds := process.Settings.Bounds
 	client := &Client{
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -92,8 +92,8 @@
 	return nodes
 }
 
-// runClient runs a test in a synctest bubble with a client of a fake index; serving are the index nodes to
-// which keys are assigned.
+// runClient runs a test in a synctest bubble with a client of a fake index; serving are the index nodes to which keys
+// are assigned.
 func runClient(t *testing.T, index *fakeIndex, test func(client *Client, serving []*wire.Node)) {
 	t.Helper()
 	if index.behavior == nil {
@@ -171,7 +171,8 @@
 		}
 		close(index.unblock)
 		wg.Wait()
-		// Client.run had already taken one lookup from its queue while the other 20 waited there; all 21 form one batch.
+		// Client.run had already taken one lookup from its queue while the other 20 waited there; all 21 form one
+		// batch.
 		if len(index.called) != maxConcurrentBatches+1 || index.keyCount != 2*maxConcurrentBatches-1+22 {
 			t.Errorf("25 concurrent lookups of two keys each: got %d calls with %d keys, want %d calls with %d keys", len(index.called), index.keyCount, maxConcurrentBatches+1, 2*maxConcurrentBatches-1+22)
 		}
--- a/internal/data/indexclient/flush.go
+++ b/internal/data/indexclient/flush.go
@@ -7,9 +7,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// RecordAccesses counts one access to each prompt part of a request. holder is the worker that is presumed to
-// cache the parts from now on, and store the KV cache store that they were sent to ("" if none). RecordAccesses
-// doesn't block; the accesses are dropped if the queue of the client's actor is full.
+// RecordAccesses counts one access to each prompt part of a request. holder is the worker that is presumed to cache the
+// parts from now on, and store the KV cache store that they were sent to ("" if none). RecordAccesses doesn't block;
+// the accesses are dropped if the queue of the client's actor is full.
 //
 // Example: c.RecordAccesses("lectores", parts, worker.ID, "")
 func (c *Client) RecordAccesses(service string, parts []prefix.Entry, holder, store string) {
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -12,8 +12,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// table is the mutable state of a Client: the assignment of keys to index nodes, late nodes, cached lookup
-// results and counted accesses. Only the goroutine of Client.actor accesses it.
+// table is the mutable state of a Client: the assignment of keys to index nodes, late nodes, cached lookup results and
+// counted accesses. Only the goroutine of Client.actor accesses it.
 type table struct {
 	client     *Client
 	membership []*wire.Node // cluster membership for which shards was last computed, or found unchanged
@@ -75,9 +75,9 @@
 	return t.shards
 }
 
-// planCalls distributes keys over as few index nodes as possible, excluding those already asked. Late nodes
-// (whose last response came too late, or before they had collected the contents of the workers' caches) are used
-// only if their next probe is due and no other node is left; see isPreferred for the order.
+// planCalls distributes keys over as few index nodes as possible, excluding those already asked. Late nodes (whose last
+// response came too late, or before they had collected the contents of the workers' caches) are used only if their next
+// probe is due and no other node is left; see isPreferred for the order.
 func (t *table) planCalls(keys []prefix.Key, asked map[string]bool, now time.Duration) (calls []nodeCall) {
 	shards := t.currentShards()
 	for len(keys) > 0 {
@@ -130,8 +130,8 @@
 }
 
 // isPreferred reports whether planCalls calls index node a rather than b. In order of precedence, a node is preferred
-// if it isn't late, if more of the keys are assigned to it, and if it is in the client's zone. Ties are broken
-// by a hash that includes the client's name, so that edge machines don't all call the same node.
+// if it isn't late, if more of the keys are assigned to it, and if it is in the client's zone. Ties are broken by a
+// hash that includes the client's name, so that edge machines don't all call the same node.
 func (t *table) isPreferred(a, b string, keyCounts map[string]int, now time.Duration) bool {
 	if aIsLate, bIsLate := t.lateUntil[a] > now, t.lateUntil[b] > now; aIsLate != bIsLate {
 		return bIsLate
@@ -145,8 +145,8 @@
 	return rendezvous.Hash(t.client.name+a) > rendezvous.Hash(t.client.name+b)
 }
 
-// recordResult records whether a call to an index node succeeded: the node responded in time with a result for
-// every key, and had collected the contents of the workers' caches. Otherwise the node counts as late for the time
+// recordResult records whether a call to an index node succeeded: the node responded in time with a result for every
+// key, and had collected the contents of the workers' caches. Otherwise the node counts as late for the time
 // lateNodeRatio.
 func (t *table) recordResult(node string, succeeded bool, now time.Duration) {
 	if succeeded {
--- a/internal/data/retrybudget/bucket_test.go
+++ b/internal/data/retrybudget/bucket_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// In every interval of a random sequence of requests and retries there are at most ratio × requests + allowance retries, while the number of
-// nodes that share the allowance varies.
+// In every interval of a random sequence of requests and retries there are at most ratio × requests + allowance
+// retries, while the number of nodes that share the allowance varies.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -42,8 +42,8 @@
 	}
 }
 
-// When the number of nodes that share a retry allowance increases, tokens of a node's bucket above the smaller share are lost. When it
-// decreases, the larger share doesn't add tokens that were not deposited.
+// When the number of nodes that share a retry allowance increases, tokens of a node's bucket above the smaller share
+// are lost. When it decreases, the larger share doesn't add tokens that were not deposited.
 func TestTokensAreCappedWhenNodesAreAdded(t *testing.T) {
 	for _, nodes := range [][2]int{{1, 10}, {10, 1}} {
 		b := newBucket(1)
@@ -75,8 +75,8 @@
 	return worst - allowance
 }
 
-// The limit of a bucket on retries also holds in every interval with bursts and pauses of traffic, with a node's share that
-// varies as nodes are added and removed, and with restarts.
+// The limit of a bucket on retries also holds in every interval with bursts and pauses of traffic, with a node's share
+// that varies as nodes are added and removed, and with restarts.
 func TestRetriesInEveryWindow(t *testing.T) {
 	if excess([]bool{false, true, true}, 0.2, 1) <= 0 || excess([]bool{true, false, false, false, false, false, true}, 0.2, 1) > roundingSlack {
 		t.Fatal("excess: want a positive result for a sequence with one retry too many, and no positive result for one within the limit")
--- a/internal/data/retrybudget/budget.go
+++ b/internal/data/retrybudget/budget.go
@@ -21,8 +21,8 @@
 	return &Budget{allowance: allowance, bucket: newBucket(ratio)}
 }
 
-// Deposit adds the fraction of a retry that a request's first attempt earns. nodes is the number of nodes that share the
-// allowance.
+// Deposit adds the fraction of a retry that a request's first attempt earns. nodes is the number of nodes that share
+// the allowance.
 //
 // Example: misdirected.Deposit(snapshot.Edges)
 func (b *Budget) Deposit(nodes int) {
@@ -57,8 +57,8 @@
 	return &ByService{ratio: ratio, allowance: allowance, buckets: map[string]*bucket{}}
 }
 
-// Deposit adds the fraction of a retry that the first attempt of a request to a service earns. nodes is the number of nodes
-// that share the allowance.
+// Deposit adds the fraction of a retry that the first attempt of a request to a service earns. nodes is the number of
+// nodes that share the allowance.
 //
 // Example: budgets.Deposit("chat", snapshot.Edges)
 func (b *ByService) Deposit(service string, nodes int) {
--- a/internal/data/updatestream/snapshot_test.go
+++ b/internal/data/updatestream/snapshot_test.go
@@ -8,8 +8,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// newDocument returns a configuration document of the given version, with one model m and the
-// given version of its weights.
+// newDocument returns a configuration document of the given version, with one model m and the given version of its
+// weights.
 func newDocument(version uint64, weights string) *wire.Document {
 	return &wire.Document{Version: version, Body: []byte(`{"models":{"m":{"weights":` + weights + `}},"services":{"s":{"model":"m"}},"ways":{"m":{"service":"s"}}}`)}
 }
--- a/internal/data/updatestream/weights.go
+++ b/internal/data/updatestream/weights.go
@@ -19,8 +19,8 @@
 const maxPastVersions = 8
 
 // next returns the history extended by the weights version in a newer configuration. provenUntil is the latest instant
-// at which the previous configuration was proved to be the newest. A new history starts for a new model, and for
-// one whose weights version decreased.
+// at which the previous configuration was proved to be the newest. A new history starts for a new model, and for one
+// whose weights version decreased.
 func (h WeightsHistory) next(version uint64, provenUntil, now time.Duration) WeightsHistory {
 	h.ProvenNewestUntil = max(h.ProvenNewestUntil, provenUntil)
 	switch {
@@ -33,9 +33,9 @@
 	return WeightsHistory{Version: version, FirstSeen: now, Past: past[max(0, len(past)-maxPastVersions):]}
 }
 
-// SupersededAt returns when a version of the weights was superseded by a newer one: not before notBefore, as shown
-// by a proof, and at the latest at seen, when this process received the newer version. ok is false if no version is newer
-// or if there was no such proof.
+// SupersededAt returns when a version of the weights was superseded by a newer one: not before notBefore, as shown by a
+// proof, and at the latest at seen, when this process received the newer version. ok is false if no version is newer or
+// if there was no such proof.
 //
 // Example: notBefore, seen, ok := snapshot.Weights["lector"].SupersededAt(3)
 func (h WeightsHistory) SupersededAt(version uint64) (notBefore, seen time.Duration, ok bool) {
--- a/internal/queue/actor.go
+++ b/internal/queue/actor.go
@@ -40,7 +40,8 @@
 func (a *Actor[T]) TrySend(command func(*T)) bool { return a.commands.Offer(command) }
 
 // Send queues a command, and blocks while the queue is full. It returns false if the actor is stopped before the
-// command could be queued. A command queued after Stop may never run. It must not be called from a command of the same actor, which could deadlock.
+// command could be queued. A command queued after Stop may never run. It must not be called from a command of the same
+// actor, which could deadlock.
 //
 // Example: actor.Send(func(t *table) { t.inFlight-- })
 func (a *Actor[T]) Send(command func(*T)) bool {
