--- a/internal/data/agent/freshnessproof.go
+++ b/internal/data/agent/freshnessproof.go
@@ -55,8 +55,8 @@
 
 // attestation is a group member's latest statement that its disk had no plan newer than a given version.
 type attestation struct {
-	requestedAt time.Duration // when the request was sent; the statement was made later
-	version     uint64        // plan version than which the member's disk had no newer one
+	requestedAt time.Duration // when the agent sent the request; the member made its statement later
+	version     uint64        // highest plan version that the member's disk may have had
 	term, index uint64        // log position of the newest membership on the member's disk
 }
 
@@ -93,7 +93,7 @@
 		return
 	}
 	if requestedAt <= p.attestations[response.Member].requestedAt {
-		return // responses may arrive out of order: an attestation for a request sent as late or later is already recorded
+		return // responses may arrive out of order: an attestation for a request sent at the same time or later is already recorded
 	}
 	p.attestations[response.Member] = attestation{requestedAt, version, response.MembersTerm, response.MembersIndex}
 }
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -28,7 +28,7 @@
 	batches      map[string][]*wire.CountRequest
 	holders      map[prefix.Key]string
 	resendWindow bool          // whether the next Count call is answered as by an index node that lost its state
-	unblock      chan struct{} // if set, Lookup calls block until it is closed
+	unblock      chan struct{} // if not nil, Lookup calls block until this channel is closed
 }
 
 func (i *fakeIndex) setBehavior(addr, behavior string) {
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -26,7 +26,8 @@
 	accesses   *AccessCounter
 }
 
-// cachedAnswer is a lookup result that is reused until cacheLifetimeRatio has passed.
+// cachedAnswer is a lookup result that is reused for cacheLifetimeRatio times the heal bound (the time within which
+// service is restored after a failure).
 type cachedAnswer struct {
 	found *wire.LookupResult
 	at    time.Duration
@@ -146,8 +147,8 @@
 }
 
 // recordResult records whether a call to an index node succeeded: the node responded in time with a result for every
-// key, and had collected the contents of the workers' caches. Otherwise the node counts as late for the time
-// lateNodeRatio.
+// key, and had collected the contents of the workers' caches. Otherwise the node counts as late for lateNodeRatio times
+// the heal bound (the time within which service is restored after a failure).
 func (t *table) recordResult(node string, succeeded bool, now time.Duration) {
 	if succeeded {
 		delete(t.lateUntil, node)
--- a/internal/data/updatestream/snapshot_test.go
+++ b/internal/data/updatestream/snapshot_test.go
@@ -43,7 +43,7 @@
 
 // update describes a response of the node agent that is received 10 ns after the instant of its proof.
 type update struct {
-	configVersion uint64 // 0: the response contains no configuration
+	configVersion uint64 // version of the configuration in the response; 0: the response contains none
 	proofAt       uint64
 	weights       uint64 // version of the weights of model m in the configuration
 }
