--- a/internal/data/agent/documents.go
+++ b/internal/data/agent/documents.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	plan.Version = document.Version // the committed version takes precedence over one in the body
+	plan.Version = document.Version // the document's committed version takes precedence over a version in its body
 	t.snapshot.Plan = plan
 	return nil
 }
@@ -67,21 +67,22 @@
 	return nil
 }
 
-// assumedElapsedRatio is the fraction of the weights bound that is assumed to have elapsed for versions of
-// model weights that were configured while the agent was out of contact.
+// assumedElapsedRatio is the fraction of the weights bound (the longest time for which requests may still start on
+// superseded weights) that is assumed to have elapsed for versions of model weights that were configured while the
+// agent was out of contact with the control nodes.
 const assumedElapsedRatio = 0.5
 
-// applyWeights sets the configured version of the weights of each model. An agent in contact with the
-// control nodes receives a change immediately. One that was out of contact, or has just started, can't know
-// when the change was made: it assumes that half the weights bound has elapsed since, or the time since the
-// last contact if that is shorter.
-func (t *table) applyWeights(named map[string]uint64, now time.Duration) {
+// applyWeights sets the configured version of the weights of each model. An agent in contact with the control nodes
+// receives a change immediately. One that was out of contact, or has just started, can't know when the change was made:
+// it assumes that half the weights bound (the longest time for which requests may still start on superseded weights)
+// has elapsed since, or the time since the last contact if that is shorter.
+func (t *table) applyWeights(configured map[string]uint64, now time.Duration) {
 	since := now
 	if t.isOutOfContact(now) {
 		since = max(t.snapshot.ProofAt, now-t.bounds.Weights(assumedElapsedRatio))
 	}
 	namedAt, earlier := map[string]time.Duration{}, map[string][]fleet.NamedVersion{}
-	for model, version := range named {
+	for model, version := range configured {
 		namedAt[model], earlier[model] = since, t.snapshot.EarlierVersions[model]
 		previous, ok := t.snapshot.NamedVersions[model]
 		switch {
@@ -92,16 +93,17 @@
 			earlier[model] = t.addEarlierVersion(earlier[model], before, now)
 		}
 	}
-	t.snapshot.NamedVersions, t.snapshot.NamedAt, t.snapshot.EarlierVersions = named, namedAt, earlier
+	t.snapshot.NamedVersions, t.snapshot.NamedAt, t.snapshot.EarlierVersions = configured, namedAt, earlier
 }
 
 // maxEarlierVersions is the maximum number of earlier versions of the weights that are kept for one model.
 const maxEarlierVersions = 8
 
-// addEarlierVersion appends a version to the earlier versions of a model, oldest first. A version is dropped
-// once the weights bound of its successor has expired, because it no longer has any effect. If more than
-// maxEarlierVersions are left, the oldest is dropped and its successor takes over its earlier instant, so that
-// the successor's bound expires sooner rather than later than it should.
+// addEarlierVersion appends a version to the earlier versions of a model, oldest first. A version is dropped once the
+// weights bound (the longest time for which requests may still start on superseded weights) has elapsed since its
+// successor was configured, because it no longer has any effect. If more than maxEarlierVersions are left, the oldest
+// is dropped and its successor takes over its earlier instant, so that the time of the successor ends too early rather
+// than too late.
 func (t *table) addEarlierVersion(before []fleet.NamedVersion, version fleet.NamedVersion, now time.Duration) []fleet.NamedVersion {
 	all := append(slices.Clone(before), version)
 	for len(all) > 1 && now-all[1].At >= t.bounds.Weights(1) {
--- a/internal/data/agent/freshnessproof.go
+++ b/internal/data/agent/freshnessproof.go
@@ -47,16 +47,16 @@
 // about plans between u and v, so it is not counted while u is in use.
 type FreshnessProof struct {
 	generation   uint64 // newest restore generation that any member reported
-	term, index  uint64 // log position of the newest membership of that generation
+	term, index  uint64 // log position of the newest known membership in that restore generation
 	members      []string
-	attestations map[string]attestation // latest attestation of each member
+	attestations map[string]attestation // latest attestation of each group member, by name of the member
 	freshUntil   time.Duration
 }
 
-// attestation is a member's latest statement that its disk had no plan newer than a version.
+// attestation is a group member's latest statement that its disk had no plan newer than a given version.
 type attestation struct {
-	requestedAt time.Duration // when the request was sent; the statement was made later
-	version     uint64        // plan version; the member's disk had no newer one
+	requestedAt time.Duration // when the agent sent the request; the member made its statement later
+	version     uint64        // highest plan version that the member's disk may have had
 	term, index uint64        // log position of the newest membership on the member's disk
 }
 
@@ -78,8 +78,8 @@
 // Example: request.RestoreGeneration = p.Generation()
 func (p *FreshnessProof) Generation() uint64 { return p.generation }
 
-// AddResponse records a member's response to a request that was sent at requestedAt. version is the higher
-// of the plan versions in the request and in the response.
+// AddResponse records the response of a member of the consensus group to a request that was sent at requestedAt.
+// version is the higher of the plan versions in the request and in the response.
 //
 // Example: p.AddResponse(response, 7, requestedAt)
 func (p *FreshnessProof) AddResponse(response *wire.FollowResponse, version uint64, requestedAt time.Duration) {
@@ -93,12 +93,12 @@
 		return
 	}
 	if requestedAt <= p.attestations[response.Member].requestedAt {
-		return // responses may arrive out of order
+		return // responses may arrive out of order: an attestation for a request sent at the same time or later is already recorded
 	}
 	p.attestations[response.Member] = attestation{requestedAt, version, response.MembersTerm, response.MembersIndex}
 }
 
-// isNewerMembership reports whether a response contains a newer membership of the group than p.members.
+// isNewerMembership reports whether a response contains a newer membership of the consensus group than p.members.
 func (p *FreshnessProof) isNewerMembership(response *wire.FollowResponse) bool {
 	if response.RestoreGeneration != p.generation {
 		return response.RestoreGeneration > p.generation
@@ -125,7 +125,7 @@
 //
 // Example: if now-p.FreshUntil(7) > bound { reject() }
 func (p *FreshnessProof) FreshUntil(version uint64) time.Duration {
-	var requestedAt []time.Duration // of attestations for the newest membership and at most this version
+	var requestedAt []time.Duration // send times of the requests whose attestations count: those for the newest membership and at most this plan version
 	for _, member := range p.members {
 		a, ok := p.attestations[member]
 		if ok && a.version <= version && a.term == p.term && a.index == p.index {
@@ -137,6 +137,6 @@
 		return p.freshUntil
 	}
 	slices.Sort(requestedAt)
-	p.freshUntil = max(p.freshUntil, requestedAt[len(requestedAt)-quorum]) // a quorum was sent its requests at that instant or later
+	p.freshUntil = max(p.freshUntil, requestedAt[len(requestedAt)-quorum]) // the requests to the members of a quorum were sent at that instant or later
 	return p.freshUntil
 }
--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxPendingKeys     = 4096 // keys with unsent accesses per index node; accesses to further keys are not counted
-	maxPresumedHolders = 8    // presumed holders per key in one batch; further ones are not reported
+	maxPendingKeys     = 4096 // maximum number of keys with unsent accesses per index node; accesses to further keys are not counted
+	maxPresumedHolders = 8    // maximum number of presumed holders per key in one batch; further ones are not reported
 )
 
 // AccessCounter accumulates accesses to prompt parts until the nodes of the prompt index have acknowledged
@@ -19,8 +19,8 @@
 // until it is acknowledged, and the index applies each number once, so a lost response does not lead to
 // double counting.
 //
-// The accesses of the current and the previous half window are also kept after they were acknowledged. They
-// are queued again for an index node that reports that it has lost its state.
+// The accesses of the current and the previous half window (halves of the time for which accesses are kept) are also
+// kept after they were acknowledged. They are queued again for an index node that reports that it has lost its state.
 //
 // AccessCounter is used by both senders of accesses: Client and the prompt index client of package
 // callerproxy. It does no I/O and isn't safe for concurrent use: the sender's actor serializes all calls,
@@ -29,7 +29,7 @@
 	sender         string
 	incarnation    uint64
 	halfWindow     time.Duration         // half of the time for which accesses are kept for resending
-	queues         map[string]*nodeQueue // by name of the index node
+	queues         map[string]*nodeQueue // unacknowledged accesses, by name of the index node
 	window         map[prefix.Key]*wire.Access
 	previousWindow map[prefix.Key]*wire.Access
 	windowStart    time.Duration
@@ -40,7 +40,7 @@
 	lastNumber uint64
 	pending    map[prefix.Key]*wire.Access
 	inFlight   *wire.CountRequest // unacknowledged batch: sent again with the same sequence number
-	sending    bool               // a call with inFlight has not returned yet
+	sending    bool               // whether the call that sends inFlight is still in progress
 }
 
 // NewAccessCounter returns an empty counter for the batches of one sender. The incarnation distinguishes this
@@ -78,7 +78,7 @@
 	mergeAccess(c.window, key, access)
 }
 
-// RotateWindow starts a new half window if the current one is over, and discards the previous one.
+// RotateWindow starts a new half window if the current one is over, and discards the accesses of the one before that.
 //
 // Example: c.RotateWindow(clock.Now())
 func (c *AccessCounter) RotateWindow(now time.Duration) {
@@ -92,9 +92,9 @@
 // Example: for _, node := range c.Nodes() { send(node, c.NextBatch(node, nil)) }
 func (c *AccessCounter) Nodes() []string { return slices.Collect(maps.Keys(c.queues)) }
 
-// NextBatch returns the batch to send to an index node now: the unacknowledged one, or else a new one. It is
-// nil while a batch is being sent, and if there is nothing to send. The batch carries the given current loads
-// of the workers (nil: none), also when it is sent again; loads are sent even if there are no accesses.
+// NextBatch returns the batch to send to an index node now: the unacknowledged one, or else a new one. It is nil while
+// a batch to that node is being sent, and if there is nothing to send. The batch carries the given current loads of the
+// workers (nil: none), also when it is sent again; loads are sent even if there are no accesses.
 //
 // Example: if batch := c.NextBatch(node, loads); batch != nil { go send(node, batch) }
 func (c *AccessCounter) NextBatch(node string, loads *wire.WorkerLoads) *wire.CountRequest {
@@ -128,7 +128,7 @@
 	}
 	queue.sending = false
 	if queue.inFlight != batch {
-		return // the batch was dropped by DropPending in the meantime
+		return // DropPending has dropped the batch while it was being sent
 	}
 	queue.inFlight = nil
 	if !response.ResendWindow {
@@ -143,7 +143,8 @@
 	}
 }
 
-// RecordFailure records that a batch wasn't acknowledged. NextBatch then returns the same batch again.
+// RecordFailure records that an index node didn't acknowledge the batch that was sent to it. NextBatch then returns the
+// same batch again.
 //
 // Example: if err != nil { c.RecordFailure(node) }
 func (c *AccessCounter) RecordFailure(node string) {
@@ -162,7 +163,8 @@
 	}
 }
 
-// mergeAccess adds an access to a map of pending accesses; one to a new key is dropped if the map is full.
+// mergeAccess adds an access to a map of pending accesses. If the map already has maxPendingKeys keys, an access to
+// another key is dropped.
 func mergeAccess(pending map[prefix.Key]*wire.Access, key prefix.Key, access *wire.Access) {
 	merged := pending[key]
 	if merged == nil {
