--- a/internal/control/controlstate/idempotency.go
+++ b/internal/control/controlstate/idempotency.go
@@ -11,28 +11,28 @@
 	"pebbleloom/internal/wire"
 )
 
-// Limits of the idempotency records. An operator may retry a change at any later time, so the limits cover
-// several days of changes. Each document has its own limit, so that frequent changes of one document do not
-// evict the records of another.
+// Limits of the idempotency records, which identify repeated requests for a change. An operator may retry a change
+// at any later time, so the limits cover several days of changes. Each document has its own limit, so that
+// frequent changes of one document do not evict the records of another.
 const (
-	configChangesPerDay = 1200                    // expected changes of the configuration at the target size of a site
-	maxConfigRecords    = 3 * configChangesPerDay // limit for a configuration document: three days of changes
-	maxDocumentRecords  = maxRecentTokens         // limit for any other document
-	tokenHashBytes      = 16                      // length of the stored prefix of a token's hash
-	digestBytes         = 8                       // length of the stored prefix of a change's digest
+	configChangesPerDay = 1200                    // configuration changes expected per day in a site of the target size
+	maxConfigRecords    = 3 * configChangesPerDay // records kept for a configuration document: three days of changes
+	maxDocumentRecords  = maxRecentTokens         // records kept for any other document
+	tokenHashBytes      = 16                      // bytes of a token's hash that are stored in a record
+	digestBytes         = 8                       // bytes of a change's digest that are stored in a record
 )
 
-// idempotencyRecord describes a change that was accepted under a token. It stores a prefix of the token's hash
-// in place of the token, so that all records have the same size.
+// idempotencyRecord describes an accepted change whose request carried an idempotency token. It stores a prefix of
+// the token's hash in place of the token, so that all records have the same size.
 type idempotencyRecord struct {
 	tokenHash      [tokenHashBytes]byte
 	digest         [digestBytes]byte
-	version        uint64 // document version that the change produced
-	digestWithBase bool   // the digest is Put.digest, which covers the base version; set for changes by releases without content digests
+	version        uint64 // version of the document that the change produced
+	digestWithBase bool   // whether digest is Put.digest, which covers the base version, as for changes by releases without content digests
 }
 
-// idempotencyRecords are the recorded changes of one document, oldest first. Invariant: they contain every
-// change with a token that produced a version above forgottenVersion.
+// idempotencyRecords are the idempotency records of one document, oldest first. Invariant: they contain every
+// change with a token that produced a document version above forgottenVersion.
 type idempotencyRecords struct {
 	forgottenVersion uint64
 	records          []idempotencyRecord
@@ -46,7 +46,7 @@
 	return maxDocumentRecords
 }
 
-// hashToken returns the prefix of a token's SHA-256 hash under which its record is stored.
+// hashToken returns the prefix of an idempotency token's SHA-256 hash that is stored in place of the token.
 func hashToken(token string) (hash [tokenHashBytes]byte) {
 	sum := sha256.Sum256([]byte(token))
 	copy(hash[:], sum[:])
@@ -62,8 +62,8 @@
 	return hash.Sum(nil)[:digestBytes]
 }
 
-// requestDigest identifies a change by its content and its base version. It is still written because releases
-// without content digests compare this digest alone.
+// requestDigest identifies a change by its content and its base version. It is still written to the log because
+// releases without content digests identify a repeated change by this digest alone.
 func requestDigest(put *wire.Put, patch bool) []byte {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%q %d %v %v ", put.Key, put.IfVersion, put.AnyVersion, patch)
@@ -71,7 +71,7 @@
 	return hash.Sum(nil)
 }
 
-// newIdempotencyRecord returns the record of a change that produced a version of its document.
+// newIdempotencyRecord returns the idempotency record of a change that produced the given version of its document.
 func newIdempotencyRecord(put *wire.Put, version uint64) idempotencyRecord {
 	record := idempotencyRecord{tokenHash: hashToken(put.Token), version: version}
 	digest := put.ContentDigest
@@ -82,7 +82,8 @@
 	return record
 }
 
-// isSameChange reports whether a request under the same token is a retry of the recorded change.
+// isSameChange reports whether a request with the same idempotency token is a retry of the recorded change, not a
+// different change.
 func (r *idempotencyRecord) isSameChange(put *wire.Put) bool {
 	digest := put.ContentDigest
 	if r.digestWithBase {
@@ -93,7 +94,7 @@
 	return start == r.digest
 }
 
-// add appends a record and evicts the oldest ones above the limit.
+// add appends an idempotency record and evicts the oldest ones above the limit.
 func (r *idempotencyRecords) add(record idempotencyRecord, limit int) {
 	r.records = append(r.records, record)
 	for len(r.records) > limit {
@@ -102,7 +103,7 @@
 	}
 }
 
-// find returns the newest record of a token, if there is one.
+// find returns the newest idempotency record of a token, if there is one.
 func (r *idempotencyRecords) find(token string) (idempotencyRecord, bool) {
 	if r == nil || token == "" {
 		return idempotencyRecord{}, false
@@ -116,15 +117,15 @@
 	return idempotencyRecord{}, false
 }
 
-// mayHaveForgotten reports whether a change without a record may have been accepted before, with its record
-// evicted since. A change based on version v produces a version above v, and all changes that produced a
-// version above forgottenVersion still have records.
+// mayHaveForgotten reports whether a change that has no idempotency record may have been accepted earlier, with
+// its record evicted since. A change based on version v produces a version above v, and all changes that produced
+// a version above forgottenVersion still have records.
 func (r *idempotencyRecords) mayHaveForgotten(put *wire.Put) bool {
 	return r != nil && put.Token != "" && !put.AnyVersion && put.IfVersion < r.forgottenVersion
 }
 
-// recordChange records an accepted change under its token: in the records of its document, and in the list of
-// recent tokens of all documents, which is the only one that earlier releases use.
+// recordChange records an accepted change under its idempotency token: in the records of its document, and in the
+// list of recent tokens of all documents, which is the only one that earlier releases use.
 func (s *state) recordChange(put *wire.Put, version uint64) {
 	if put.Token == "" {
 		return
@@ -136,7 +137,7 @@
 	s.idempotencyRecordsOf(put.Key).add(newIdempotencyRecord(put, version), maxRecords(put.Key))
 }
 
-// idempotencyRecordsOf returns the records of a document, and creates an empty list if there is none.
+// idempotencyRecordsOf returns the idempotency records of a document, and creates an empty list if there is none.
 func (s *state) idempotencyRecordsOf(key string) *idempotencyRecords {
 	if s.idempotency[key] == nil {
 		s.idempotency[key] = &idempotencyRecords{}
@@ -144,15 +145,15 @@
 	return s.idempotency[key]
 }
 
-// isRecentToken reports whether a token is among the recent tokens of all documents. Earlier releases reject or
-// re-acknowledge such a change without applying it. This release has to follow the same rule, so that members
-// of both releases compute the same state from the same log.
+// isRecentToken reports whether an idempotency token is among the recent tokens of all documents. Earlier releases
+// reject or re-acknowledge a change with such a token without applying it. This release has to follow the same
+// rule, so that members of both releases compute the same state from the same log.
 func (s *state) isRecentToken(token string) bool {
 	return token != "" && slices.ContainsFunc(s.recentTokens, func(recent *wire.ChangeToken) bool { return recent.Token == token })
 }
 
-// respondToRetry responds to a change whose token has been used before: a retry of the same change gets its
-// first outcome again, and a different change is rejected. It returns nil if the token is not on record.
+// respondToRetry responds to a change whose idempotency token has been used before: a retry of the same change
+// gets its first outcome again, and a different change is rejected. It returns nil if the token is not on record.
 func (s *state) respondToRetry(put *wire.Put) *wire.ChangeResponse {
 	record, ok := s.idempotency[put.Key].find(put.Token)
 	if ok && record.isSameChange(put) {
@@ -165,8 +166,9 @@
 	return nil
 }
 
-// respondToStaleBase responds to a change whose base is not the current version of its document: done if the
-// change was accepted before, an unknown outcome if its record may have been evicted, and a conflict otherwise.
+// respondToStaleBase responds to a change whose base version is not the current version of its document: like
+// respondToRetry if its idempotency token is on record, with an unknown outcome if its record may have been
+// evicted, and with a conflict otherwise.
 func (s *state) respondToStaleBase(put *wire.Put) *wire.ChangeResponse {
 	if response := s.respondToRetry(put); response != nil {
 		return response
@@ -178,7 +180,7 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Version: version}
 }
 
-// saveIdempotency returns the records of all documents for a snapshot, sorted by document key.
+// saveIdempotency returns the idempotency records of all documents for a snapshot, sorted by document key.
 func (s *state) saveIdempotency() (all []*wire.AcceptedChanges) {
 	for _, key := range maputil.SortedKeys(s.idempotency) {
 		all = append(all, s.idempotency[key].save(key))
@@ -186,7 +188,7 @@
 	return all
 }
 
-// save returns the records of one document for a snapshot.
+// save returns the idempotency records of one document for a snapshot.
 func (r *idempotencyRecords) save(key string) *wire.AcceptedChanges {
 	saved := &wire.AcceptedChanges{Key: key, ForgottenVersion: r.forgottenVersion}
 	for i := range r.records {
@@ -201,7 +203,7 @@
 	return saved
 }
 
-// loadIdempotency restores the idempotency records of a snapshot.
+// loadIdempotency restores the idempotency records of all documents from a snapshot.
 func (s *state) loadIdempotency(all []*wire.AcceptedChanges) {
 	if len(all) == 0 {
 		s.deriveIdempotency()
@@ -219,8 +221,9 @@
 	}
 }
 
-// deriveIdempotency creates the records for a snapshot of a release that had none, from the recent tokens of
-// all documents. If the list of recent tokens is full, that release may have dropped older ones.
+// deriveIdempotency creates the idempotency records after loading a snapshot of a release that stored none, from
+// the recent tokens of all documents. If the list of recent tokens is full, that release may have dropped older
+// ones.
 func (s *state) deriveIdempotency() {
 	for _, token := range s.recentTokens {
 		put := &wire.Put{Token: token.Token, Digest: token.Digest}
