--- a/internal/control/controlstate/doc.go
+++ b/internal/control/controlstate/doc.go
@@ -17,6 +17,8 @@
 //     name and a number. A member that lost its disk returns under a new incarnation, so that its peers do
 //     not mistake it for the member that held the log.
 //   - A spare is a learner that is ready to become a voter.
+//   - A restore generation identifies the last restore of a group from one surviving member (RestoreGroup). It is 0
+//     for a group that was never restored, and higher after each restore.
 //   - A member has failed while its failure field is set, after a disk error for example: it neither votes
 //     nor acknowledges anything.
 //   - The heal bound (settings.Bounds.Heal) is the configured time within which service has to be restored
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -11,37 +11,38 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing of a group. groupTick and reopenIntervalRatio are fractions of the heal bound.
+// Timing of a group. groupTick and reopenIntervalRatio are fractions of settings.Bounds.Heal, the configured time
+// to restore service after a fault.
 const (
-	groupTick           = 1.0 / 120 // tick interval
-	reopenIntervalRatio = 1.0 / 12  // interval between attempts to reopen a failed disk
+	groupTick           = 1.0 / 120 // interval between ticks of a member's consensus core
+	reopenIntervalRatio = 1.0 / 12  // interval between attempts to reopen a disk that failed
 	heartbeatTicks      = 3
 	electionTicks       = 9
 )
 
-// group holds the fields that only a shard with replicated membership uses.
+// group holds the fields that a shard has only on a node of a group, whose membership is replicated data.
 type group struct {
 	codec           backend.Codec
-	consensusConfig consensus.Config // Self is filled in from the incarnation stored on disk
+	consensusConfig consensus.Config // configuration of the core; reopen sets Self to the incarnation stored on disk
 	disk            storage.Disk
-	initialSnapshot func(lost bool) *wire.Snapshot // returns the snapshot for an empty disk; lost: the disk held another incarnation before
-	targetSize      int                            // desired number of voters
+	initialSnapshot func(lost bool) *wire.Snapshot // returns the first snapshot for an empty disk; lost: the disk held data of an earlier incarnation that was given up
+	targetSize      int                            // desired number of voters in the group
 	zoneOf          func(addr string) string
 	published       viewPublisher
-	ticks           int            // ticks since the start of the process
-	reopenTicks     int            // ticks between attempts to reopen a failed disk
-	leaving         map[string]int // by incarnation: the tick at which the member last announced its shutdown
-	stopping        bool           // this process is shutting down
+	ticks           int            // number of ticks since the process started
+	reopenTicks     int            // number of ticks between attempts to reopen a failed disk
+	leaving         map[string]int // tick at which a member last announced its shutdown, by the member's incarnation
+	stopping        bool           // whether this process is shutting down
 
-	replacementAllowed bool   // the group serves without this disk, so its contents may be replaced
-	supersededBy       uint64 // restore generation of a group that was restored without this member; 0: none
+	replacementAllowed bool   // whether the contents of this member's disk may be replaced, since the group serves without it
+	supersededBy       uint64 // restore generation of the group, if it was restored without this member; 0: not known to have been restored
 
-	restoreNoticeTicks int             // ticks between the notices that a restored group sends to control nodes outside it
+	restoreNoticeTicks int             // number of ticks between the notices that a restored group sends to control nodes outside it
 	controlNodes       func() []string // returns the addresses of all control nodes in the cluster membership
 }
 
-// openGroupShard turns a new shard into this node's member of a group. If the disk cannot be opened, the member starts
-// as failed, and retryReopen tries again.
+// openGroupShard sets up a new shard as this node's member of a group and opens its disk. If the disk cannot be
+// opened, the member starts as failed, and retryReopen tries again.
 func openGroupShard(shard *shard, group *group) {
 	shard.group, group.consensusConfig.DynamicMembership = group, true
 	group.leaving = map[string]int{}
@@ -52,9 +53,9 @@
 	shard.publishRecovered()
 }
 
-// reopen recovers the member from its disk, as at process start. The data may have been written by a process
-// that crashed before syncing it, or may follow a failed sync, so it is written and synced again before this
-// member acts on it.
+// reopen recovers this member of a group from its disk, as at process start. The data may have been written by a
+// process that crashed before syncing it, or may follow a failed sync, so it is written and synced again before
+// this member acts on it.
 func (s *shard) reopen() error {
 	if err := s.syncFiles(); err != nil {
 		return err
@@ -73,7 +74,8 @@
 	return nil
 }
 
-// syncFiles syncs the existing files of the store by appending nothing to each, which syncs the file.
+// syncFiles syncs the existing files of the shard's store. It appends nothing to each of them, which includes a
+// sync.
 func (s *shard) syncFiles() error {
 	for _, file := range []string{"slot-0", "slot-1", "log-0", "log-1"} {
 		_, exists, err := s.disk.Read(file)
@@ -90,7 +92,8 @@
 	return nil
 }
 
-// retryReopen tries at intervals to reopen a failed disk. On success the member continues as after a restart.
+// retryReopen tries at intervals of reopenTicks to reopen a failed disk. On success the member continues as after
+// a restart.
 func (s *shard) retryReopen() {
 	if s.ticks%s.reopenTicks != 0 {
 		return
@@ -104,7 +107,7 @@
 	s.publishRecovered()
 }
 
-// maintainGroup runs the periodic work of a group member that is not part of the core's tick: it tries to
+// maintainGroup runs the work that a group member does at each tick in addition to the core's tick: it tries to
 // reopen a failed disk, and on the leader it sends restore notices and proposes membership changes.
 func (s *shard) maintainGroup() {
 	if s.group == nil {
@@ -126,8 +129,8 @@
 	}
 }
 
-// nextMembership returns the set of voters that this member should propose as the leader; nil if it should
-// propose no membership change now.
+// nextMembership returns the set of voters that this member should propose as the leader of the group. It returns
+// nil if no membership change should be proposed now, for example because this member does not lead the group.
 func (s *shard) nextMembership() []string {
 	if !s.core.CanChangeMembership() {
 		return nil
@@ -144,18 +147,19 @@
 	return planner.next()
 }
 
-// bootstrapIncarnation is the incarnation suffix of each seed at the first start of the site. It is a constant
-// so that the seeds can name each other as members before they have communicated.
+// bootstrapIncarnation is appended to a seed's address to form the incarnation of its member at the first start of
+// the site. It is a constant so that the seeds can name each other as members before they have communicated.
 const bootstrapIncarnation = "/0"
 
-// newIncarnation returns the name of a new member at an address, made unique by a random number.
+// newIncarnation returns the name (incarnation) of a new group member at an address, made unique by a random
+// number.
 func newIncarnation(addr string, random func() uint64) string {
 	return fmt.Sprintf("%s/%016x", addr, random())
 }
 
-// initialGroupSnapshot returns the first snapshot for an empty disk. At the first start of the site the seeds
-// bootstrap the group as its voters. In any other case the disk is new or has lost its data, and its member
-// starts as a learner under a new incarnation.
+// initialGroupSnapshot returns the first snapshot for an empty disk of a group member. At the first start of the
+// site the seeds, whose addresses are listed in the settings, bootstrap the group as its voters. In any other case
+// the disk is new or has lost its data, and its member starts as a learner under a new incarnation.
 func initialGroupSnapshot(isFirstStart bool, self string, seeds []string, random func() uint64) *wire.Snapshot {
 	if !isFirstStart || !slices.Contains(seeds, self) {
 		return consensus.LearnerSnapshot(newIncarnation(self, random))
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -10,16 +10,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// joinIntervalRatio is the interval between checks whether this member has to request to join the group, as a
-// fraction of the heal bound.
+// joinIntervalRatio is the interval between checks whether this member has to request to join its group, as a
+// fraction of settings.Bounds.Heal, the configured time to restore service after a fault.
 const joinIntervalRatio = 1.0 / 30
 
-// joinTimeoutRatio is the time-out of a join or leave request, as a fraction of the heal bound.
+// joinTimeoutRatio is the time-out of a request to join or leave the group, as a fraction of settings.Bounds.Heal,
+// the configured time to restore service after a fault.
 const joinTimeoutRatio = 1.0 / 30
 
-// Ticks without a message from the leader after which a member requests to join. A voter that hears from no
-// leader may have been removed from the group, in which case it cannot win an election. It therefore requests
-// to join after the election time-out.
+// Ticks without a message from the leader after which a learner or a voter requests to join its group. A voter
+// that hears from no leader may have been removed from the group, in which case it cannot win an election. It
+// therefore requests to join after the election time-out.
 const (
 	learnerJoinTicks = aliveTicks
 	voterJoinTicks   = electionTicks
@@ -27,18 +28,18 @@
 
 // Limits of the join requests that one iteration of joinLoop sends.
 const (
-	maxJoinCandidates = 2
-	maxJoinRequests   = 2 // one to a candidate, one to the leader that it names
+	maxJoinCandidates = 2 // candidates that are sent join requests in one iteration
+	maxJoinRequests   = 2 // join requests per candidate: one to it, one to the leader that it names
 )
 
 // rejoinAction is what a node has to do next so that its member takes part in the group.
 type rejoinAction int
 
 const (
-	noRejoinAction    rejoinAction = iota // a leader replicates to the member, or it waits for its disk or for an election
-	sendJoinRequest                       // no leader replicates to the member: request to join
-	replaceCorrupted                      // the disk is corrupted: replace it once the group serves without it
-	replaceSuperseded                     // the group was restored without the member: replace its disk
+	noRejoinAction    rejoinAction = iota // nothing to do: a leader replicates to the member, or the member waits for its disk or an election
+	sendJoinRequest                       // request to join the group, since no leader replicates to the member
+	replaceCorrupted                      // replace the corrupted disk once the group serves without it
+	replaceSuperseded                     // replace the disk of a member that the group was restored without
 )
 
 // joinLoop runs until the process ends. It requests to join the group whenever no leader replicates to this member, and
@@ -76,8 +77,8 @@
 	return noRejoinAction
 }
 
-// needsJoin reports whether this member has heard from no leader for long enough that it should request to
-// join. For a voter that is only waiting for an election the request has no effect.
+// needsJoin reports whether this member has heard from no leader for long enough that it should request to join
+// its group. For a voter that is only waiting for an election the request has no effect.
 func (s *shard) needsJoin() bool {
 	status := s.core.Status()
 	timeoutTicks := learnerJoinTicks
@@ -93,9 +94,9 @@
 // even though enough responsive ones are known.
 const unresponsiveRetryInterval = 4
 
-// joinCandidates returns the addresses to send join requests to next, given how many requests have failed so far.
-// It rotates through the addresses that responded last time. It adds unresponsive ones if there are too few
-// responsive ones, and once in every unresponsiveRetryInterval failures.
+// joinCandidates returns the addresses of control nodes to send join requests to next, given how many requests
+// have failed so far. It rotates through the addresses that responded to their last request. It adds unresponsive
+// ones if there are too few responsive ones, and once in every unresponsiveRetryInterval failures.
 func joinCandidates(addresses []string, isUnresponsive func(addr string) bool, failures int) []string {
 	responsive, unresponsive := controlclient.SplitByResponsiveness(addresses, isUnresponsive)
 	unresponsiveOffset := failures / unresponsiveRetryInterval
@@ -115,8 +116,8 @@
 	return slices.Concat(items[start:], items[:start])
 }
 
-// requestJoin sends join requests to the next candidates until one accepts. It returns how many candidates failed;
-// previousFailures counts those of earlier calls.
+// requestJoin sends join requests for the member self to the next candidates until one accepts. It returns how
+// many candidates failed; previousFailures counts those of earlier calls.
 func (n *Node) requestJoin(self string, members []string, previousFailures int) (failed int) {
 	addresses := n.controlClient.Addresses()
 	for _, member := range members {
@@ -135,7 +136,8 @@
 	return failed
 }
 
-// joinThrough sends a join request to a candidate and, if that is not the leader, to the leader that it names.
+// joinThrough sends a join request for the member self to a candidate and, if that is not the leader, to the
+// leader that it names.
 func (n *Node) joinThrough(addr, self string) (accepted bool) {
 	selfAddr := controlclient.MemberAddr(self)
 	for range maxJoinRequests {
@@ -156,16 +158,17 @@
 	return false
 }
 
-// sendJoin sends one join request for this member to a control node.
+// sendJoin sends one join request for the member self to the control node at an address.
 func (n *Node) sendJoin(addr, self string) (*wire.JoinResponse, error) {
 	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
 	defer cancel()
 	return n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Settings.Zone})
 }
 
-// Join makes the leader replicate to a learner, or asks it whether a member that is shutting down may stop. If
-// this node is not the leader, the response names the leader. The response is OutcomeUnknown if this node has
-// fixed members, or if the name in the request does not consist of an address and an incarnation number.
+// Join makes the leader replicate to a new learner or, if the request is from a member that is shutting down, asks
+// whether that member may stop. If this node is not the leader, the response names the leader. The response is
+// OutcomeUnknown if this node has fixed members, or if the name in the request does not consist of an address and
+// an incarnation number.
 //
 // Example: response, err := n.Join(ctx, &wire.JoinRequest{Name: "10.1.0.17:7360/8f3a"})
 func (n *Node) Join(ctx context.Context, request *wire.JoinRequest) (*wire.JoinResponse, error) {
@@ -177,7 +180,7 @@
 	return query(ctx, shard, unknown, func() *wire.JoinResponse { return shard.handleJoin(request) }), nil
 }
 
-// handleJoin handles a join or leave request on the shard's goroutine.
+// handleJoin handles a request of a member to join or leave the group. It runs on the shard's goroutine.
 func (s *shard) handleJoin(request *wire.JoinRequest) *wire.JoinResponse {
 	status := s.core.Status()
 	if s.failure != nil || !status.IsLeader {
--- a/internal/control/controlstate/leave.go
+++ b/internal/control/controlstate/leave.go
@@ -9,11 +9,12 @@
 	"pebbleloom/internal/wire"
 )
 
-// leaveTimeoutRatio limits how long a shutdown waits until the group can continue without this member, as a
-// fraction of the shutdown grace period.
+// leaveTimeoutRatio limits how long the shutdown of a node waits until the group can continue without its member,
+// as a fraction of the shutdown grace period (Site.GraceMs).
 const leaveTimeoutRatio = 0.4
 
-// leaveNoticeTicks is the number of ticks after which an announcement to leave lapses unless it is repeated.
+// leaveNoticeTicks is the number of ticks after which a member's announcement that it is shutting down lapses
+// unless it is repeated.
 const leaveNoticeTicks = heartbeatTicks
 
 // leave waits during a shutdown until the group can continue without this member: its leadership is
@@ -28,7 +29,8 @@
 	n.membership.Leave()
 }
 
-// tryLeave takes the next step of leaving the group, and reports whether this member may stop.
+// tryLeave takes the next step of leaving the group before this node shuts down, and reports whether this member
+// may stop.
 func (n *Node) tryLeave(ctx context.Context) bool {
 	shard := n.shards[0]
 	progress := query(ctx, shard, leaveProgress{done: true}, shard.prepareToLeave)
@@ -42,15 +44,16 @@
 	return err == nil && response.Outcome == wire.OutcomeDone
 }
 
-// leaveProgress describes how far a member has come in leaving its group. A member that is neither done nor the
-// leader has to ask the leader whether it may stop.
+// leaveProgress describes how far a member that is shutting down has come in leaving its group. A member that is
+// neither done nor the leader has to ask the leader whether it may stop.
 type leaveProgress struct {
 	done, isLeader bool
 	self, leader   string
 }
 
 // prepareToLeave transfers the leadership, if this member has it, once the other live voters hold every committed
-// entry. A failed member, or a learner that knows no leader, may stop at once: the group does not depend on it.
+// entry, and returns the progress. A failed member, or a learner that knows no leader, may stop at once: the group
+// does not depend on it.
 func (s *shard) prepareToLeave() leaveProgress {
 	status, self := s.core.Status(), s.core.Self()
 	s.stopping = true
@@ -62,14 +65,14 @@
 	}
 	s.leaving[self] = s.ticks
 	if s.canLeave(self) && !s.core.TransferLeadershipExcept(s.isLeaving) {
-		s.core.TransferLeadership() // there is no suitable voter that is not leaving too
+		s.core.TransferLeadership() // no suitable voter stays, so transfer it to one that is shutting down too
 	}
 	return leaveProgress{isLeader: true}
 }
 
-// canLeave reports whether this member, as the leader, has finished the preparations for a voter to stop: there is
-// no membership change left to propose, and the other live voters hold every committed entry. A member that is
-// not a voter can leave unless a membership change is in progress.
+// canLeave reports, on the leader, whether the named member may stop. A voter may stop if there is no membership
+// change left to propose and the other live voters hold every committed entry. Any other member may stop unless a
+// membership change is in progress.
 func (s *shard) canLeave(name string) bool {
 	if !s.core.CanChangeMembership() {
 		return false
@@ -80,7 +83,8 @@
 	return s.nextMembership() == nil && s.core.ReplicatedToLiveVoters(name, aliveTicks)
 }
 
-// isLeaving reports whether a member has announced within the last leaveNoticeTicks that it is shutting down.
+// isLeaving reports whether the named member has announced within the last leaveNoticeTicks ticks that it is
+// shutting down.
 func (s *shard) isLeaving(name string) bool {
 	announced, ok := s.leaving[name]
 	return ok && s.ticks-announced < leaveNoticeTicks
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -7,22 +7,22 @@
 	"pebbleloom/internal/control/controlclient"
 )
 
-// Thresholds of the time since the leader last heard from a member, in group ticks.
+// Thresholds of the time since the leader last heard from a member of its group, in group ticks.
 const (
-	replaceAfterTicks = int(1.0 / 6 / groupTick) // from this age on, a spare learner may replace the member
-	aliveTicks        = 4 * heartbeatTicks       // below this age the member counts as alive
-	spareReadyTicks   = 2 * electionTicks        // below this age a caught-up learner may become a voter
+	replaceAfterTicks = int(1.0 / 6 / groupTick) // a voter silent for at least this long may be replaced by a spare learner
+	aliveTicks        = 4 * heartbeatTicks       // a member silent for less than this counts as alive
+	spareReadyTicks   = 2 * electionTicks        // a caught-up learner silent for less than this may become a voter
 )
 
-// membershipPlanner decides the next membership change of a group from what its leader knows. It keeps no state
-// between decisions and has no side effects.
+// membershipPlanner decides which voter the leader of a group should add or remove next, from what the leader
+// knows about the members. It keeps no state between decisions and has no side effects.
 type membershipPlanner struct {
-	self       string                   // the leader's incarnation
-	members    []string                 // the voters' incarnations
-	peers      []consensus.PeerStatus   // voters and learners that the leader replicates to
-	targetSize int                      // desired number of voters
-	zoneOf     func(addr string) string // returns the zone of an address
-	isLeaving  func(name string) bool   // reports whether the member has announced its shutdown
+	self       string                   // incarnation of the leader, which runs this planner
+	members    []string                 // incarnations of the group's current voters
+	peers      []consensus.PeerStatus   // status of the voters and learners that the leader replicates to
+	targetSize int                      // desired number of voters in the group
+	zoneOf     func(addr string) string // returns the zone of the control node at an address; "": not known
+	isLeaving  func(name string) bool   // reports whether the member with this incarnation has announced its shutdown
 }
 
 // next returns the voters that the leader should propose, which are one more or one fewer than the current
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// firstMember returns the first voter other than the leader that matches and whose removal leaves a quorum of
-// live voters. It returns "" if there is none.
+// firstMember returns the first voter other than the leader that matches and whose removal leaves a quorum of live
+// voters. It returns "" if there is no such voter.
 func (p *membershipPlanner) firstMember(matches func(name string) bool) string {
 	for _, member := range p.members {
 		if member != p.self && matches(member) && p.hasQuorum(p.without(member), 0) {
@@ -81,7 +81,8 @@
 	return ""
 }
 
-// status returns what the leader knows about a member. A member that it does not replicate to counts as silent.
+// status returns what the leader knows about a group member. A member that the leader does not replicate to counts
+// as silent.
 func (p *membershipPlanner) status(name string) consensus.PeerStatus {
 	for _, peer := range p.peers {
 		if peer.Name == name {
@@ -91,17 +92,19 @@
 	return consensus.PeerStatus{Name: name, ContactAge: replaceAfterTicks}
 }
 
-// isAlive reports whether the leader has heard from a member recently, or is that member itself.
+// isAlive reports whether the leader has heard from a member within the last aliveTicks ticks, or is that member
+// itself.
 func (p *membershipPlanner) isAlive(name string) bool {
 	return name == p.self || p.status(name).ContactAge < aliveTicks
 }
 
-// isSilent reports whether the leader has not heard from a member for so long that a spare may replace it.
+// isSilent reports whether the leader has not heard from a member for at least replaceAfterTicks ticks, so that a
+// spare learner may replace it.
 func (p *membershipPlanner) isSilent(name string) bool {
 	return p.status(name).ContactAge >= replaceAfterTicks
 }
 
-// allAlive reports whether all voters are alive.
+// allAlive reports whether the leader counts all voters of the group as alive.
 func (p *membershipPlanner) allAlive() bool {
 	return !slices.ContainsFunc(p.members, func(member string) bool { return !p.isAlive(member) })
 }
@@ -116,11 +119,11 @@
 	})
 }
 
-// sameAddress reports whether two incarnations belong to the same address.
+// sameAddress reports whether two incarnations (member names) belong to the same address.
 func sameAddress(a, b string) bool { return controlclient.MemberAddr(a) == controlclient.MemberAddr(b) }
 
-// hasQuorum reports whether the live ones among the given members form a quorum after a number of additional
-// live members has been added.
+// hasQuorum reports whether a group of the given members and a number of additional live ones has a quorum of live
+// members.
 func (p *membershipPlanner) hasQuorum(members []string, additional int) bool {
 	alive := additional
 	for _, member := range members {
@@ -131,12 +134,13 @@
 	return 2*alive > len(members)+additional
 }
 
-// without returns the voters except one.
+// without returns the current voters of the group except the named one.
 func (p *membershipPlanner) without(name string) []string {
 	return slices.DeleteFunc(slices.Clone(p.members), func(member string) bool { return member == name })
 }
 
-// with returns the voters and a spare learner as a new voter; nil if these would have no quorum of live voters.
+// with returns the current voters of the group and a spare learner as a new voter. It returns nil if these would
+// have no quorum of live voters.
 func (p *membershipPlanner) with(spare string) []string {
 	if !p.hasQuorum(p.members, 1) {
 		return nil
@@ -156,8 +160,9 @@
 	return best
 }
 
-// isReady reports whether a peer is a learner that may become a voter: it is alive, has all committed entries,
-// and neither a voter nor a more recent incarnation exists at its address.
+// isReady reports whether a peer is a learner that may become a voter: the leader has heard from it within
+// spareReadyTicks, it has all committed entries, and neither a voter nor a more recent incarnation exists at its
+// address.
 func (p *membershipPlanner) isReady(peer consensus.PeerStatus) bool {
 	if peer.IsVoter || !peer.CaughtUp || peer.ContactAge >= spareReadyTicks {
 		return false
@@ -170,7 +175,7 @@
 	})
 }
 
-// hasVoterInZoneOf reports whether the zone of a learner contains a voter that is not shutting down.
+// hasVoterInZoneOf reports whether a voter that is not shutting down is in the same zone as the named learner.
 func (p *membershipPlanner) hasVoterInZoneOf(name string) bool {
 	zone := p.zoneOf(controlclient.MemberAddr(name))
 	return slices.ContainsFunc(p.members, func(member string) bool {
