--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -8,12 +8,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxLongPolls limits the long polls that wait concurrently. Further ones get an immediate response.
+// maxLongPolls limits the Follow requests that wait concurrently on one node. Further ones get an immediate
+// response.
 const maxLongPolls = 1024
 
-// Follow serves a long poll for several documents: it responds once one of them is newer than the version
-// that the client knows, or when the wait time of the request is over. It reads the published view, so it does
-// not wait for the shard's goroutine. A node with fixed members responds without documents.
+// Follow serves a long poll for several documents: it responds once one of them is newer than the version that the
+// client knows, or when the wait time of the request is over. It reads this member's published view
+// (publishedView), so it does not wait for the shard's goroutine. A node with fixed members responds without
+// documents.
 //
 // Example: response, err := n.Follow(ctx, &wire.FollowRequest{Known: known, MaxWaitNs: 1e9, ProofKey: "plan"})
 func (n *Node) Follow(ctx context.Context, request *wire.FollowRequest) (*wire.FollowResponse, error) {
@@ -39,15 +41,16 @@
 		case <-ctx.Done():
 			expired = true
 		case <-draining:
-			// Delay the response by up to a tick: a client that gets one at once would immediately poll again.
+			// This node is shutting down. Delay the response by up to a tick: a client that gets one at once would immediately
+			// poll again.
 			draining = nil
 			timer.Reset(min(maxWait, n.process.Settings.Bounds.Heal(groupTick)))
 		}
 	}
 }
 
-// followResponse builds the response to a long poll from this view. NothingNewer is set if this member is a
-// voter whose disk holds no newer version of the document named by ProofKey; agent.FreshnessProof describes
+// followResponse builds the response to a long poll from this published view. NothingNewer is set if this member
+// is a voter whose disk holds no newer version of the document named by ProofKey; agent.FreshnessProof describes
 // what such responses from a majority of voters prove.
 func (v *publishedView) followResponse(request *wire.FollowRequest) *wire.FollowResponse {
 	response := &wire.FollowResponse{Member: v.self, Members: v.members, MembersTerm: v.term, MembersIndex: v.index, Leader: v.leader, RestoreGeneration: v.generation}
@@ -71,8 +74,9 @@
 	return response
 }
 
-// knownVersions returns the document versions that the client knows, by key. It returns none if the client knows them
-// from an earlier restore generation, since a group restored from one member may have lost those versions.
+// knownVersions returns the document versions that the client of a long poll knows, by document key. It returns
+// none if the client learned them before the group was last restored from one surviving member, since the restored
+// group may have lost those versions.
 func (v *publishedView) knownVersions(request *wire.FollowRequest) map[string]uint64 {
 	known := make(map[string]uint64, len(request.Known))
 	if request.RestoreGeneration < v.generation {
@@ -84,7 +88,8 @@
 	return known
 }
 
-// appendUnknown appends the documents whose keys start with a prefix and which the client does not list as known.
+// appendUnknown appends to unknown the documents whose keys start with the prefix and are not among the known
+// versions of the client of a long poll.
 func appendUnknown(unknown []*wire.Document, documents map[string]*wire.Document, prefix string, known map[string]uint64) []*wire.Document {
 	for key, document := range documents {
 		if _, listed := known[key]; !listed && strings.HasPrefix(key, prefix) {
@@ -94,8 +99,8 @@
 	return unknown
 }
 
-// holdsNothingNewer reports whether neither the applied state nor the unapplied log entries contain a version
-// of a document that is newer than the given one.
+// holdsNothingNewer reports whether neither this member's applied state nor its unapplied log entries contain a
+// newer version of the document key than the given one.
 func (v *publishedView) holdsNothingNewer(key string, version uint64) bool {
 	return v.documents[key].GetVersion() <= version && v.unappliedVersions[key] <= version && v.unappliedVersions[unreadableKey] == 0
 }
--- a/internal/control/controlstate/merge.go
+++ b/internal/control/controlstate/merge.go
@@ -13,13 +13,14 @@
 // mergedConfig is the result of merging a configuration change into the current configuration and validating it,
 // before the change is proposed.
 type mergedConfig struct {
-	baseVersion uint64 // document version that the change was merged into
-	body        []byte
-	version     uint64 // new version of the document; 0: the base version plus one
-	err         error  // why the configuration is invalid; nil if it is valid
+	baseVersion uint64 // version of the configuration document that the change was merged into
+	body        []byte // merged configuration
+	version     uint64 // version that the configuration document gets; 0: baseVersion plus one
+	err         error  // why the merged configuration is invalid; nil if it is valid
 }
 
-// configKey returns the key of the configuration document, which is merged and validated before it is proposed.
+// configKey returns the key of the document that holds the configuration, which is merged and validated before it
+// is proposed.
 func (s *shard) configKey() string {
 	if s.group != nil {
 		return routingconfig.DocumentKey
@@ -27,7 +28,8 @@
 	return controlclient.ConfigKey
 }
 
-// mergeConfig replaces the current configuration or, with patch, merges a partial one into it. It validates the result.
+// mergeConfig returns the configuration that a change produces: that of put or, with patch, the configuration in
+// the document old with the partial one of put merged into it. It validates the result.
 func (s *shard) mergeConfig(old *wire.Document, put *wire.Put, patch bool) *mergedConfig {
 	config := &mergedConfig{baseVersion: old.GetVersion()}
 	if s.group != nil {
@@ -45,8 +47,9 @@
 	return config
 }
 
-// mergeRoutingConfig replaces the current routing configuration or, with patch, individual items of it. The version
-// of a routing configuration is part of its body and has to increase.
+// mergeRoutingConfig sets the routing configuration that a change produces: that of put or, with patch, the one in
+// the document old with the individual items of put replaced. The version of a routing configuration is part of
+// its body and has to increase.
 func (s *shard) mergeRoutingConfig(config *mergedConfig, old *wire.Document, put *wire.Put, patch bool) {
 	config.body, config.version, config.err = s.codec.Merge(old.GetBody(), put.Body, patch)
 	if config.err != nil && errs.KindOf(config.err) == errs.Internal {
@@ -57,10 +60,11 @@
 	}
 }
 
-// mergeBeforeProposal merges and validates a configuration on the caller's goroutine, one at a time. On the
-// shard's goroutine a large configuration would delay heartbeats. The result is nil if there is nothing to
-// merge, or if propose is going to reject the change anyway. The caller has to call release after the change
-// is completed. ok is false, and release is nil, if the context ended first or the command queue is full.
+// mergeBeforeProposal merges and validates a configuration change on the caller's goroutine, one change at a time.
+// On the shard's goroutine a large configuration would delay heartbeats. The result is nil if there is nothing to
+// merge, or if propose is going to reject the change anyway. The caller has to call release after the change is
+// completed. ok is false, and release is nil, if the context or the process ended first or the command queue is
+// full.
 func (s *shard) mergeBeforeProposal(ctx context.Context, request *wire.ChangeRequest) (config *mergedConfig, release func(), ok bool) {
 	put := request.Command.GetPut()
 	if put.GetKey() != s.configKey() {
@@ -89,9 +93,9 @@
 	return config, release, true
 }
 
-// prepareConfig replaces the body of a change by the merged configuration. It merges again on the shard's
-// goroutine if there is no earlier result or another change has been applied since. It returns nil if the change
-// should be proposed, and the response to it otherwise.
+// prepareConfig replaces the body of a configuration change by the merged configuration. It merges again on the
+// shard's goroutine if config is nil or another change of the configuration has been applied since the merge. It
+// returns nil if the change should be proposed, and the response to it otherwise.
 func (s *shard) prepareConfig(put *wire.Put, request *wire.ChangeRequest, config *mergedConfig) *wire.ChangeResponse {
 	old := s.state.documents[put.Key]
 	if config == nil || config.baseVersion != old.GetVersion() {
@@ -101,11 +105,12 @@
 		return rejection(config.err, old.GetVersion())
 	}
 	if put.AnyVersion && len(s.core.UnappliedEntries()) > 0 {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // an unapplied entry may change the version that this change was validated against
+		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // an unapplied log entry may change the configuration that this change was validated against
 	}
 	put.NewVersion, put.Body = config.version, config.body
 	if request.Patch && put.AnyVersion {
-		// The merged body is valid only for the version that it was merged into.
+		// The merged body is valid only for the version that it was merged into, so the change must not apply to any
+		// other.
 		put.AnyVersion, put.IfVersion = false, old.GetVersion()
 	}
 	return nil
--- a/internal/control/controlstate/propose.go
+++ b/internal/control/controlstate/propose.go
@@ -11,19 +11,19 @@
 	"pebbleloom/internal/wire"
 )
 
-// Limits of proposals.
+// Limits of the commands that a leader proposes to its shard.
 const (
-	maxPendingProposals = 256                        // waiting on one leader; further ones are rejected as overloaded
-	maxCommandBytes     = serviceconfig.MaxBytes * 2 // size of an encoded command
-	maxClaimsPerCommand = 1024                       // at-most-once claims in one command
-	maxKeyBytes         = 256                        // length of a document's key
+	maxPendingProposals = 256                        // proposals that wait on one leader; further ones are rejected as overloaded
+	maxCommandBytes     = serviceconfig.MaxBytes * 2 // maximum size of an encoded command, in bytes
+	maxClaimsPerCommand = 1024                       // claims of at-most-once request IDs in one command
+	maxKeyBytes         = 256                        // maximum length of a document's key, in bytes
 )
 
-// pendingProposal is a proposal whose caller waits until the entry at its log index is applied. If that entry has
-// another term, the proposed entry was overwritten by another leader.
+// pendingProposal is a proposed log entry whose caller waits until the entry at its log index is applied. If the
+// applied entry has another term, the proposed one was overwritten by another leader.
 type pendingProposal struct {
 	term     uint64
-	response chan *wire.ChangeResponse // buffered, so that the shard's goroutine never blocks on a caller
+	response chan *wire.ChangeResponse // receives the outcome; buffered, so that the shard's goroutine never blocks on a caller
 }
 
 // change proposes a command if this member is the leader, and waits for its outcome.
@@ -39,7 +39,7 @@
 	}
 	config, release, ok := s.mergeBeforeProposal(ctx, request)
 	if !ok {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // nothing was proposed
+		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // the command was not proposed, so the caller may retry it
 	}
 	defer release()
 	response, committed := s.proposeAndWait(ctx, request, config)
@@ -53,7 +53,7 @@
 	return response
 }
 
-// isDecidedByState reports whether an outcome that did not come from a committed entry is a decision based on the
+// isDecidedByState reports whether the outcome of a command that was not committed is a decision based on the
 // applied state, that is, a rejection or the result of a dry run.
 func isDecidedByState(outcome wire.Outcome) bool {
 	switch outcome {
@@ -63,8 +63,9 @@
 	return true
 }
 
-// proposeAndWait proposes a command and waits for its outcome. committed reports whether the outcome comes from
-// the log, after the entry at the proposal's index was committed.
+// proposeAndWait proposes a command and waits for its outcome. committed reports whether the outcome was delivered
+// for the proposed log entry, either once the entry at its index was applied or, as OutcomeUnknown, after this
+// member lost the leadership.
 func (s *shard) proposeAndWait(ctx context.Context, request *wire.ChangeRequest, config *mergedConfig) (_ *wire.ChangeResponse, committed bool) {
 	// proposal and response must not be read after runOnLoop has returned false: the command may still run and write them.
 	var proposal pendingProposal
@@ -84,8 +85,8 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}, false
 }
 
-// propose appends a command to the log if this member is the leader. It returns a response instead if this member
-// is not the leader, cannot accept the command, or can decide its outcome without the log.
+// propose appends a command to the log if this member is the leader of the shard. It returns a response instead if
+// this member is not the leader, cannot accept the command, or can decide its outcome without the log.
 func (s *shard) propose(request *wire.ChangeRequest, config *mergedConfig) (pendingProposal, *wire.ChangeResponse) {
 	status := s.core.Status()
 	if s.failure != nil || !status.IsLeader {
@@ -102,15 +103,15 @@
 	if len(s.pendingProposals) >= maxPendingProposals {
 		return pendingProposal{}, &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
-	index, term, _ := s.core.Propose(body) // always succeeds on the leader
+	index, term, _ := s.core.Propose(body) // Propose always succeeds on the leader, which this member is
 	proposal := pendingProposal{term, make(chan *wire.ChangeResponse, 1)}
 	s.pendingProposals[index] = proposal
 	return proposal, nil
 }
 
-// prepare checks a command against the applied state and fills in the merged configuration or, for claims, the
-// elapsed time and the retention. It returns nil if the command should be proposed, and the response to it
-// otherwise.
+// prepare checks a command against the applied state and completes it: it fills in the merged configuration or,
+// for claims of at-most-once request IDs, the elapsed time and the retention. It returns nil if the command should
+// be proposed, and the response to it otherwise.
 func (s *shard) prepare(command *wire.Command, request *wire.ChangeRequest, config *mergedConfig) *wire.ChangeResponse {
 	if grant := command.GetGrant(); grant != nil {
 		return s.prepareGrant(grant)
@@ -126,8 +127,8 @@
 	return s.preparePut(put, request, config)
 }
 
-// preparePut checks a change of a document, and acknowledges it again if it was accepted before. It returns nil if the
-// change should be proposed, and the response to it otherwise.
+// preparePut checks a change of a document before it is proposed, and acknowledges it again if it was accepted
+// before. It returns nil if the change should be proposed, and the response to it otherwise.
 func (s *shard) preparePut(put *wire.Put, request *wire.ChangeRequest, config *mergedConfig) *wire.ChangeResponse {
 	put.Digest, put.ContentDigest = requestDigest(put, request.Patch), contentDigest(put, request.Patch)
 	if response := s.state.respondToRetry(put); response != nil {
@@ -136,7 +137,7 @@
 	old := s.state.documents[put.Key]
 	if !put.AnyVersion && put.IfVersion != old.GetVersion() {
 		if put.IfVersion > old.GetVersion() && len(s.core.UnappliedEntries()) > 0 {
-			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // an unapplied entry may contain its base version or an earlier attempt
+			return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded} // an unapplied log entry may produce the change's base version, or be an earlier attempt of the change
 		}
 		return s.state.respondToStaleBase(put)
 	}
@@ -154,7 +155,8 @@
 	return nil
 }
 
-// rejection returns the response to a change that failed validation against the given version of its document.
+// rejection returns the response to a change that failed validation; version is the current version of the
+// change's document.
 func rejection(err error, version uint64) *wire.ChangeResponse {
 	return &wire.ChangeResponse{Outcome: errs.KindOf(err).Name, Version: version, Errors: []string{err.Error()}}
 }
@@ -162,11 +164,11 @@
 // prepareGrant checks whether a lease may be granted, renewed or released now. It returns nil if the command should be
 // proposed, and the response to it otherwise.
 func (s *shard) prepareGrant(grant *wire.Grant) *wire.ChangeResponse {
-	// A new leader knows all lease holders only after it has applied the grants of earlier terms.
+	// This leader may not know all lease holders until it has applied the grants of earlier terms.
 	if !s.core.HasAppliedCurrentTerm() {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
 	}
-	// An unapplied entry may grant the lease, so no other holder may get it now.
+	// An unapplied log entry may grant or renew the lease, so no other holder may get it now.
 	lease := s.state.leases[grant.Lease]
 	if lease != nil && lease.Holder != grant.Holder && len(s.core.UnappliedEntries()) > 0 {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeOverloaded}
@@ -177,8 +179,8 @@
 	return nil
 }
 
-// releasePendingProposals completes all pending proposals with an unknown outcome once this member is no longer the
-// leader, since the next leader may or may not commit their entries. Their callers then have time left to ask
+// releasePendingProposals completes all pending proposals with an unknown outcome once this member is no longer
+// the leader, since the next leader may or may not commit their entries. Their callers then have time left to ask
 // the next leader.
 func (s *shard) releasePendingProposals() {
 	if len(s.pendingProposals) == 0 || s.core.Status().IsLeader {
--- a/internal/control/controlstate/read.go
+++ b/internal/control/controlstate/read.go
@@ -8,8 +8,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxPendingReads limits the reads that wait for a quorum to confirm this leader. Above the limit this member
-// responds to reads as if it were not the leader.
+// maxPendingReads limits the reads that wait for a quorum to confirm that this member is still the leader. Above
+// the limit this member responds to reads as if it were not the leader.
 const maxPendingReads = 1024
 
 // read serves a linearizable read: it responds from the applied state after a quorum has confirmed that this
@@ -40,21 +40,22 @@
 	return response
 }
 
-// beginRead starts the confirmation of this leader by a quorum. The channel receives whether the read may be
-// served by this member. If the confirmation cannot be started, leader is the member to ask instead.
+// beginRead starts the confirmation by a quorum that this member is still the leader. The confirmation channel
+// receives whether this member may serve the read. If the confirmation cannot be started, leader is the member to
+// ask instead.
 func (s *shard) beginRead(confirmation chan bool) (id uint64, leader string) {
 	status := s.core.Status()
 	if s.failure == nil && status.IsLeader && len(s.pendingReads) < maxPendingReads {
 		if readID, ok := s.core.ReadIndex(); ok {
 			s.pendingReads[readID] = confirmation
-			return readID, "" // no leader: if the read is aborted later, this member no longer leads
+			return readID, "" // name no leader: if the confirmation fails later, this member no longer leads
 		}
 	}
 	confirmation <- false
 	return 0, status.Leader
 }
 
-// completeRead delivers the result of a leadership confirmation to a pending read.
+// completeRead reports to a pending read whether a quorum has confirmed that this member is still the leader.
 func (s *shard) completeRead(id uint64, confirmed bool) {
 	if confirmation := s.pendingReads[id]; confirmation != nil {
 		confirmation <- confirmed
@@ -62,8 +63,8 @@
 	}
 }
 
-// selectDocuments returns the documents that match the key or prefix of a request, and all leases, both sorted by
-// key.
+// selectDocuments returns the documents that match the key or key prefix of a read request, and all leases, both
+// sorted by key.
 func (s *shard) selectDocuments(request *wire.ReadRequest) ([]*wire.Document, []*wire.Lease) {
 	var documents []*wire.Document
 	for _, key := range maputil.SortedKeys(s.state.documents) {
--- a/internal/control/controlstate/watch.go
+++ b/internal/control/controlstate/watch.go
@@ -9,18 +9,21 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxWatchers limits the watches that wait concurrently. Further ones get an immediate response.
+// maxWatchers limits the Watch requests that wait concurrently on one shard. Further ones get an immediate
+// response.
 const maxWatchers = 1024
 
-// watch waits until there is a newer version of a document or the wait time of the request is over.
-// OutcomeUnchanged means that this member's log contains no newer version. Whether such responses from a majority
-// of members prove that there is none is for the caller to decide.
+// watch serves a long poll for one document: it waits until there is a newer version of the document than the
+// client knows or the wait time of the request is over. OutcomeUnchanged means that this member's log contains no
+// newer version. Whether such responses from a majority of members prove that there is none is for the caller to
+// decide.
 func (s *shard) watch(ctx context.Context, request *wire.WatchRequest, member string) *wire.WatchResponse {
 	unknown := &wire.WatchResponse{Outcome: wire.OutcomeUnknown, Member: member}
 	timer := time.NewTimer(time.Duration(request.MaxWaitNs))
 	defer timer.Stop()
 	for expired := false; ; {
-		// response and changed must not be read after runOnLoop has returned false.
+		// response and changed must not be read after runOnLoop has returned false: the command may still run and write
+		// them.
 		var response *wire.WatchResponse
 		var changed chan struct{}
 		if !s.runOnLoop(ctx, func() {
@@ -47,7 +50,8 @@
 	}
 }
 
-// watchResponse returns the response to a watch, with this member's incarnations; nil if the watch has to wait.
+// watchResponse returns the response to a watch, with the incarnations that this member knows; nil if the watch
+// has to wait.
 func (s *shard) watchResponse(request *wire.WatchRequest, member string, expired bool) *wire.WatchResponse {
 	response := s.documentResponse(request, member, expired)
 	if response != nil {
@@ -56,7 +60,8 @@
 	return response
 }
 
-// documentResponse returns the response to a watch without incarnations; nil if the watch has to wait.
+// documentResponse returns the response to a watch of a document, without incarnations; nil if the watch has to
+// wait.
 func (s *shard) documentResponse(request *wire.WatchRequest, member string, expired bool) *wire.WatchResponse {
 	document := s.state.documents[request.Key]
 	switch {
