--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -16,13 +16,13 @@
 	"pebbleloom/internal/wire"
 )
 
-// operatorTimeoutRatio is the time-out for serving an operator's request, as a fraction of the acknowledgement bound
-// (Site.AckTimeoutMs). It is less than the one second without a response after which an operator's client tries
-// another node.
+// operatorTimeoutRatio is the time-out for serving an operator's request, as a fraction of the time within which
+// changes have to be acknowledged (Site.AckTimeoutMs). It is less than the one second without a response after
+// which an operator's client tries another node.
 const operatorTimeoutRatio = 0.22
 
-// timeoutBodyBytes is the body size for which a request gets twice the time-out of a request without a body. The
-// time-out grows linearly with the size.
+// timeoutBodyBytes is the size of a request body, in bytes, for which the time-out is twice that of a request
+// without a body. The time-out grows linearly with the size.
 const timeoutBodyBytes = 256 << 10
 
 // operatorTimeout returns the time-out for serving an operator's request with a body of size bytes.
@@ -45,10 +45,11 @@
 	return response.GetVersion(), err
 }
 
-// routingConfigTokenBytes is the length of the prefix of a request's hash that serves as its token.
+// routingConfigTokenBytes is the number of bytes of a request's SHA-256 hash that serve as its idempotency token.
 const routingConfigTokenBytes = 16
 
-// routingConfigToken derives an idempotency token from the contents of a request, since operators send none.
+// routingConfigToken derives an idempotency token from the contents of a request to change the routing
+// configuration, since operators send no token.
 func routingConfigToken(base uint64, body []byte, patch bool) string {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%d %v ", base, patch)
@@ -102,7 +103,8 @@
 			return err
 		}
 	}
-	// Each conflict was with a change of another model or with an earlier attempt of this change.
+	// Every attempt conflicted with a change of another model's weights version, or with an earlier attempt of this
+	// change, which may have been committed.
 	return errs.New(errs.OutcomeUnknown, "weights version not set: every attempt before the time-out conflicted with another change of the weights document: the request may be retried")
 }
 
@@ -114,13 +116,13 @@
 	return json.Unmarshal(document.GetBody(), &weights) == nil && weights.Versions[model] >= version
 }
 
-// addWeightsVersion sets a model's version in an encoded fleet.Weights and returns the new encoding. It returns nil if
-// that version or a later one is already set.
+// addWeightsVersion sets a model's version in an encoded fleet.Weights and returns the new encoding. It returns
+// nil if that version of the model's weights or a later one is already set.
 func addWeightsVersion(old []byte, model string, version uint64) ([]byte, error) {
 	weights := fleet.Weights{}
 	if len(old) > 0 {
 		if err := json.Unmarshal(old, &weights); err != nil {
-			return nil, errs.Wrap(err, "decode stored weights versions")
+			return nil, errs.Wrap(err, "decode the stored versions of model weights")
 		}
 	}
 	if weights.Versions[model] >= version {
@@ -131,11 +133,11 @@
 	}
 	weights.Versions[model] = version
 	body, err := json.Marshal(weights)
-	return body, errs.Wrap(err, "encode weights versions")
+	return body, errs.Wrap(err, "encode the versions of model weights")
 }
 
-// leaderView returns the newest published view, and updates the control client with the members and the leader in
-// that view.
+// leaderView returns the newest published view of this node's member, and updates the control client with the
+// members and the leader in that view.
 func (n *Node) leaderView() *publishedView {
 	view := n.shards[0].published.current()
 	n.controlClient.SetMembers(view.self, view.members)
@@ -145,8 +147,8 @@
 	return view
 }
 
-// changeOnLeader carries out a change on the leader, which may be this member. If this member is the leader but
-// neither accepts nor rejects the change, the change is sent to the other members.
+// changeOnLeader carries out a change on the leader of the group, which may be this member. If this member is the
+// leader but neither accepts nor rejects the change, the change is sent to the other members.
 func (n *Node) changeOnLeader(ctx context.Context, request *wire.ChangeRequest) (*wire.ChangeResponse, error) {
 	if n.leaderView().isLeader {
 		response := n.shards[0].change(ctx, request)
@@ -164,8 +166,8 @@
 	return response, err
 }
 
-// readDocument reads one document from the leader, which may be this member if a quorum confirms it. It returns nil
-// if there is no such document.
+// readDocument reads one document from the leader of the group: from this member if a quorum confirms that it
+// leads, and through the control client otherwise. It returns nil if there is no such document.
 func (n *Node) readDocument(ctx context.Context, key string) (*wire.Document, error) {
 	request := &wire.ReadRequest{Key: key}
 	response := n.readLocally(ctx, request)
@@ -183,7 +185,7 @@
 	return nil, nil
 }
 
-// readLocally reads from this member if it leads the group, and returns nil otherwise.
+// readLocally reads from this member if it leads the group. It returns nil if this member is not the leader.
 func (n *Node) readLocally(ctx context.Context, request *wire.ReadRequest) *wire.ReadResponse {
 	if !n.leaderView().isLeader {
 		return nil
--- a/internal/control/controlstate/persistence.go
+++ b/internal/control/controlstate/persistence.go
@@ -9,17 +9,18 @@
 	"pebbleloom/internal/wire"
 )
 
-// Limits of the log, in bytes. If the state is larger than a limit, its size is the limit.
+// Limits of the consensus log, in bytes. A limit that is smaller than the encoded state is raised to the size of
+// that state.
 const (
-	compactLogBytes  = 1 << 20 // log size above which the log is compacted
-	trailingLogBytes = 1 << 20 // compacted entries that are kept in memory for lagging peers
+	compactLogBytes  = 1 << 20 // log size on disk above which the log is compacted
+	trailingLogBytes = 1 << 20 // size of the compacted log entries that are kept in memory for lagging peers
 )
 
-// snapshotFormat is the version of the snapshot format that this program reads and writes.
+// snapshotFormat is the version of the snapshot format that this release reads and writes.
 const snapshotFormat = 1
 
-// load recovers the snapshot, the log and the state from the disk. An empty disk gets an initial snapshot. So does a
-// disk that counts as lost because it is corrupted or because the group was restored without its member, once
+// load recovers the shard's snapshot, log and state from the disk. An empty disk gets an initial snapshot. So does
+// a disk that counts as lost, because it is corrupted or because the group was restored without this member, once
 // replacementAllowed is set (replaceCorruptedDisk, replaceSupersededDisk).
 func (s *shard) load(disk storage.Disk, initialSnapshot func(lost bool) *wire.Snapshot) (recovered storage.Recovered, err error) {
 	s.store, recovered, err = storage.Open(disk)
@@ -60,7 +61,7 @@
 	return recovered, errs.WrapAs(s.state.load(recovered.Snapshot.State, s.clock.Now()), errs.DiskFailure, "decode the snapshot's state")
 }
 
-// checkFormat returns an error if this program cannot read the format of a snapshot.
+// checkFormat returns an error if this release cannot read the format of a snapshot.
 func checkFormat(snapshot *wire.Snapshot) error {
 	if snapshot.Format != snapshotFormat {
 		return errs.New(errs.DiskFailure, "snapshot has format %d but this release reads format %d: run the release that wrote the snapshot", snapshot.Format, snapshotFormat)
@@ -68,7 +69,8 @@
 	return nil
 }
 
-// persist writes and syncs the core's output: new log records, or a snapshot from the leader.
+// persist writes and syncs the output of the consensus core to the disk: new log records, or a snapshot from the
+// leader.
 func (s *shard) persist(ready consensus.Ready) error {
 	if ready.Snapshot == nil {
 		return errs.Wrap(s.store.Append(ready.Records), "persist")
@@ -76,8 +78,8 @@
 	return errs.Wrap(s.install(ready.Snapshot, ready.Records), "install")
 }
 
-// install replaces the state and the stored data by a snapshot from the leader and the records after it. The
-// snapshot is decoded before it is stored, so that a snapshot that this release cannot read does not replace
+// install replaces the shard's state and stored data by a snapshot from the leader and the log records after it.
+// The snapshot is decoded before it is stored, so that a snapshot that this release cannot read does not replace
 // one that it can.
 func (s *shard) install(snapshot *wire.Snapshot, records []*wire.Record) error {
 	if err := checkFormat(snapshot); err != nil {
@@ -95,11 +97,11 @@
 	return nil
 }
 
-// compact replaces the applied part of the log by a snapshot of the applied state.
+// compact replaces the applied part of the consensus log on disk by a snapshot of the applied state.
 func (s *shard) compact() error {
 	body, err := s.state.save()
 	if err != nil {
-		return errs.Wrap(err, "encode state for a snapshot")
+		return errs.Wrap(err, "encode shard state for a snapshot")
 	}
 	s.snapshotBytes = len(body)
 	return s.store.SaveSnapshot(s.core.Compact(body))
--- a/internal/control/controlstate/restore.go
+++ b/internal/control/controlstate/restore.go
@@ -21,25 +21,27 @@
 // (consensus/restore.go describes the effect on the other members). This file decides whether that is allowed, and
 // performs the restore on the surviving member.
 
-// memberReportTimeoutRatio is the time-out for querying other control nodes before a restore or before a superseded disk
-// is replaced, as a fraction of the heal bound.
+// memberReportTimeoutRatio is the time-out for querying other control nodes before a group is restored or before
+// the disk of a member outside a restored group is replaced, as a fraction of settings.Bounds.Heal, the configured
+// time to restore service after a fault.
 const memberReportTimeoutRatio = 1.0 / 12
 
-// restoreNoticeIntervalRatio is the interval at which the leader of a restored group sends notices to control nodes
-// outside the group, as a fraction of the heal bound.
+// restoreNoticeIntervalRatio is the interval at which the leader of a restored group sends notices to control
+// nodes outside the group, as a fraction of settings.Bounds.Heal, the configured time to restore service after a
+// fault.
 const restoreNoticeIntervalRatio = 1.0 / 12
 
-// restoredTokenStep is added to the fencing token of every lease when a group is restored. It exceeds the number of
-// grants that the lost members can have made without the knowledge of the surviving member.
+// restoredTokenStep is added to the fencing token of every lease when a group is restored from one member. It
+// exceeds the number of grants that the lost members can have made without the knowledge of the surviving member.
 const restoredTokenStep = 1 << 32
 
-// memberReport is what a control node reports about its member of the group and its disk.
+// memberReport is what a control node reports about its group member and its disk when a restore is considered.
 type memberReport struct {
-	member     string // the member's incarnation
-	generation uint64 // restore generation of the member's group
-	logEnd     logPosition
-	newest     membership
-	failure    string // why the member has failed; empty if it has not
+	member     string      // incarnation of the reporting node's member
+	generation uint64      // identifies the last restore of the member's group; higher after each restore, 0: never restored
+	logEnd     logPosition // position of the last entry in the member's log
+	newest     membership  // newest membership that the member knows
+	failure    string      // why the member takes no part in the group; empty if it does
 }
 
 // logPosition identifies an entry of a group's log by its term and index.
@@ -56,7 +58,8 @@
 	at      logPosition
 }
 
-// newestMembership returns the newest membership in the reports of one restore generation.
+// newestMembership returns the newest membership in the reports of members whose group has the given restore
+// generation.
 func newestMembership(reports []memberReport, generation uint64) (newest membership) {
 	for _, other := range reports {
 		if other.generation == generation && (newest.members == nil || other.newest.at.isAfter(newest.at)) {
@@ -114,7 +117,7 @@
 	}
 	if confirmed != "" && confirmed == status.RestoredFrom {
 		report.Restored = true
-		return report, nil // a retry of the call that restored the group
+		return report, nil // this call is a retry of the one that restored the group
 	}
 	report.Objections = objectionsToRestore(self, answered)
 	switch {
@@ -132,8 +135,8 @@
 	return report, err
 }
 
-// restoreFrom restores the group on the shard's goroutine, provided that this member still has the confirmed name. It
-// returns the new name of the member.
+// restoreFrom restores the group from this member, on the shard's goroutine, provided that the member still has
+// the confirmed name. It returns the new name of the member.
 func (n *Node) restoreFrom(ctx context.Context, confirmed string) (restored string, err error) {
 	shard := n.shards[0]
 	name := newIncarnation(controlclient.MemberAddr(confirmed), n.process.Seed)
@@ -146,10 +149,11 @@
 	return name, outcome
 }
 
-// restore makes this member, under a new name, the only member of a restored group. It applies all entries of the log,
-// including those not known to be committed, since each of them may have been acknowledged.
+// restore makes this member, under a new name, the only member of a restored group. It applies all entries of the
+// log, including those not known to be committed, since each of them may have been acknowledged before the
+// restore.
 func (s *shard) restore(name string, random uint64) error {
-	s.endPendingRequests() // they were made to the group before the restore
+	s.endPendingRequests() // the pending requests were made to the group before the restore
 	for _, entry := range s.core.UnappliedEntries() {
 		if _, err := s.applyToState(entry); err != nil {
 			s.halt(err)
@@ -160,7 +164,7 @@
 	body, err := s.state.save()
 	if err != nil {
 		s.halt(err)
-		return errs.Wrap(err, "encode state for the restored group")
+		return errs.Wrap(err, "encode shard state for the restored group")
 	}
 	from, generation := s.core.Self(), consensus.NextRestoreGeneration(s.core.Status().RestoreGeneration, random)
 	err = s.store.SaveSnapshot(s.core.RestoredSnapshot(name, generation, body), nil)
@@ -168,7 +172,7 @@
 		err = s.reopen()
 	}
 	if err != nil {
-		s.halt(err) // retryReopen will try to reopen the disk
+		s.halt(err) // the member stays failed until retryReopen has reopened the disk
 		return errs.Wrap(err, "restore")
 	}
 	s.publishRecovered()
@@ -176,7 +180,8 @@
 	return nil
 }
 
-// raiseFencingTokens raises the fencing tokens of all leases above any that the lost members may have granted.
+// raiseFencingTokens raises the fencing tokens of all leases by restoredTokenStep, above any that the members lost
+// before a restore may have granted.
 func (s *state) raiseFencingTokens() {
 	for name, lease := range s.leases {
 		raised := proto.Clone(lease).(*wire.Lease)
@@ -185,15 +190,15 @@
 	}
 }
 
-// queryMemberReports requests the reports of all control nodes that this one knows. answered includes the report of
-// this node; silent contains the addresses of the nodes that did not respond.
+// queryMemberReports requests a memberReport from all control nodes that this one knows. answered includes the
+// report of this node; silent contains the addresses of the nodes that did not respond.
 func (n *Node) queryMemberReports(ctx context.Context) (self memberReport, answered []memberReport, silent []string) {
 	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(memberReportTimeoutRatio))
 	defer cancel()
 	self, _ = queryMemberReport(ctx, n)
 	answered = []memberReport{self}
 	selfAddr := controlclient.MemberAddr(self.member)
-	n.leaderView() // adds the members of the newest view to the addresses
+	n.leaderView() // adds the members in the newest published view to the addresses of the control client
 	addresses := slices.DeleteFunc(n.controlClient.Addresses(), func(addr string) bool { return addr == selfAddr })
 	responses := make([]*memberReport, len(addresses))
 	var queries sync.WaitGroup
@@ -215,13 +220,13 @@
 	return self, answered, silent
 }
 
-// statusReader is the part of the control node API from which a memberReport is built.
+// statusReader is the part of the control node API that queryMemberReport uses.
 type statusReader interface {
 	Status(context.Context, *wire.StatusRequest) (*wire.StatusResponse, error)
 	Follow(context.Context, *wire.FollowRequest) (*wire.FollowResponse, error)
 }
 
-// queryMemberReport requests the data for a report from one control node.
+// queryMemberReport requests the data for a memberReport from one control node.
 func queryMemberReport(ctx context.Context, node statusReader) (memberReport, error) {
 	follow, err := node.Follow(ctx, &wire.FollowRequest{})
 	if err != nil {
@@ -245,7 +250,8 @@
 }
 
 // sendRestoreNotices, on the leader of a restored group, informs control nodes outside the group of the restore at
-// intervals. Their disks may hold members of an earlier generation, which could otherwise continue as a second group.
+// intervals. Their disks may hold members of the group as it was before, which could otherwise continue as a
+// second group.
 func (s *shard) sendRestoreNotices() {
 	if s.ticks%s.restoreNoticeTicks != 0 {
 		return
@@ -267,17 +273,19 @@
 // errSuperseded is the failure of a member that the group was restored without.
 var errSuperseded = errs.New(errs.Conflict, "the group was restored without this member: its disk will be replaced once the restored group is serving")
 
-// haltIfSuperseded halts this member once it has learned that the group was restored without it. Its disk then counts
-// as lost, and the machine joins the restored group as a new member, but only once that group is known to serve
-// (replaceSupersededDisk): an erroneous generation in a message must not make a group replace all of its disks.
+// haltIfSuperseded halts this member once it has learned that the group was restored without it. Its disk then
+// counts as lost, and the machine joins the restored group as a new member, but only once that group is known to
+// serve (replaceSupersededDisk): an erroneous restore generation in a message must not make a group replace all of
+// its disks.
 func (s *shard) haltIfSuperseded() {
 	if s.supersededBy = s.core.SupersededBy(); s.supersededBy != 0 {
 		s.halt(errSuperseded)
 	}
 }
 
-// replaceSupersededDisk permits the disk of a member that the group was restored without to be replaced, if a leader
-// of that restore generation or a later one serves a read that a quorum has confirmed.
+// replaceSupersededDisk permits the disk of this member, which the group was restored without, to be replaced. It
+// requires that a leader of the restored group, or of one restored later, serves a read that a quorum has
+// confirmed.
 func (n *Node) replaceSupersededDisk() {
 	shard := n.shards[0]
 	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(memberReportTimeoutRatio))
@@ -291,8 +299,8 @@
 	}
 }
 
-// servesGeneration reports whether the node at an address leads a group of the given restore generation or a later one,
-// as confirmed by a quorum.
+// servesGeneration reports whether the control node at an address leads a group of the given restore generation or
+// a later one, as confirmed by a quorum.
 func (n *Node) servesGeneration(ctx context.Context, addr string, generation uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
 	defer cancel()
