--- a/internal/control/controlstate/fixed_transport.go
+++ b/internal/control/controlstate/fixed_transport.go
@@ -8,13 +8,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// Limits of the message queues between members of a fixed cluster.
+// Limits of the queues of consensus messages between members of a cluster with fixed members.
 const (
-	maxQueuedMessages   = 1024 // queued for one peer; further messages are dropped
-	maxMessagesPerBatch = 128  // sent in one Deliver request
+	maxQueuedMessages   = 1024 // messages queued for one peer; further ones are dropped
+	maxMessagesPerBatch = 128  // messages sent in one Deliver request
 )
 
-// startPeerQueues creates an outgoing message queue for each peer and starts the goroutine that sends from it.
+// startPeerQueues creates an outgoing queue of consensus messages for each peer and starts the goroutine that
+// sends from it.
 func (n *Node) startPeerQueues() {
 	for _, member := range n.coreMembers {
 		if member == n.process.Settings.Name {
@@ -26,16 +27,16 @@
 	}
 }
 
-// enqueue adds a message to the outgoing queue of its receiver. A message that does not fit is dropped: the
-// consensus core tolerates lost messages.
+// enqueue adds a consensus message to the outgoing queue of its receiver. A message is dropped if the queue is
+// full: the consensus core tolerates lost messages.
 func (n *Node) enqueue(message *wire.Message) {
 	if queued := n.outgoing[message.To]; queued != nil {
 		queued.Offer(message)
 	}
 }
 
-// sendQueued sends the queued messages of a peer in batches until the process ends. Messages to a peer whose
-// address is unknown are dropped.
+// sendQueued sends the queued consensus messages of a peer in batches until the process ends. Messages to a peer
+// whose address is unknown are dropped.
 func (n *Node) sendQueued(peer string, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
@@ -50,7 +51,8 @@
 	}
 }
 
-// sendBatch sends messages to a peer in one request. Messages of a failed request are not sent again.
+// sendBatch sends consensus messages to a peer in one Deliver request. Messages of a failed request are not sent
+// again.
 func (n *Node) sendBatch(peer, addr string, batch []*wire.Message) {
 	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(sendTimeoutRatio))
 	defer cancel()
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -28,8 +28,8 @@
 	}))
 }
 
-// sumOverShards returns a gauge function that sums a value over this node's shards. It yields -1 if the status of the
-// shards cannot be read.
+// sumOverShards returns a gauge function that sums a value over the shards of this node. The gauge is -1 if the
+// status of the shards cannot be read.
 func (n *Node) sumOverShards(value func(*wire.ShardStatus) float64) func() float64 {
 	return func() (total float64) {
 		ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(queryTimeoutRatio))
@@ -45,7 +45,8 @@
 	}
 }
 
-// registerGroupMetrics registers the gauges of this node's member of a group.
+// registerGroupMetrics registers the gauges of this node's member of a group, which read the member's published
+// view.
 func (n *Node) registerGroupMetrics(shard *shard) {
 	meter := n.process.Meter
 	meter.Gauge("pebbleloom_group_members", "voters of the newest membership that this member knows", func() float64 {
@@ -59,7 +60,7 @@
 	})
 }
 
-// boolToGauge returns 1 for true and 0 for false.
+// boolToGauge returns the gauge value of a condition: 1 for true and 0 for false.
 func boolToGauge(condition bool) float64 {
 	if condition {
 		return 1
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -17,8 +17,8 @@
 
 // Limits of a shard's command queue.
 const (
-	maxQueuedCommands   = 512 // beyond this, runOnLoop fails and messages are dropped
-	maxCommandsPerReady = 64  // executed before handleReady processes the core's output
+	maxQueuedCommands   = 512 // commands waiting in the queue; beyond this, runOnLoop fails and messages are dropped
+	maxCommandsPerReady = 64  // commands executed between two calls of handleReady, which processes the core's output
 )
 
 // shard drives one member of a replicated shard. Only the goroutine of run may access core, state, store and the other
@@ -31,27 +31,27 @@
 	log      hclog.Logger
 	send     func(*wire.Message)
 	commands *queue.Ring[func()]
-	ctx      context.Context // ends with the process
+	ctx      context.Context // context that ends with the process
 	failure  error           // why this member does not take part in consensus; nil while it does
 
-	pendingProposals map[uint64]pendingProposal // by log index
-	pendingReads     map[uint64]chan bool       // by the core's read ID; receives whether the read may be served
-	watchers         map[chan struct{}]bool     // closed when the applied state changes
-	mergeLock        chan struct{}              // semaphore of one: held while a configuration is merged and proposed
-	confirmTimeout   time.Duration              // time-out for a quorum to confirm this leader; 0: that of the request
+	pendingProposals map[uint64]pendingProposal // proposals of this leader that wait for their entry to be applied, by log index
+	pendingReads     map[uint64]chan bool       // channel that receives whether a read may be served, by the core's read ID
+	watchers         map[chan struct{}]bool     // channels to close when the applied state changes, one for each waiting watch
+	mergeLock        chan struct{}              // mutex, as a channel of capacity 1: held while a configuration is merged and proposed
+	confirmTimeout   time.Duration              // time-out for a quorum to confirm this member as leader; 0: only the time-out of the request
 
-	claimRetention  time.Duration // how long the claim of an at-most-once request is kept
-	ageRecordedAt   time.Duration // local time at which elapsed time was last added to the shard's clock (claimTable.age)
-	ageRecordedTerm uint64        // term of ageRecordedAt
+	claimRetention  time.Duration // how long the claim of an at-most-once request ID is kept
+	ageRecordedAt   time.Duration // local time at which this member last proposed an advance of the shard's clock (claimTable.age)
+	ageRecordedTerm uint64        // term in which ageRecordedAt was set
 
-	compactThreshold int // log size in bytes above which the log is compacted if it is also larger than the snapshot
+	compactThreshold int // log size in bytes above which the log is compacted if it is also larger than the newest snapshot
 	snapshotBytes    int // size of the state in the newest snapshot, in bytes
 
-	*group // nil on a node with fixed members
+	*group // state of a shard with replicated membership; nil on a node with fixed members
 }
 
-// openShard opens a member of a shard with fixed members. On an empty disk the member starts blank under a new
-// incarnation, since whatever it acknowledged under an earlier one is lost.
+// openShard opens this node's member of a shard with fixed members. On an empty disk the member starts blank,
+// without a log, under a new incarnation, since whatever it acknowledged under an earlier one is lost.
 func openShard(ctx context.Context, config consensus.Config, disk storage.Disk, newIncarnation func() string,
 	clk clock.Clock, log hclog.Logger, send func(*wire.Message)) (*shard, error) {
 	shard := newShard(ctx, config.Shard, clk, log, send)
@@ -63,7 +63,7 @@
 	return shard, nil
 }
 
-// newShard returns a shard without a core and a store, which the caller has to open.
+// newShard returns a shard without a consensus core and a store, which the caller has to open.
 func newShard(ctx context.Context, id uint32, clk clock.Clock, log hclog.Logger, send func(*wire.Message)) *shard {
 	return &shard{
 		state:            newState(),
@@ -81,8 +81,8 @@
 	}
 }
 
-// run is the event loop of the shard's goroutine. It executes ticks and queued commands, and processes the core's
-// output after each tick or batch of commands, until the process ends.
+// run is the event loop of the shard's goroutine. It executes ticks and queued commands, and processes the
+// consensus core's output after each tick or batch of commands, until the process ends.
 func (s *shard) run(tick time.Duration) {
 	ticker := clock.NewTicker(tick)
 	defer ticker.Stop()
@@ -104,7 +104,7 @@
 	}
 }
 
-// onTick advances the logical clock of the core and runs the periodic work of a group member.
+// onTick advances the logical clock of the consensus core and runs the periodic work of a group member.
 func (s *shard) onTick() {
 	if s.failure == nil {
 		s.core.Tick()
@@ -112,9 +112,9 @@
 	s.maintainGroup()
 }
 
-// handleReady processes the core's output: it persists records, then sends messages, then applies committed
-// entries. Messages may acknowledge records, so they are sent only after the records are synced to disk. A
-// failed write halts the member, which then acknowledges and sends nothing more.
+// handleReady processes the consensus core's output: it persists records, then sends messages, then applies
+// committed entries. Messages may acknowledge records, so they are sent only after the records are synced to disk.
+// A failed write halts the member, which then acknowledges and sends nothing more.
 func (s *shard) handleReady() {
 	if s.group != nil && s.failure == nil {
 		s.haltIfSuperseded()
@@ -127,7 +127,7 @@
 		s.halt(err)
 		return
 	}
-	// Publish the persisted records before a message can acknowledge them to a peer.
+	// Publish the persisted records in a new view before a message can acknowledge them to a peer.
 	s.publish(consensus.Ready{Snapshot: ready.Snapshot, Records: ready.Records})
 	for _, message := range ready.Messages {
 		s.send(message)
@@ -148,7 +148,8 @@
 	s.publish(consensus.Ready{CommittedEntries: ready.CommittedEntries})
 }
 
-// compactIfLarge compacts the log if it is larger than both compactThreshold and the newest snapshot.
+// compactIfLarge compacts the consensus log if it is larger than both compactThreshold and the newest snapshot of
+// the state.
 func (s *shard) compactIfLarge() {
 	if s.failure != nil || s.store.LogBytes() <= max(s.compactThreshold, s.snapshotBytes) {
 		return
@@ -176,7 +177,7 @@
 	s.notifyWatchers()
 }
 
-// notifyWatchers wakes all watches, which then check the document versions again.
+// notifyWatchers wakes all waiting watches, which then check the versions of their documents again.
 func (s *shard) notifyWatchers() {
 	for watcher := range s.watchers {
 		close(watcher)
@@ -184,8 +185,8 @@
 	clear(s.watchers)
 }
 
-// applyEntry applies a committed entry and completes the pending proposal at its index. If that proposal was made
-// in another term, its own entry was overwritten and never applied.
+// applyEntry applies a committed log entry and completes the pending proposal at its index. If that proposal was
+// made in another term, its own entry was overwritten and never applied.
 func (s *shard) applyEntry(entry *wire.Entry) {
 	response, err := s.applyToState(entry)
 	if err != nil {
@@ -204,8 +205,8 @@
 	proposal.response <- response
 }
 
-// applyToState applies the command of an entry to the state and returns its outcome. An entry without a command changes
-// nothing.
+// applyToState applies the command of a log entry to the state and returns its outcome. An entry without a command
+// changes nothing.
 func (s *shard) applyToState(entry *wire.Entry) (*wire.ChangeResponse, error) {
 	if len(entry.Body) == 0 {
 		return &wire.ChangeResponse{Outcome: wire.OutcomeDone}, nil
@@ -217,7 +218,8 @@
 	return s.state.apply(command, s.clock.Now()), nil
 }
 
-// receive queues a message from a peer for the core. It is dropped if the command queue is full.
+// receive queues a consensus message from a peer for the core. The message is dropped if the command queue is
+// full.
 func (s *shard) receive(message *wire.Message) {
 	s.commands.Offer(func() {
 		if s.failure == nil {
@@ -226,7 +228,7 @@
 	})
 }
 
-// reportSendFailure notifies the core that one of its messages could not be delivered.
+// reportSendFailure notifies the consensus core that one of its messages could not be delivered.
 func (s *shard) reportSendFailure(message *wire.Message) {
 	s.commands.Offer(func() {
 		if s.failure == nil {
@@ -253,8 +255,8 @@
 	}
 }
 
-// query computes a value on the shard's goroutine. It returns the fallback if the command queue is full, or if ctx or
-// the process ends first.
+// query returns a value that read computes on the shard's goroutine. It returns the fallback if the command queue
+// is full, or if ctx or the process ends first.
 func query[T any](ctx context.Context, shard *shard, fallback T, read func() T) T {
 	result := make(chan T, 1) // buffered, so that a late result does not block the shard's goroutine
 	if shard.runOnLoop(ctx, func() { result <- read() }) {
--- a/internal/control/controlstate/shard_status.go
+++ b/internal/control/controlstate/shard_status.go
@@ -7,17 +7,18 @@
 	"pebbleloom/internal/wire"
 )
 
-// queryTimeoutRatio is the time-out of an internal query to a shard's goroutine, as a fraction of the heal bound.
+// queryTimeoutRatio is the time-out of this node's internal queries to a shard's goroutine, as a fraction of
+// settings.Bounds.Heal, the configured time to restore service after a fault.
 const queryTimeoutRatio = 1.0 / 24
 
-// queryStatus returns the status of this member, listed under the given name. If the shard's goroutine does not respond
-// in time, the status says so in Failure.
+// queryStatus returns the status of this node's member of a shard, listed under the given name. If the shard's
+// goroutine does not respond before ctx ends, the status says so in Failure.
 func (s *shard) queryStatus(ctx context.Context, shardID uint32, member string) *wire.ShardStatus {
 	unresponsive := &wire.ShardStatus{Shard: shardID, Member: member, Failure: "the shard's goroutine does not respond: its disk may be stalled"}
 	return query(ctx, s, unresponsive, func() *wire.ShardStatus { return s.status(shardID, member) })
 }
 
-// status returns the status of this member. It runs on the shard's goroutine.
+// status returns the status of this node's member of a shard. It runs on the shard's goroutine.
 func (s *shard) status(shardID uint32, member string) *wire.ShardStatus {
 	status := s.core.Status()
 	response := &wire.ShardStatus{
--- a/internal/control/controlstate/start.go
+++ b/internal/control/controlstate/start.go
@@ -10,10 +10,10 @@
 	"pebbleloom/internal/wire"
 )
 
-// maxMessageBatchBytes limits the log entries in one replication message, in bytes.
+// maxMessageBatchBytes limits the total size of the log entries in one replication message, in bytes.
 const maxMessageBatchBytes = 256 << 10
 
-// newNode returns a node without shards.
+// newNode returns a control node without shards.
 func newNode(process *daemon.Process) *Node {
 	return &Node{process: process, shards: map[uint32]*shard{}, clients: daemon.NewClients(process)}
 }
@@ -30,7 +30,7 @@
 	})
 }
 
-// peerHandler returns the HTTP handler for requests from other nodes.
+// peerHandler returns the HTTP handler for requests from other nodes of the site.
 func (n *Node) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(wire.ControlNodePathPrefix, wire.NewControlNodeServer(n))
--- a/internal/control/controlstate/start_fixed.go
+++ b/internal/control/controlstate/start_fixed.go
@@ -16,15 +16,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing of a node with fixed members. The ratios are fractions of the heal bound.
+// Timing of a node with fixed members. The ratios are fractions of settings.Bounds.Heal, the configured time to
+// restore service after a fault.
 const (
-	fixedTickRatio           = 1.0 / 240 // tick interval
+	fixedTickRatio           = 1.0 / 240 // interval between ticks of each consensus core
 	fixedHeartbeatTicks      = 2
 	fixedElectionTicks       = 12
-	seedRefreshIntervalRatio = 0.25 // interval between reads of the configured seeds
+	seedRefreshIntervalRatio = 0.25 // interval between reads of the seeds in the configuration document
 )
 
-// configuredSeedCount is the number of seeds that a configuration must list. Other lists are ignored.
+// configuredSeedCount is the number of seeds of the cluster membership that a configuration must list. Lists of
+// another length are ignored.
 const configuredSeedCount = 3
 
 // fixedShardDirectory is the format of a shard's directory name; its argument is the shard number.
@@ -58,7 +60,8 @@
 	return nil
 }
 
-// newFixedNode returns a node of a cluster with fixed members, with its cluster membership started.
+// newFixedNode returns a control node with fixed members of its shards, with the node's member of the cluster
+// membership started.
 func newFixedNode(process *daemon.Process) *Node {
 	node := newNode(process)
 	node.outgoing = map[string]*queue.Ring[*wire.Message]{}
@@ -68,7 +71,8 @@
 	return node
 }
 
-// newIncarnation returns an incarnation with a random number, so that it differs from all earlier ones of this node.
+// newIncarnation returns a new name (incarnation) for a member on this node. It contains a random number, so that
+// it differs from all earlier ones of this node.
 func (n *Node) newIncarnation() string {
 	return fmt.Sprintf("%s/%016x", n.process.Settings.Name, n.process.Seed())
 }
@@ -78,14 +82,14 @@
 	bounds := n.process.Settings.Bounds
 	tick := bounds.Heal(fixedTickRatio)
 	for shardID := range uint32(controlclient.ShardCount) {
-		config := n.fixedShardConfig(shardID) // draws a random seed even if this node is not a member of the shard
+		config := n.fixedShardConfig(shardID) // draws a random seed for every shard, even if this node is not a member of it
 		if !slices.Contains(config.Members, config.Self) {
 			continue
 		}
 		disk := shardDisk(n.process, fmt.Sprintf(fixedShardDirectory, shardID))
 		shard, err := openShard(n.process.Ctx, config, disk, n.newIncarnation, n.process.Clock, n.process.Log, n.enqueue)
 		if err != nil {
-			// The other shards use separate directories and are not affected.
+			// The other shards use separate directories and still run.
 			n.process.Log.Error("shard could not be opened and is not served by this control node", "shard", shardID, "error", errs.Text(err))
 			continue
 		}
@@ -111,8 +115,8 @@
 	}
 }
 
-// refreshSeeds sets the seeds of the cluster membership to those in the current configuration. If it cannot be read,
-// the seeds stay as they are.
+// refreshSeeds sets the seeds of the cluster membership to those in the current configuration document. If the
+// document cannot be read, the seeds stay as they are.
 func (n *Node) refreshSeeds(client *controlclient.Client) {
 	response, err := client.Read(n.process.Ctx, &wire.ReadRequest{Key: controlclient.ConfigKey})
 	if err != nil || len(response.Documents) == 0 {
--- a/internal/control/controlstate/start_group.go
+++ b/internal/control/controlstate/start_group.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// newGroupNode returns a node of a group, with its cluster membership started.
+// newGroupNode returns a control node of a group, with the node's member of the cluster membership started.
 func newGroupNode(process *daemon.Process) *Node {
 	node := newNode(process)
 	node.startMembership()
@@ -89,9 +89,9 @@
 	return shard
 }
 
-// serveGroup opens the listeners for operators and for peers. Listeners close in the order in which they were opened.
-// The operators' listener is opened first and therefore closes first, so that requests accepted there can finish
-// while peers are still reachable.
+// serveGroup opens the listeners for operators and for peers. At shutdown they close in the order in which they
+// were opened: the operators' listener closes first, so that requests accepted there can finish while peers are
+// still reachable.
 func (n *Node) serveGroup(newOperatorHandler func(*Node) http.Handler) error {
 	process := n.process
 	if address := process.Settings.Site.ControlPlaneListen; address != "" {
@@ -113,7 +113,8 @@
 	return addrs
 }
 
-// zoneOf returns the zone of a control node according to the cluster membership; "" if it is not known.
+// zoneOf returns the zone of the control node at an address according to the cluster membership; "" if it is not
+// known.
 func (n *Node) zoneOf(addr string) string {
 	for _, member := range n.membership.View().WithRole(clustermembership.RoleControlNode) {
 		if member.Addr == addr {
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -11,17 +11,19 @@
 	"pebbleloom/internal/wire"
 )
 
-// defaultClaimRetention is how long the claims of at-most-once requests are kept if the settings do not set a time.
+// defaultClaimRetention is how long the claims of at-most-once request IDs are kept if the settings do not set a
+// time.
 const defaultClaimRetention = 30 * time.Minute
 
-// Limits of a shard's state. A command that would exceed one is rejected as too large. They affect the state that
-// members compute from the log, so a release with different limits would compute a different state.
+// Limits of a shard's state. A change that would exceed the limit of documents, leases or bytes is rejected as too
+// large. The limits affect the state that members compute from the log, so a release with different limits would
+// compute a different state.
 const (
 	maxDocuments    = 512
 	maxLeases       = 64
-	maxRecentTokens = 256     // newest change tokens of all documents, as many as earlier releases keep
-	maxStateBytes   = 8 << 20 // total size of all documents' bodies
-	maxClaims       = 1 << 16 // claims kept at once; further claims are rejected
+	maxRecentTokens = 256     // newest idempotency tokens kept over all documents, as many as in earlier releases
+	maxStateBytes   = 8 << 20 // total size of all documents' bodies, in bytes
+	maxClaims       = 1 << 16 // claims of request IDs kept at once; further claims are rejected
 )
 
 // stateFormat is the newest version of the encoded state that this release reads, and the one that it writes.
@@ -30,16 +32,16 @@
 // state is the replicated state machine of a shard. Only apply changes it, in log order. All members compute the same
 // state from the same log, except for grantedAt, which is local.
 type state struct {
-	documents     map[string]*wire.Document // by key
-	documentBytes int                       // total size of all documents' bodies
-	leases        map[string]*wire.Lease    // by name
-	grantedAt     map[string]time.Duration  // by lease: local time at which this member saw the grant
+	documents     map[string]*wire.Document // documents by key
+	documentBytes int                       // total size of all documents' bodies, in bytes
+	leases        map[string]*wire.Lease    // leases by name
+	grantedAt     map[string]time.Duration  // local time at which this member applied the last grant of a lease, by the lease's name
 	claims        claimTable
-	recentTokens  []*wire.ChangeToken            // newest change tokens of all documents, oldest first
-	idempotency   map[string]*idempotencyRecords // by document key
+	recentTokens  []*wire.ChangeToken            // newest idempotency tokens of changes of all documents, oldest first
+	idempotency   map[string]*idempotencyRecords // idempotency records of each document, by document key
 }
 
-// newState returns an empty state.
+// newState returns the empty state of a shard.
 func newState() *state {
 	return &state{
 		documents:   map[string]*wire.Document{},
@@ -50,8 +52,8 @@
 	}
 }
 
-// load replaces the state by a decoded one. Leases count as granted at the time of the load, which is later than
-// their actual grant, so that they are never given to another holder too early.
+// load replaces the shard's state by a decoded one. Leases count as granted at the time now of the load, which is
+// later than their actual grant, so that they are never given to another holder too early.
 func (s *state) load(encoded []byte, now time.Duration) error {
 	saved := &wire.ShardState{}
 	if err := proto.Unmarshal(encoded, saved); err != nil {
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// save encodes the state for a snapshot. Equal states have equal encodings.
+// save encodes the shard's state for a snapshot. Equal states have equal encodings.
 func (s *state) save() ([]byte, error) {
 	saved := &wire.ShardState{Format: stateFormat, Tokens: s.recentTokens, Claims: s.claims.save(), AgeNs: s.claims.age, Accepted: s.saveIdempotency()}
 	for _, key := range maputil.SortedKeys(s.documents) {
@@ -86,7 +88,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(saved)
 }
 
-// apply carries out one committed command and returns its outcome.
+// apply carries out one committed command on the state and returns its outcome; now is the local time.
 func (s *state) apply(command *wire.Command, now time.Duration) *wire.ChangeResponse {
 	switch kind := command.GetKind().(type) {
 	case *wire.Command_Put:
@@ -106,7 +108,7 @@
 		return s.respondToRetry(put)
 	}
 	if lease := s.leases[put.Lease]; put.Lease != "" && (lease == nil || lease.Fence != put.Fence || lease.Holder != put.Holder) {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: lease.GetFence(), Leader: lease.GetHolder()} // the lease is held by another holder or under another fencing token
+		return &wire.ChangeResponse{Outcome: wire.OutcomeConflict, Fence: lease.GetFence(), Leader: lease.GetHolder()} // the lease required for the change has another holder or fencing token
 	}
 	document := s.documents[put.Key]
 	if document == nil {
@@ -131,8 +133,8 @@
 	return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: changed.Version}
 }
 
-// applyGrant grants, renews or releases a lease. The leader decided before it proposed the grant that
-// the previous lease had expired (isGrantable); here only the fencing token is compared.
+// applyGrant grants, renews or releases a lease. Before the leader proposed the grant it checked that the previous
+// lease had expired (isGrantable); here only the fencing token is compared.
 func (s *state) applyGrant(grant *wire.Grant, now time.Duration) *wire.ChangeResponse {
 	lease := s.leases[grant.Lease]
 	if lease == nil {
@@ -172,7 +174,7 @@
 // applyClaims advances the shard's clock for claims, and claims or releases IDs of at-most-once requests.
 func (s *state) applyClaims(claims *wire.Claims) *wire.ChangeResponse {
 	response := &wire.ChangeResponse{Outcome: wire.OutcomeDone}
-	if claims.RetentionNs > 0 { // 0: proposed by a release that did not send the elapsed time
+	if claims.RetentionNs > 0 { // the retention is 0 if the claims were proposed by a release that recorded no elapsed time
 		s.claims.advanceAge(claims.ElapsedNs, claims.RetentionNs)
 	}
 	for _, claim := range claims.Claims {
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -10,31 +10,32 @@
 	"pebbleloom/internal/wire"
 )
 
-// Limits of the transport. The ratios are fractions of the heal bound.
+// Limits of the transport between members of a group. The ratios are fractions of settings.Bounds.Heal, the
+// configured time to restore service after a fault.
 const (
-	maxOutboxes          = 16       // addresses that have queues at one time
+	maxOutboxes          = 16       // maximum number of addresses that have message queues at one time
 	maxQueuedSmall       = 64       // small messages queued for one address
 	maxQueuedLarge       = 2        // large messages queued for one address
-	maxBatchMessages     = 16       // small messages sent in one request
-	largeMessageBytes    = 16 << 10 // payload size from which a message counts as large
-	sendTimeoutRatio     = 1.0 / 24 // time-out of a request without a payload
-	megabyteTimeoutRatio = 1.0      // added to the time-out for each MiB of payload
+	maxBatchMessages     = 16       // small messages sent in one Deliver request
+	largeMessageBytes    = 16 << 10 // payload size in bytes from which a message counts as large
+	sendTimeoutRatio     = 1.0 / 24 // time-out of a Deliver request without a payload
+	megabyteTimeoutRatio = 1.0      // added to the time-out of a Deliver request for each MiB of payload
 )
 
-// transport sends the messages of a group. Each address has a queue for small messages and one for large messages,
-// each with its own sending goroutine, so that a heartbeat never waits behind a snapshot. Only the shard's goroutine
-// may use the transport; the sending goroutines end with ctx.
+// transport sends the consensus messages of a group. Each address has a queue for small messages and one for large
+// messages, each with its own sending goroutine, so that a heartbeat never waits behind a snapshot. Only the
+// shard's goroutine may use the transport; the sending goroutines end with ctx.
 type transport struct {
 	ctx      context.Context
 	node     *Node
-	outboxes map[string]*outbox // by address
-	sent     int                // number of messages queued so far, for all addresses
+	outboxes map[string]*outbox // message queues by address
+	sent     int                // number of messages that send has been called with, over all addresses
 }
 
-// outbox holds the message queues for one address.
+// outbox holds the queues of outgoing consensus messages for one address.
 type outbox struct {
 	small, large *queue.Ring[*wire.Message]
-	lastUsed     int // value of transport.sent when a message was last queued here
+	lastUsed     int // value of transport.sent after the last message for this address
 	stop         context.CancelFunc
 }
 
@@ -43,8 +44,8 @@
 	return &transport{ctx: ctx, node: node, outboxes: map[string]*outbox{}}
 }
 
-// send queues a message for the address of its receiver. A message that does not fit into the queue is dropped: the
-// consensus core tolerates lost messages.
+// send queues a consensus message for the address of its receiver. The message is dropped if the queue is full:
+// the consensus core tolerates lost messages.
 func (t *transport) send(message *wire.Message) {
 	to := controlclient.MemberAddr(message.To)
 	box := t.outboxes[to]
@@ -63,7 +64,7 @@
 	}
 }
 
-// openOutbox creates the queues for an address and starts their sending goroutines.
+// openOutbox creates the message queues for an address and starts their sending goroutines.
 func (t *transport) openOutbox(to string) *outbox {
 	ctx, stop := context.WithCancel(t.ctx)
 	box := &outbox{
@@ -90,7 +91,8 @@
 	delete(t.outboxes, oldest)
 }
 
-// payloadBytes returns the approximate size of a message: that of its log entries, snapshot state and snapshot chunk.
+// payloadBytes returns the approximate size of a consensus message: that of its log entries, snapshot state and
+// snapshot chunk.
 func payloadBytes(message *wire.Message) int {
 	size := len(message.GetSnapshot().GetState()) + len(message.GetChunk().GetData())
 	for _, entry := range message.Entries {
@@ -99,22 +101,23 @@
 	return size
 }
 
-// peerSender sends the messages for one address. mu guards the fields that its two goroutines share.
+// peerSender sends the consensus messages for one address. mu guards the fields that its two goroutines share.
 type peerSender struct {
 	node *Node
 	to   string
 
 	mu              sync.Mutex
-	lastSmallFailed bool               // the last request with small messages failed
+	lastSmallFailed bool               // whether the last request with small messages failed
 	abortLarge      context.CancelFunc // cancels the request that sends a large message; nil if none is in progress
 }
 
-// timeout returns the time-out of a request with a payload of size bytes.
+// timeout returns the time-out of a Deliver request with a payload of size bytes.
 func (p *peerSender) timeout(size int) time.Duration {
 	return p.node.process.Settings.Bounds.Heal(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
 }
 
-// deliver sends messages to the peer in one request. Messages of a failed request are not sent again.
+// deliver sends consensus messages to the peer in one Deliver request. Messages of a failed request are not sent
+// again.
 func (p *peerSender) deliver(ctx context.Context, messages []*wire.Message) error {
 	_, err := p.node.clients.ControlNode(p.to).Deliver(ctx, &wire.MessageBatch{Format: messageFormat, Messages: messages})
 	if err != nil {
@@ -138,7 +141,7 @@
 	}
 }
 
-// recordSmallResult records whether small messages were delivered. When they are delivered again after a failure, it
+// recordSmallResult records whether a request with small messages failed. When one succeeds after a failure, it
 // aborts a large message in progress, which may be stuck on a connection from before the failure.
 func (p *peerSender) recordSmallResult(failed bool) {
 	p.mu.Lock()
@@ -149,7 +152,8 @@
 	p.lastSmallFailed = failed
 }
 
-// sendLarge sends the queued large messages one at a time until ctx ends. It notifies the core of each failed one.
+// sendLarge sends the queued large messages one at a time until ctx ends. It notifies the consensus core of each
+// message that could not be delivered.
 func (p *peerSender) sendLarge(ctx context.Context, queued *queue.Ring[*wire.Message]) {
 	for {
 		select {
@@ -168,7 +172,7 @@
 	}
 }
 
-// setAbort sets the function that aborts the large message in progress.
+// setAbort sets the function that aborts the request with a large message in progress; nil if there is none.
 func (p *peerSender) setAbort(abort context.CancelFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/control/controlstate/validate.go
+++ b/internal/control/controlstate/validate.go
@@ -9,16 +9,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// Key prefixes of the documents that are validated against each other; calendar.Key and retire.Key return keys
-// with these prefixes.
+// Key prefixes of calendar entries (scheduled changes of a service) and retirements (replacements of a base
+// model), which are validated against each other. calendar.Key and retire.Key return keys with these prefixes.
 const (
 	calendarPrefix   = "calendar/"
 	retirementPrefix = "retire/"
 )
 
-// validateDocument validates a calendar entry or a retirement, also against the other ones. Any other document is
-// accepted. It returns errs.BadInput for an invalid document, errs.Conflict for a valid one that conflicts with
-// others, and errs.Overloaded while there are unapplied changes that it may conflict with.
+// validateDocument validates a calendar entry or a retirement of a service, also against the stored ones. Any
+// other document is accepted. It returns errs.BadInput for an invalid document, errs.Conflict for a valid one that
+// conflicts with others, and errs.Overloaded while there are unapplied log entries that it may conflict with.
 func (s *shard) validateDocument(put *wire.Put) error {
 	switch {
 	case strings.HasPrefix(put.Key, calendarPrefix):
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// validateCalendarEntry validates a calendar entry, also against the other entries and against the retirements that
-// change the same service.
+// validateCalendarEntry validates a calendar entry, a scheduled change of a service, also against the stored
+// entries and against the retirements of base models that change the same service.
 func (s *shard) validateCalendarEntry(put *wire.Put) error {
 	entry, err := calendar.Decode(put.Body)
 	if err != nil {
@@ -56,8 +56,8 @@
 	return faults.Err()
 }
 
-// validateRetirement validates a retirement, also against the other retirements and against the calendar entries that
-// change the same service.
+// validateRetirement validates a retirement, the replacement of a base model, also against the stored retirements
+// and against the calendar entries that change the same service.
 func (s *shard) validateRetirement(put *wire.Put) error {
 	retirement, err := retire.Read(put.Body)
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	faults.Add("retirement", retirement.CheckConflicts(s.retirements(&faults)))
 	if isChangingService(retirement) {
-		var unreadable errs.Batch // undecodable entries do not invalidate the retirement
+		var unreadable errs.Batch // not reported: a stored calendar entry that cannot be decoded does not invalidate the retirement
 		for _, entry := range decodeDocuments(s.state.documents, calendarPrefix, calendar.Decode, &unreadable) {
 			if entry.Active() && entry.Service == retirement.Service {
 				faults.Addf(errs.Conflict, "retirement %q conflicts with calendar entry %q (state %s): both change service %s: let the entry end, cancel it or undo it first", retirement.Name, entry.Name, entry.State, entry.Service)
@@ -83,12 +83,13 @@
 	return faults.Err()
 }
 
-// isChangingService reports whether a retirement has started to change its service and has not ended.
+// isChangingService reports whether a retirement of a base model has started to change its service and has not
+// ended.
 func isChangingService(retirement *retire.Retirement) bool {
 	return retirement.Active() && retirement.State != retire.StatePlanned
 }
 
-// checkNothingInFlight returns errs.Overloaded if the log has entries that are not applied yet.
+// checkNothingInFlight returns errs.Overloaded if the consensus log has entries that are not applied yet.
 func (s *shard) checkNothingInFlight() error {
 	if len(s.core.UnappliedEntries()) > 0 {
 		return errs.New(errs.Overloaded, "another change of the control state has not been applied yet: retry the request")
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// retirements returns the stored retirements. Those that cannot be decoded are added to the faults.
+// retirements returns the stored retirements of base models of all services. Those that cannot be decoded are
+// skipped and reported in faults.
 func (s *shard) retirements(faults *errs.Batch) []*retire.Retirement {
 	return decodeDocuments(s.state.documents, retirementPrefix, retire.Read, faults)
 }
