--- a/internal/control/controlstate/fixed_transport.go
+++ b/internal/control/controlstate/fixed_transport.go
@@ -10,8 +10,8 @@
 
 // Limits of the queues of consensus messages between members of a cluster with fixed members.
 const (
-	maxQueuedMessages   = 1024 // messages queued for one peer; further ones are dropped
-	maxMessagesPerBatch = 128  // messages sent in one Deliver request
+	maxQueuedMessages   = 1024 // maximum number of messages queued for one peer; further ones are dropped
+	maxMessagesPerBatch = 128  // maximum number of messages sent in one Deliver request
 )
 
 // startPeerQueues creates an outgoing queue of consensus messages for each peer and starts the goroutine that
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -100,7 +100,7 @@
 }
 
 // holdsNothingNewer reports whether neither this member's applied state nor its unapplied log entries contain a
-// newer version of the document key than the given one.
+// newer version of the document with the given key than version.
 func (v *publishedView) holdsNothingNewer(key string, version uint64) bool {
 	return v.documents[key].GetVersion() <= version && v.unappliedVersions[key] <= version && v.unappliedVersions[unreadableKey] == 0
 }
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -25,7 +25,7 @@
 	codec           backend.Codec
 	consensusConfig consensus.Config // configuration of the core; reopen sets Self to the incarnation stored on disk
 	disk            storage.Disk
-	initialSnapshot func(lost bool) *wire.Snapshot // returns the first snapshot for an empty disk; lost: the disk held data of an earlier incarnation that was given up
+	initialSnapshot func(lost bool) *wire.Snapshot // returns the first snapshot for an empty disk; lost: the disk held data of an earlier incarnation, which counts as lost
 	targetSize      int                            // desired number of voters in the group
 	zoneOf          func(addr string) string
 	published       viewPublisher
--- a/internal/control/controlstate/idempotency.go
+++ b/internal/control/controlstate/idempotency.go
@@ -16,10 +16,10 @@
 // frequent changes of one document do not evict the records of another.
 const (
 	configChangesPerDay = 1200                    // configuration changes expected per day in a site of the target size
-	maxConfigRecords    = 3 * configChangesPerDay // records kept for a configuration document: three days of changes
-	maxDocumentRecords  = maxRecentTokens         // records kept for any other document
-	tokenHashBytes      = 16                      // bytes of a token's hash that are stored in a record
-	digestBytes         = 8                       // bytes of a change's digest that are stored in a record
+	maxConfigRecords    = 3 * configChangesPerDay // maximum number of records of a configuration document: three days of changes
+	maxDocumentRecords  = maxRecentTokens         // maximum number of records of any other document
+	tokenHashBytes      = 16                      // number of bytes of a token's hash that are stored in a record
+	digestBytes         = 8                       // number of bytes of a change's digest that are stored in a record
 )
 
 // idempotencyRecord describes an accepted change whose request carried an idempotency token. It stores a prefix of
@@ -53,8 +53,8 @@
 	return hash
 }
 
-// contentDigest identifies a change by its content, regardless of its base version: a change that is retried
-// under the same token on a later version is still the same change.
+// contentDigest identifies a change by its content, regardless of its base version: a change that is retried under
+// the same idempotency token, but based on a later version, is still the same change.
 func contentDigest(put *wire.Put, patch bool) []byte {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%q %v ", put.Key, patch)
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -28,8 +28,8 @@
 
 // Limits of the join requests that one iteration of joinLoop sends.
 const (
-	maxJoinCandidates = 2 // candidates that are sent join requests in one iteration
-	maxJoinRequests   = 2 // join requests per candidate: one to it, one to the leader that it names
+	maxJoinCandidates = 2 // maximum number of candidates that are sent join requests in one iteration
+	maxJoinRequests   = 2 // maximum number of join requests per candidate: one to it, one to the leader that it names
 )
 
 // rejoinAction is what a node has to do next so that its member takes part in the group.
--- a/internal/control/controlstate/leave.go
+++ b/internal/control/controlstate/leave.go
@@ -65,7 +65,7 @@
 	}
 	s.leaving[self] = s.ticks
 	if s.canLeave(self) && !s.core.TransferLeadershipExcept(s.isLeaving) {
-		s.core.TransferLeadership() // no suitable voter stays, so transfer it to one that is shutting down too
+		s.core.TransferLeadership() // no voter that keeps running can take over, so transfer the leadership to one that is shutting down too
 	}
 	return leaveProgress{isLeader: true}
 }
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// registerMetrics registers the gauges that are summed over the shards of this node.
+// registerMetrics registers the gauges whose values are sums over the shards of this node.
 func (n *Node) registerMetrics() {
 	meter := n.process.Meter
 	meter.Gauge("pebbleloom_parts_owned", "shards that this node leads", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
--- a/internal/control/controlstate/operator.go
+++ b/internal/control/controlstate/operator.go
@@ -161,7 +161,7 @@
 	}
 	response, err := n.controlClient.Change(ctx, request)
 	if errs.KindOf(err) == errs.MayHaveExecuted && err != nil {
-		err = errs.WrapAs(err, errs.OutcomeUnknown, "change of the control state: the request may be retried")
+		err = errs.WrapAs(err, errs.OutcomeUnknown, "the outcome of the change of the control state is unknown: the request may be retried")
 	}
 	return response, err
 }
--- a/internal/control/controlstate/persistence.go
+++ b/internal/control/controlstate/persistence.go
@@ -58,7 +58,7 @@
 		return recovered, err
 	}
 	s.snapshotBytes = len(recovered.Snapshot.State)
-	return recovered, errs.WrapAs(s.state.load(recovered.Snapshot.State, s.clock.Now()), errs.DiskFailure, "decode the snapshot's state")
+	return recovered, errs.WrapAs(s.state.load(recovered.Snapshot.State, s.clock.Now()), errs.DiskFailure, "decode the shard state in the snapshot")
 }
 
 // checkFormat returns an error if this release cannot read the format of a snapshot.
@@ -87,7 +87,7 @@
 	}
 	installed := newState()
 	if err := installed.load(snapshot.State, s.clock.Now()); err != nil {
-		return errs.WrapAs(err, errs.DiskFailure, "decode the snapshot's state")
+		return errs.WrapAs(err, errs.DiskFailure, "decode the shard state in the snapshot")
 	}
 	if err := s.store.SaveSnapshot(snapshot, records); err != nil {
 		return err
--- a/internal/control/controlstate/propose.go
+++ b/internal/control/controlstate/propose.go
@@ -11,11 +11,11 @@
 	"pebbleloom/internal/wire"
 )
 
-// Limits of the commands that a leader proposes to its shard.
+// Limits of the commands that a leader proposes for its shard.
 const (
-	maxPendingProposals = 256                        // proposals that wait on one leader; further ones are rejected as overloaded
+	maxPendingProposals = 256                        // maximum number of proposals that wait on one leader; further ones are rejected as overloaded
 	maxCommandBytes     = serviceconfig.MaxBytes * 2 // maximum size of an encoded command, in bytes
-	maxClaimsPerCommand = 1024                       // claims of at-most-once request IDs in one command
+	maxClaimsPerCommand = 1024                       // maximum number of claims of at-most-once request IDs in one command
 	maxKeyBytes         = 256                        // maximum length of a document's key, in bytes
 )
 
@@ -189,7 +189,7 @@
 	s.abandonProposals()
 }
 
-// abandonProposals completes all pending proposals with an unknown outcome.
+// abandonProposals completes all pending proposals of this member with an unknown outcome.
 func (s *shard) abandonProposals() {
 	for index, proposal := range s.pendingProposals {
 		proposal.response <- &wire.ChangeResponse{Outcome: wire.OutcomeUnknown}
--- a/internal/control/controlstate/published_view.go
+++ b/internal/control/controlstate/published_view.go
@@ -35,7 +35,7 @@
 	longPolls atomic.Int64 // number of Follow requests that are being served
 }
 
-// current returns the newest published view of this member; nil before the first one.
+// current returns the newest published view of this member, or nil if none has been published.
 func (p *viewPublisher) current() *publishedView { return p.view.Load() }
 
 // publishRecovered publishes a complete view of the shard's state that was recovered from the disk.
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -17,8 +17,8 @@
 
 // Limits of a shard's command queue.
 const (
-	maxQueuedCommands   = 512 // commands waiting in the queue; beyond this, runOnLoop fails and messages are dropped
-	maxCommandsPerReady = 64  // commands executed between two calls of handleReady, which processes the core's output
+	maxQueuedCommands   = 512 // maximum number of commands in the queue; beyond it, runOnLoop fails and messages are dropped
+	maxCommandsPerReady = 64  // maximum number of commands executed between two calls of handleReady, which processes the core's output
 )
 
 // shard drives one member of a replicated shard. Only the goroutine of run may access core, state, store and the other
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -21,9 +21,9 @@
 const (
 	maxDocuments    = 512
 	maxLeases       = 64
-	maxRecentTokens = 256     // newest idempotency tokens kept over all documents, as many as in earlier releases
+	maxRecentTokens = 256     // number of newest idempotency tokens kept over all documents, as in earlier releases
 	maxStateBytes   = 8 << 20 // total size of all documents' bodies, in bytes
-	maxClaims       = 1 << 16 // claims of request IDs kept at once; further claims are rejected
+	maxClaims       = 1 << 16 // maximum number of request IDs claimed at one time; further claims are rejected
 )
 
 // stateFormat is the newest version of the encoded state that this release reads, and the one that it writes.
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -14,9 +14,9 @@
 // configured time to restore service after a fault.
 const (
 	maxOutboxes          = 16       // maximum number of addresses that have message queues at one time
-	maxQueuedSmall       = 64       // small messages queued for one address
-	maxQueuedLarge       = 2        // large messages queued for one address
-	maxBatchMessages     = 16       // small messages sent in one Deliver request
+	maxQueuedSmall       = 64       // maximum number of small messages queued for one address
+	maxQueuedLarge       = 2        // maximum number of large messages queued for one address
+	maxBatchMessages     = 16       // maximum number of small messages sent in one Deliver request
 	largeMessageBytes    = 16 << 10 // payload size in bytes from which a message counts as large
 	sendTimeoutRatio     = 1.0 / 24 // time-out of a Deliver request without a payload
 	megabyteTimeoutRatio = 1.0      // added to the time-out of a Deliver request for each MiB of payload
@@ -29,13 +29,13 @@
 	ctx      context.Context
 	node     *Node
 	outboxes map[string]*outbox // message queues by address
-	sent     int                // number of messages that send has been called with, over all addresses
+	sent     int                // number of calls of send so far, for all addresses
 }
 
 // outbox holds the queues of outgoing consensus messages for one address.
 type outbox struct {
 	small, large *queue.Ring[*wire.Message]
-	lastUsed     int // value of transport.sent after the last message for this address
+	lastUsed     int // value of transport.sent after the last call of send for this address
 	stop         context.CancelFunc
 }
 
@@ -108,7 +108,7 @@
 
 	mu              sync.Mutex
 	lastSmallFailed bool               // whether the last request with small messages failed
-	abortLarge      context.CancelFunc // cancels the request that sends a large message; nil if none is in progress
+	abortLarge      context.CancelFunc // function that cancels the request that sends a large message; nil if none is in progress
 }
 
 // timeout returns the time-out of a Deliver request with a payload of size bytes.
