--- a/internal/data/promptindex/accesses.go
+++ b/internal/data/promptindex/accesses.go
@@ -10,33 +10,37 @@
 )
 
 const (
-	// maxReporters limits the number of senders of access counts, and of load reports, that are remembered.
+	// maxReporters limits the number of senders of access counts for which deduplication state is kept, and the number of
+	// proxies whose load reports are stored.
 	maxReporters = 1024
-	// reporterRetentionRatio is the time without batches after which a reporter may be dropped to make room for a
-	// new one, as a ratio of the recovery time bound (Bounds.Heal). No batch is retried for that long.
+	// reporterRetentionRatio is how long a sender of access counts must have sent no batch before its deduplication state
+	// may be dropped in favor of a new sender, as a ratio of the recovery time bound (Bounds.Heal). Senders stop retrying
+	// a batch earlier than that.
 	reporterRetentionRatio = 1.0
 )
 
 // reporter is the state by which duplicate batches of one sender of access counts are detected.
 type reporter struct {
-	// lastSequence is the sequence number of the last batch that was counted in the current incarnation.
+	// incarnation identifies the sender's current process. lastSequence is the sequence number of the last batch of that
+	// process that was counted; 0 if there is none.
 	incarnation, lastSequence uint64
-	// previousIncarnation is the incarnation before the current one. Batches of it that arrive late are not counted.
+	// previousIncarnation identifies the sender's process before its last restart. Batches of that process that arrive
+	// late are not counted.
 	previousIncarnation uint64
 	lastBatchAt         time.Duration
 }
 
 // RecordAccesses counts each batch of accesses at most once: a batch whose sequence number was counted before is
-// ignored. If the index does not know the reporter, as after a restart of the index node, the response asks the
-// reporter to resend its window of recent batches.
+// ignored. If the index has counted no batch of the sender's current process although this batch is not its first, as
+// after a restart of the index node, the response asks the sender to resend the recent batches that it keeps.
 //
 // Example: response := c.RecordAccesses(request, now)
 func (c *Core) RecordAccesses(request *wire.CountRequest, now time.Duration) *wire.CountResponse {
 	reporterState := c.reporters[request.Reporter]
 	if reporterState == nil {
 		if len(c.reporters) >= maxReporters && !c.dropOldestReporter(now) {
-			// Without state for this reporter a retried batch would be counted twice. Acknowledging the batch
-			// without counting it gives too low a hotness, which does less harm than too high a one.
+			// Without deduplication state for this sender a retried batch would be counted twice. Acknowledging the batch
+			// without counting it makes the hotness of its prefixes too low, which does less harm than too high a hotness.
 			return &wire.CountResponse{Sequence: request.Sequence}
 		}
 		reporterState = &reporter{}
@@ -58,8 +62,8 @@
 	return &wire.CountResponse{Sequence: reporterState.lastSequence, ResendWindow: hasMissedBatches}
 }
 
-// recordAccess counts the accesses to one key, and records its presumed holders. It ignores keys that are not
-// assigned to this index node.
+// recordAccess counts the accesses to the prefix with one key, and records the workers and stores that are presumed to
+// cache it. It ignores keys that are not assigned to this index node.
 func (c *Core) recordAccess(access *wire.Access, now time.Duration) {
 	if len(access.Key) != len(prefix.Key{}) {
 		return
@@ -84,8 +88,8 @@
 	}
 }
 
-// dropOldestReporter drops the reporter whose last batch is the oldest, unless that reporter may still retry a
-// batch. It reports whether a reporter was dropped.
+// dropOldestReporter drops the deduplication state of the sender whose last batch is the oldest, unless that sender
+// may still retry a batch (reporterRetentionRatio). It reports whether state was dropped.
 func (c *Core) dropOldestReporter(now time.Duration) bool {
 	oldest, oldestAt := "", now
 	for name, r := range c.reporters {
@@ -100,8 +104,8 @@
 	return true
 }
 
-// Hottest returns at most limit entries of a service, in descending order of hotness, and the number and total
-// hotness of all entries of the service.
+// Hottest returns at most limit entries of a service, in descending order of hotness, and the number and total hotness
+// of all entries of the service. Entries with a hotness below minReportedHotness are left out and not counted.
 //
 // Example: response := c.Hottest("appraisals", 1000, now)
 func (c *Core) Hottest(service string, limit int, now time.Duration) *wire.HottestResponse {
--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// hotnessTimeConstant is the time in which the weight of an access decays to 1/e.
+	// hotnessTimeConstant is the time in which the weight of an access to a prefix in the prefix's hotness decays to 1/e.
 	hotnessTimeConstant = 30 * time.Second
-	// evictionSampleSize is the number of entries that are sampled for an eviction. The one with the fewest recent
-	// accesses is evicted.
+	// evictionSampleSize is the number of index entries that are sampled when the index is full. The sampled entry with
+	// the lowest hotness (decayed number of accesses) is evicted.
 	evictionSampleSize = 16
-	// minRetainedHotness is the hotness (decayed number of accesses) below which an entry without holders is removed.
+	// minRetainedHotness is the hotness (decayed number of accesses) below which an index entry that no worker or store
+	// is known to cache is removed.
 	minRetainedHotness = 0.05
-	// minReportedHotness is the hotness (decayed number of accesses) below which an entry is left out of the response to
-	// Hottest.
+	// minReportedHotness is the hotness (decayed number of accesses) below which an index entry is left out of the
+	// response to Hottest.
 	minReportedHotness = 0.01
 )
 
-// Core holds the tables of one index node. It is not safe for concurrent use: Node accesses it through an actor.
-// All times are readings of the process's clock.
+// Core holds the tables of one prompt index node. It is not safe for concurrent use: Node accesses it through an
+// actor. All points in time are readings of the clock of the index node's process (daemon.Process.Clock).
 type Core struct {
 	bounds  settings.Bounds
 	entries map[prefix.Key]*entry
@@ -39,8 +40,8 @@
 	reporters map[string]*reporter
 	// isAssigned reports whether a key is assigned to this index node.
 	isAssigned func(prefix.Key) bool
-	// maxIncompleteRatio is the maximum share of polled workers that have not reported their complete caches while
-	// the index counts as warm.
+	// maxIncompleteRatio is the largest share of the polled workers and stores that may not have reported their complete
+	// caches yet for Warm to return true.
 	maxIncompleteRatio float64
 	loads              *LoadAggregator
 	// Stats counts events since the index node started.
@@ -49,13 +50,14 @@
 
 // Stats counts events on an index node since it started.
 type Stats struct {
-	// ExpiredHolders counts holder records that were not confirmed in time, or whose worker stopped reporting.
+	// ExpiredHolders counts holder records that were not confirmed in time, or whose worker or store stopped responding
+	// to polls.
 	ExpiredHolders uint64
-	// Gaps counts responses of workers in which cache changes were missing.
+	// Gaps counts responses of workers and stores in which cache changes were missing.
 	Gaps uint64
 	// FullReports counts reports of the complete cache of a worker or store.
 	FullReports uint64
-	// Evicted counts entries that were removed to keep the table within its size limit.
+	// Evicted counts entries that were removed to keep the number of entries within Bounds.MaxIndexEntries.
 	Evicted uint64
 	// DuplicateBatches counts batches of accesses that were ignored because they had been counted before.
 	DuplicateBatches uint64
@@ -63,17 +65,17 @@
 
 // entry is the index entry of one prompt prefix.
 type entry struct {
-	// tokens is the length of the last part of the prefix.
+	// tokens is the number of tokens in the last part of the prefix; the shorter prefixes have entries of their own.
 	tokens uint32
 	// hotness is the number of accesses, each weighted by exponential decay over its age.
 	hotness float64
-	// decayedAt is the time up to which the decay is included in hotness.
+	// decayedAt is the time up to which the exponential decay has been applied to hotness.
 	decayedAt time.Duration
 	// service is the service that accessed the prefix last, or whose worker first reported it.
 	service string
-	// isHead is true if the prefix is the first one of a prompt, so that no shorter prefix precedes it.
+	// isHead is true if the prefix consists of only the first part of a prompt, so that there is no shorter prefix.
 	isHead bool
-	// holders has the workers and stores that cache the prefix, by name.
+	// holders has a record for each worker and store that is known or presumed to cache the prefix, by its name.
 	holders map[string]holderRecord
 }
 
@@ -99,8 +101,8 @@
 	}
 }
 
-// ensureEntry returns the entry of a key. If there is none it creates one, and evicts another entry if the table
-// is full.
+// ensureEntry returns the entry of a key. If there is none it creates one, and first evicts another entry if the index
+// has Bounds.MaxIndexEntries entries.
 func (c *Core) ensureEntry(key prefix.Key, now time.Duration) *entry {
 	e := c.entries[key]
 	if e == nil {
@@ -113,8 +115,8 @@
 	return e
 }
 
-// evict keeps the table within its size limit. It samples a few entries in Go's random map iteration order, and removes
-// the one with the fewest recent accesses.
+// evict removes one entry, so that a new one fits within Bounds.MaxIndexEntries. It samples evictionSampleSize entries
+// in Go's random map iteration order, and removes the one with the lowest hotness.
 func (c *Core) evict(now time.Duration) {
 	var evicted prefix.Key
 	lowest, sampled := math.Inf(1), 0
@@ -131,7 +133,7 @@
 	c.Stats.Evicted++
 }
 
-// removeIfUnused removes an entry that has no holders and hardly any recent accesses.
+// removeIfUnused removes an entry that has no holder records and a hotness below minRetainedHotness.
 func (c *Core) removeIfUnused(key prefix.Key, e *entry, now time.Duration) {
 	e.decay(now)
 	if len(e.holders) == 0 && e.hotness < minRetainedHotness {
@@ -160,8 +162,8 @@
 	}
 }
 
-// Reshard must be called after the shards of this index node have changed. It removes the entries that are no longer
-// assigned to the node, and has all workers asked for a report of their complete caches.
+// Reshard must be called after the assignment of keys to this index node has changed. It removes the entries whose
+// keys are no longer assigned to the node, and has the next poll of each worker and store ask for its complete cache.
 //
 // Example: c.Reshard()
 func (c *Core) Reshard() {
@@ -175,9 +177,9 @@
 	}
 }
 
-// Warm reports whether enough workers have reported their complete caches to this index: all of them, or all but
-// the share maxIncompleteRatio. While an index is not warm, an entry without holders does not mean that no worker
-// caches the prefix.
+// Warm reports whether enough of the polled workers and stores have reported their complete caches to this index: at
+// least one, and all but the share maxIncompleteRatio. While an index is not warm, an entry without holders does not
+// mean that no worker or store caches the prefix.
 //
 // Example: if c.Warm() { … }
 func (c *Core) Warm() bool {
--- a/internal/data/promptindex/eventfollower.go
+++ b/internal/data/promptindex/eventfollower.go
@@ -14,43 +14,45 @@
 // Intervals and timeouts of the polls of workers and stores, as ratios of the recovery time bound (Bounds.Heal). They
 // limit the number of calls, because each call takes resources of the worker.
 const (
-	// tickRatio is the interval between two checks for workers that are due to be polled, as a ratio of the recovery
-	// time bound.
+	// tickRatio is the interval between two checks for workers and stores that are due to be polled, as a ratio of the
+	// recovery time bound (Bounds.Heal).
 	tickRatio = 1.0 / 48
-	// pollRatio is the interval between two calls to one worker, as a ratio of the recovery time bound. A longer
-	// interval saves calls; with a shorter one the index learns earlier what a worker has evicted.
+	// pollRatio is the interval between two polls of one worker or store, as a ratio of the recovery time bound
+	// (Bounds.Heal). A longer interval saves calls; with a shorter one the index learns earlier what a worker has
+	// evicted.
 	pollRatio = 1.0 / 24
-	// firstPollRatio is the maximum delay until a new worker is first polled, as a ratio of the recovery time bound.
+	// firstPollRatio is the maximum delay until a newly listed worker or store is first polled, as a ratio of the
+	// recovery time bound (Bounds.Heal).
 	firstPollRatio = 1.0 / 96
-	// longPollRatio is how long a worker may hold a request until it has a cache event to report, as a ratio of the
-	// recovery time bound.
+	// longPollRatio is how long a worker or store may hold a request for cache events until it has one to report, as a
+	// ratio of the recovery time bound (Bounds.Heal).
 	longPollRatio = 1.0 / 12
-	// responseGraceRatio is how long a response may take beyond the long-poll time, as a ratio of the recovery time
-	// bound.
+	// responseGraceRatio is how long a response to a poll may take in addition to the long-poll time (longPollRatio), as
+	// a ratio of the recovery time bound (Bounds.Heal).
 	responseGraceRatio = 1.0 / 12
-	// fullListRatio is the minimum interval between two requests for the complete cache of any worker, as a ratio of
-	// the recovery time bound. Listing the complete cache slows a worker down.
+	// fullListRatio is the minimum interval between two requests for the complete cache of any worker or store, as a
+	// ratio of the recovery time bound (Bounds.Heal). Listing the complete cache slows a worker down.
 	fullListRatio = 1.0 / 24
-	// workerFullListRatio is the minimum interval between two requests for the complete cache of the same worker, as a
-	// ratio of the recovery time bound. Listing the complete cache slows the worker down.
+	// workerFullListRatio is the minimum interval between two requests for the complete cache of the same worker or
+	// store, as a ratio of the recovery time bound (Bounds.Heal). Listing the complete cache slows the worker down.
 	workerFullListRatio = 1.0
-	// sweepRatio is the interval between two sweeps that remove expired holder records and unused entries, as a ratio
-	// of the recovery time bound.
+	// sweepRatio is the interval between two sweeps that remove expired holder records and unused entries, as a ratio of
+	// the recovery time bound (Bounds.Heal).
 	sweepRatio = 1.0
 )
 
-// maxIncompleteRatio is the maximum share of polled workers that have not reported their complete caches while an
-// index that is fed by cache events counts as warm.
+// maxIncompleteRatio is the largest share of the polled workers and stores that may not have reported their complete
+// caches yet for Core.Warm to return true, in an index that is fed by cache events.
 const maxIncompleteRatio = 1.0 / 8
 
-// pollTarget is a worker or store that is polled for cache events.
+// pollTarget is a worker or store that the index node polls for cache events.
 type pollTarget struct {
 	name, addr string
 	// service is the service that a worker belongs to; "" for a store.
 	service string
 }
 
-// isStore reports whether the target is a store, not a worker.
+// isStore reports whether the poll target is a store rather than a worker.
 func (t pollTarget) isStore() bool { return t.service == "" }
 
 // pollTargets returns the stores in a snapshot, and the workers whose service has a prompt cache.
@@ -70,16 +72,17 @@
 	return targets
 }
 
-// eventFollower feeds an index node with the cache events of the workers and stores in a snapshot. Its fields are
-// accessed only within the node's actor, except for node, client and snapshot, which never change.
+// eventFollower feeds an index node with the cache events of the workers and stores in the current snapshot of the
+// fleet. Its fields are accessed only within the node's actor, except for node, client and snapshot, which never
+// change.
 type eventFollower struct {
 	node     *Node
 	client   backend.Client
 	snapshot func() *fleet.Snapshot
 
-	// isPolling has the workers and stores with a poll in flight.
+	// isPolling has the workers and stores with a poll in flight, by name.
 	isPolling map[string]bool
-	// isListed has the workers and stores in the snapshot at the last tick.
+	// isListed has the workers and stores in the snapshot that was used for the previous round of polls, by name.
 	isListed map[string]bool
 	// nextPollAt has the time from which each worker or store is due to be polled, by name.
 	nextPollAt map[string]time.Duration
@@ -89,16 +92,17 @@
 	// none.
 	lastFullListAt time.Duration
 	sweptAt        time.Duration
-	// isServing is true while keys are assigned to this index node; otherwise the node is on standby.
+	// isServing is true while keys are assigned to this index node; otherwise the node is on standby and does not poll.
 	isServing bool
 }
 
-// StartSite starts an index node that polls the workers and stores in a snapshot for cache events, until the process
-// stops. The caller must serve the node's Handler.
+// StartSite starts an index node that polls the workers and stores in the current snapshot of the fleet for cache
+// events, until the process stops. The caller must serve the node's Handler.
 //
 // Example: n, err := promptindex.StartSite(process, client, agent.Snapshot)
 func StartSite(process *daemon.Process, client backend.Client, snapshot func() *fleet.Snapshot) (*Node, error) {
-	// The index has the keys of all shards, so that a node that takes over a shard already knows its keys.
+	// The index stores the keys of all shards, so that an index node that takes over a shard already has entries for its
+	// keys.
 	core := NewCore(process.Settings.Bounds, func(prefix.Key) bool { return true })
 	core.maxIncompleteRatio = maxIncompleteRatio
 	n := newNode(process, core)
@@ -116,7 +120,8 @@
 	return n, nil
 }
 
-// tick polls the workers and stores that are due, if this index node is serving.
+// tick polls the workers and stores that are due, if keys are assigned to this index node. Otherwise the node is on
+// standby and does not poll.
 func (f *eventFollower) tick() {
 	snapshot := f.snapshot()
 	if snapshot == nil || snapshot.Plan == nil {
@@ -138,8 +143,8 @@
 	})
 }
 
-// pollDue polls the targets that are due, removes those that are no longer in the snapshot, and sweeps the tables if
-// a sweep is due.
+// pollDue polls the workers and stores that are due, and removes those that are no longer in the snapshot. Once per
+// sweep interval (sweepRatio) it removes expired holder records and unused entries.
 func (f *eventFollower) pollDue(core *Core, targets []pollTarget, now time.Duration) {
 	isListed := make(map[string]bool, len(targets))
 	for _, target := range targets {
@@ -165,9 +170,9 @@
 	return f.node.process.Settings.Bounds.Heal(ratio)
 }
 
-// poll polls one target if it is due and has no poll in flight. A new target is polled after a short delay. The
-// delay depends on a hash of the names of the index node and the target, so that the index nodes do not all call
-// the same worker at once.
+// poll polls one worker or store if it is due and has no poll in flight. A newly listed one is first polled after a
+// delay of at most firstPollRatio. The delay depends on a hash of the names of the index node and the worker or store,
+// so that the index nodes do not all call it at the same moment.
 func (f *eventFollower) poll(c *Core, target pollTarget, now time.Duration) {
 	due, isKnown := f.nextPollAt[target.name]
 	if !isKnown {
@@ -186,15 +191,17 @@
 	go f.fetchEvents(target, request)
 }
 
-// mayRequestFullList reports whether the minimum intervals since the last full lists have passed, both of any worker
-// and of the named one.
+// mayRequestFullList reports whether the complete cache of the named worker or store may be requested now: the minimum
+// intervals since the last such request to any worker or store (fullListRatio) and to the named one
+// (workerFullListRatio) must both have passed.
 func (f *eventFollower) mayRequestFullList(name string, now time.Duration) bool {
 	lastOfWorker, hasList := f.fullListAt[name]
 	hasIntervalPassed := f.lastFullListAt == 0 || now-f.lastFullListAt >= f.interval(fullListRatio)
 	return hasIntervalPassed && (!hasList || now-lastOfWorker >= f.interval(workerFullListRatio))
 }
 
-// fetchEvents sends one request to a target and applies the response. A store whose request fails counts as down.
+// fetchEvents sends one request for cache events, or for the complete cache, to a worker or store and applies the
+// response. If the request to a store fails, the store is recorded as down.
 func (f *eventFollower) fetchEvents(target pollTarget, request ReportRequest) {
 	ctx, cancel := context.WithTimeout(f.node.process.Ctx, f.interval(longPollRatio+responseGraceRatio))
 	defer cancel()
--- a/internal/data/promptindex/events.go
+++ b/internal/data/promptindex/events.go
@@ -17,9 +17,10 @@
 	return request
 }
 
-// ApplyEvents applies a response of a worker or store: the cache changes since request.After, or the complete
-// cache if request.Full. If changes are missing, the known holder records stay and a full list is requested later.
-// If the boot ID has changed, the worker has restarted with an empty cache, and its holder records are invalidated.
+// ApplyEvents applies a response of a worker or store: the cache changes since request.After, or the complete cache if
+// request.Full. If changes are missing from the response (events.Gap), the known holder records stay and the complete
+// cache is requested later. If the boot ID in the response has changed, the worker has restarted with an empty cache,
+// and its holder records are invalidated.
 //
 // Example: c.ApplyEvents(request, events, now)
 func (c *Core) ApplyEvents(request ReportRequest, events backend.CacheEvents, now time.Duration) {
@@ -28,13 +29,14 @@
 		return
 	}
 	worker.respondedAt = now
-	// From now on, any other response to the same request is discarded.
+	// Any other response to the same request now has an outdated pollSequence and is discarded.
 	worker.pollSequence++
 	if bootID := strconv.FormatUint(events.BootID, 10); bootID != worker.incarnation && !worker.applyBootID(request, bootID) {
 		return
 	}
 	if request.Full {
-		// Invalidate the holder records of parts that the worker no longer caches, as the full list lacks them.
+		// Invalidate the holder records of parts that the worker no longer caches, as the list of its complete cache does
+		// not have them.
 		worker.generation++
 		c.Stats.FullReports++
 	} else if events.Gap {
@@ -51,9 +53,10 @@
 	worker.isComplete = worker.isComplete || !events.Gap || request.Full
 }
 
-// applyBootID records the new boot ID of a worker that has restarted, or that responds for the first time. It
-// reports whether the response can be applied. After a restart, a response to a request with a sequence number of
-// the old process can't; the next request then asks for the events since the start of the new process.
+// applyBootID records the new boot ID of a worker that has restarted, or that responds for the first time. It reports
+// whether the response to request can be applied. If the worker has restarted and request.After is a sequence number
+// of its old process, the response is not applied, and the next request asks for all events since the start of the new
+// process.
 func (w *worker) applyBootID(request ReportRequest, bootID string) (isUsable bool) {
 	isFirst := w.incarnation == ""
 	w.incarnation, w.needsFullReport = bootID, false
@@ -90,15 +93,16 @@
 	e.holders[request.Name] = holderRecord{Confirmed, now, worker.generation, uint32(change.Tokens)}
 }
 
-// RecordStoreUp records that a store has responded to a poll.
+// RecordStoreUp records at the health key of a store (StoreHealthKey) that the store has responded to a poll.
 //
 // Example: c.RecordStoreUp("cartons", now)
 func (c *Core) RecordStoreUp(store string, now time.Duration) {
 	c.ensureEntry(StoreHealthKey(store), now).holders[store] = holderRecord{certainty: Presumed, updatedAt: now, generation: c.ensureWorker(store).generation}
 }
 
-// RecordStoreDown records that a store has not responded to a poll. The holder records of the store stay, since
-// only the network path to it may have failed.
+// RecordStoreDown removes the entry of a store's health key (StoreHealthKey), because the store has not responded to a
+// poll. The holder records of the prefixes that the store caches stay, since only the network path to it may have
+// failed.
 //
 // Example: c.RecordStoreDown("cartons")
 func (c *Core) RecordStoreDown(store string) { delete(c.entries, StoreHealthKey(store)) }
--- a/internal/data/promptindex/holdings.go
+++ b/internal/data/promptindex/holdings.go
@@ -9,27 +9,27 @@
 	"pebbleloom/internal/wire"
 )
 
-// The certainty that a worker or store caches a prefix. The values are on the wire.
+// The certainty that a worker or store caches a prefix. The values are sent in wire.Holder.State.
 const (
-	// Presumed means that a request with the prefix was routed to the worker, or that the store was ordered to save
-	// the prefix, but that neither has reported it yet.
+	// Presumed means that a request with the prefix was routed to the worker, or that the store was ordered to save the
+	// prefix, but that the worker or store has not reported yet that it caches the prefix.
 	Presumed uint32 = iota + 1
 	// Confirmed means that the worker or store has reported that it caches the prefix.
 	Confirmed
 )
 
 const (
-	// presumedLifetimeRatio is how long a presumed holder record is valid without confirmation, as a ratio of the
-	// recovery time bound (Bounds.Heal).
+	// presumedLifetimeRatio is how long the record that a worker or store is presumed to cache a prefix is valid without
+	// a report that confirms it, as a ratio of the recovery time bound (Bounds.Heal).
 	presumedLifetimeRatio = 0.5
-	// maxReportAgeRatio is how long a confirmed holder record is valid after the last report of its worker, as a
-	// ratio of the recovery time bound (Bounds.Heal).
+	// maxReportAgeRatio is how long the record that a worker or store has reported to cache a prefix is valid after its
+	// last response to a poll, as a ratio of the recovery time bound (Bounds.Heal).
 	maxReportAgeRatio = 2.5
-	// minCachedRatio is the share of an entry's tokens that a worker must cache to count as a holder. Up to one
-	// block less is tolerated.
+	// minCachedRatio is the share of the tokens of a prompt part that a worker or store must cache to be listed as a
+	// holder. One that lacks fewer than blockTokens tokens is listed in any case.
 	minCachedRatio = 0.9
-	// blockTokens is the size of a block of a worker's KV cache. Workers cache complete blocks only, so the last
-	// tokens of a prefix may be missing.
+	// blockTokens is the number of tokens in a block of a worker's KV cache. Workers cache complete blocks only, so the
+	// last tokens of a prefix may be missing.
 	blockTokens = 16
 )
 
@@ -37,8 +37,8 @@
 type holderRecord struct {
 	certainty uint32
 	updatedAt time.Duration
-	// generation is the worker's generation when the record was made. The record is valid as long as the two are
-	// equal.
+	// generation is the generation of the worker or store when the record was made. The record is invalid once
+	// worker.generation has been incremented.
 	generation uint32
 	// cachedTokens is the number of the entry's tokens that are cached; 0 means all of them.
 	cachedTokens uint32
@@ -49,8 +49,9 @@
 	return h.cachedTokens > 0 && h.cachedTokens+blockTokens <= e.tokens && float64(h.cachedTokens) < minCachedRatio*float64(e.tokens)
 }
 
-// isValid reports whether a holder record is still valid. A presumed record expires unless it is confirmed, and a
-// confirmed one expires when its worker has not reported for too long.
+// isValid reports whether a holder record is still valid. A presumed record expires unless it is confirmed within
+// presumedLifetimeRatio. A confirmed one expires when its worker or store has not responded to a poll for
+// maxReportAgeRatio.
 func (c *Core) isValid(holder string, h holderRecord, now time.Duration) bool {
 	w := c.workers[holder]
 	if w == nil || h.generation != w.generation {
--- a/internal/data/promptindex/keys.go
+++ b/internal/data/promptindex/keys.go
@@ -7,13 +7,14 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// keyBufferSize is the number of bytes of a salt and a part ID that are hashed without a heap allocation.
+// keyBufferSize is the size in bytes of the stack buffer of PartKey. Only a longer text of salt and part ID takes a
+// heap allocation.
 const keyBufferSize = 256
 
-// PartKey returns the index key of a prompt part that is cached under a salt. The ID of a part identifies the
-// complete prompt prefix up to and including the part; the salt stands for the isolation domain, the model and the
-// version of its weights. The length of the salt is hashed too, so that two different pairs of salt and part ID
-// never hash the same text.
+// PartKey returns the index key of a prompt part that is cached under a salt. The ID of a part identifies the complete
+// prompt prefix up to and including the part; the salt stands for the isolation domain, the model and the version of
+// the model's weights. The length of the salt is hashed too, so that two different pairs of salt and part ID never
+// hash the same text.
 //
 // Example: key := promptindex.PartKey("1.2.m0", "5c1e07a2")
 func PartKey(salt, part string) (key prefix.Key) {
--- a/internal/data/promptindex/loadaggregator.go
+++ b/internal/data/promptindex/loadaggregator.go
@@ -18,7 +18,7 @@
 	bounds settings.Bounds
 	// reports has the last report of each proxy, by the proxy's name.
 	reports map[string]*loadReport
-	// uninterruptedSince is the time since which there has always been a valid report of some proxy.
+	// uninterruptedSince is the time since which at least one proxy's report has been valid at every moment.
 	uninterruptedSince time.Duration
 	lastReportAt       time.Duration
 }
@@ -29,14 +29,14 @@
 	receivedAt time.Duration
 }
 
-// NewLoadAggregator returns an aggregator without reports.
+// NewLoadAggregator returns an aggregator that has no reports of worker loads yet.
 //
 // Example: a := promptindex.NewLoadAggregator(bounds)
 func NewLoadAggregator(bounds settings.Bounds) *LoadAggregator {
 	return &LoadAggregator{bounds: bounds, reports: map[string]*loadReport{}}
 }
 
-// lifetime returns how long a report is valid.
+// lifetime returns how long a proxy's report of worker loads is valid after it was received.
 func (a *LoadAggregator) lifetime() time.Duration { return a.bounds.Heal(loadReportLifetimeRatio) }
 
 // IsValidReport reports whether loads is not nil and all of its per-worker arrays have the same length.
@@ -48,7 +48,7 @@
 }
 
 // Record replaces the last report of a proxy. It ignores reports with arrays of different lengths, and reports of
-// further proxies while the number of proxies with valid reports is at its limit.
+// further proxies while the number of proxies with valid reports is at its limit (maxReporters).
 //
 // Example: a.Record("edge/edge-1", request.Loads, now)
 func (a *LoadAggregator) Record(reporter string, loads *wire.WorkerLoads, now time.Duration) {
@@ -68,7 +68,7 @@
 	a.reports[reporter] = &loadReport{loads, now}
 }
 
-// dropExpired removes the reports that are older than the lifetime of a report.
+// dropExpired removes the load reports that were received longer ago than loadReportLifetimeRatio allows.
 func (a *LoadAggregator) dropExpired(now time.Duration) {
 	for reporter, report := range a.reports {
 		if now-report.receivedAt > a.lifetime() {
@@ -80,9 +80,9 @@
 // workerLoad is the load of one worker, summed over the reports of several proxies.
 type workerLoad struct{ inFlight, pendingPrefill, successes, failures uint32 }
 
-// Others returns the sum of the valid reports of all proxies except reporter, so far as they refer to the same list
-// of workers. It returns no loads until reports have arrived for one report lifetime: before that, some proxies may
-// not have reported yet, and a partial sum is worse than none.
+// Others returns the sum of the valid reports of all proxies except reporter, so far as they refer to the list of
+// workers with the hash workerListHash. It returns no loads until reports have arrived for one report lifetime: before
+// that, some proxies may not have sent a report yet, and a partial sum is worse than none.
 //
 // Example: response.Loads = a.Others("edge/edge-1", request.Loads.WorkerListHash, now)
 func (a *LoadAggregator) Others(reporter string, workerListHash uint64, now time.Duration) *wire.WorkerLoads {
--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -12,8 +12,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// Node is an index node. An actor serializes the accesses to its Core. A reportPoller or an eventFollower keeps the Core
-// up to date. The methods of Node serve the RPCs of proxies and of the placement controller.
+// Node is a prompt index node. An actor, a goroutine that runs one function at a time, serializes the accesses to its
+// Core. A reportPoller or an eventFollower keeps the Core up to date. The methods of Node serve the RPCs of proxies
+// and of the placement controller.
 type Node struct {
 	process *daemon.Process
 	actor   *queue.Actor[Core]
@@ -42,7 +43,7 @@
 	meter.Counter("pebbleloom_index_whole_reports_total", "full reports received", n.coreMetric(func(c *Core) float64 { return float64(c.Stats.FullReports) }))
 }
 
-// coreMetric returns a metric callback that reads a value from the Core within the actor.
+// coreMetric returns a metric callback that reads a value from the Core within the actor that guards it.
 func (n *Node) coreMetric(read func(*Core) float64) func() float64 {
 	return func() (value float64) {
 		n.actor.Ask(func(c *Core) { value = read(c) })
@@ -55,8 +56,8 @@
 // Example: mux.Handle(wire.PromptIndexPathPrefix, n.Handler())
 func (n *Node) Handler() http.Handler { return wire.NewPromptIndexServer(n) }
 
-// Lookup handles lookups of keys; malformed keys are ignored. If the request reports the worker loads of a proxy,
-// they are recorded, and the response has the loads reported by the other proxies.
+// Lookup handles lookups of keys; keys of the wrong length are ignored. If the request reports the worker loads of a
+// proxy, they are recorded, and the response has the loads reported by the other proxies.
 //
 // Example: wire.NewPromptIndexProtobufClient(url, h).Lookup(ctx, request)
 func (n *Node) Lookup(_ context.Context, request *wire.LookupRequest) (*wire.LookupResponse, error) {
@@ -78,7 +79,7 @@
 	return response, nil
 }
 
-// Count handles batches of accesses, and the worker loads that a proxy reports with them.
+// Count handles a batch of access counts of prefixes, and the worker loads that a proxy reports with it.
 //
 // Example: wire.NewPromptIndexProtobufClient(url, h).Count(ctx, request)
 func (n *Node) Count(_ context.Context, request *wire.CountRequest) (*wire.CountResponse, error) {
--- a/internal/data/promptindex/reportpoller.go
+++ b/internal/data/promptindex/reportpoller.go
@@ -13,20 +13,22 @@
 	"pebbleloom/internal/wire"
 )
 
-// Intervals and timeouts, as ratios of the recovery time bound (Bounds.Heal).
+// Intervals and timeouts of the requests to workers and to the node agent, as ratios of the recovery time bound
+// (Bounds.Heal).
 const (
-	// reportPollRatio is the interval between two requests to a worker for its cache reports, as a ratio of the
-	// recovery time bound.
+	// reportPollRatio is the interval between two requests to a worker or store for its cache reports, as a ratio of the
+	// recovery time bound (Bounds.Heal).
 	reportPollRatio = 1.0 / 12
-	// reportTimeoutRatio is the timeout of one request to a worker for its cache reports, as a ratio of the recovery
-	// time bound.
+	// reportTimeoutRatio is the timeout of one request to a worker or store for its cache reports, as a ratio of the
+	// recovery time bound (Bounds.Heal).
 	reportTimeoutRatio = 1.0 / 6
-	// updateLongPollRatio is how long the node agent may hold a request for an update until there is one, as a ratio
-	// of the recovery time bound.
+	// updateLongPollRatio is how long the node agent may hold a request for an update of the worker list and the
+	// configuration until there is one, as a ratio of the recovery time bound (Bounds.Heal).
 	updateLongPollRatio = 1.0 / 24
 )
 
-// reportPoller feeds an index node with the numbered cache reports of the workers that the node agent lists.
+// reportPoller feeds an index node with the numbered cache reports of the workers and stores that the node agent
+// lists.
 type reportPoller struct {
 	node *Node
 	// shards is the current assignment of keys to index nodes; nil until the cluster membership is known.
@@ -34,10 +36,10 @@
 	backends *contract.Backends
 	updates  *updatestream.Follower
 
-	// isPolling has the workers with a poll in flight. It is accessed only within the node's actor.
+	// isPolling has the workers and stores with a poll in flight, by name. It is accessed only within the node's actor.
 	isPolling map[string]bool
-	// isListed has the workers that the node agent listed at the last poll. It is accessed only within the node's
-	// actor.
+	// isListed has the workers and stores that the node agent listed at the previous round of polls, by name. It is
+	// accessed only within the node's actor.
 	isListed map[string]bool
 }
 
@@ -95,8 +97,9 @@
 	}))
 }
 
-// reshard recomputes the assignment of keys to index nodes after a change of the cluster membership. If the keys of this
-// node have changed, it updates the node's tables.
+// reshard recomputes the assignment of keys to index nodes after a change of the cluster membership. If other keys
+// than before are assigned to this node, it has the node's Core remove the entries of keys that are no longer
+// assigned, and request the complete caches of all workers.
 func (p *reportPoller) reshard(nodes []*wire.Node) {
 	shards := NewShards(nodes)
 	if old := p.shards.Swap(shards); !shards.SameAssignment(old, p.node.name) {
@@ -104,8 +107,8 @@
 	}
 }
 
-// poll requests cache reports from each listed worker and store that has no poll in flight. It removes those that
-// are not listed any more.
+// poll requests cache reports from each worker and store that the node agent lists and that has no poll in flight. It
+// invalidates the holder records of those that are not listed any more.
 func (p *reportPoller) poll() {
 	snapshot := p.updates.Snapshot()
 	if snapshot == nil {
@@ -132,7 +135,7 @@
 	})
 }
 
-// pollWorker sends one request for cache reports to a worker and applies the response.
+// pollWorker sends one request for cache reports to a worker or store and applies the response to the index.
 func (p *reportPoller) pollWorker(addr string, request ReportRequest) {
 	process := p.node.process
 	ctx, cancel := context.WithTimeout(process.Ctx, process.Settings.Bounds.Heal(reportTimeoutRatio))
--- a/internal/data/promptindex/reports.go
+++ b/internal/data/promptindex/reports.go
@@ -7,23 +7,26 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// worker is the polling state of one worker or store.
+// worker is the state of one worker or store that an index node polls for cache changes.
 type worker struct {
 	// incarnation identifies the process that responded last; "" before the first response.
 	incarnation string
 	// generation is incremented to invalidate all holder records of the worker.
 	generation uint32
-	// lastSequence is the number of the last cache change that is known; the next request asks for later ones.
+	// lastSequence is the number of the last known cache change of the worker; the next request to the worker asks for
+	// later changes.
 	lastSequence uint64
-	// needsFullReport is true if the next request must ask for the complete cache of the worker, not only for changes.
+	// needsFullReport is true if the next request to the worker must ask for the complete cache of the worker, not only
+	// for changes.
 	needsFullReport bool
 	respondedAt     time.Duration
 	// isPolled is true for workers that are polled, and false for workers that are known only as presumed holders.
 	isPolled bool
-	// isComplete is true once the worker has reported everything that it caches.
+	// isComplete is true once the worker has reported its complete cache to this index node, by a full report or by all
+	// cache events since it started.
 	isComplete bool
-	// pollSequence is incremented by each applied response and each removal of the worker, so that responses to earlier
-	// requests are recognized and discarded.
+	// pollSequence is incremented by each applied response and each removal of the worker, so that responses to requests
+	// from before that are recognized and discarded.
 	pollSequence uint64
 }
 
@@ -37,20 +40,20 @@
 	return w
 }
 
-// ReportRequest is a request to a worker or store for its cache changes. The response is discarded if, in the
-// meantime, the worker was removed or a response to another request was applied.
+// ReportRequest is a request to a worker or store for its cache changes. The response is discarded if the worker was
+// removed, or another response of the worker was applied, after the request was made.
 type ReportRequest struct {
 	Name, Service string
-	// After is the number of the last known cache change: later changes are requested.
+	// After is the number of the last cache change that the index node knows; the request asks for later changes.
 	After uint64
-	// Full requests the complete cache contents instead of the changes.
+	// Full is true if the request asks for the complete cache contents instead of the changes.
 	Full bool
-	// pollSequence is the worker's pollSequence at the time of the request. A response is discarded if the worker's
-	// pollSequence has changed since.
+	// pollSequence is the worker's pollSequence when the request was made. The response is discarded if
+	// worker.pollSequence has changed since then.
 	pollSequence uint64
 }
 
-// NextReport returns the next request for the cache reports of a worker.
+// NextReport returns the next request for the cache reports of a worker or store.
 //
 // Example: request := c.NextReport("worker-3", "lectores"); reports := call(request.After, request.Full); c.ApplyReport(request, reports, now)
 func (c *Core) NextReport(name, service string) ReportRequest {
@@ -59,9 +62,10 @@
 	return ReportRequest{name, service, w.lastSequence, w.needsFullReport, w.pollSequence}
 }
 
-// ApplyReport applies a worker's response to a request for its cache reports. If the numbers of its reports have a
-// gap, a full report is requested next, and the known holder records stay until they expire. If the worker has a new
-// incarnation, its holder records are invalidated and a full report is requested as well.
+// ApplyReport applies a worker's response to a request for its cache reports. If the numbers of the worker's reports
+// have a gap, a report of its complete cache is requested next, and the known holder records stay until they expire.
+// If the response comes from a new incarnation of the worker, the worker's holder records are invalidated and the
+// complete cache is requested as well.
 //
 // Example: c.ApplyReport(request, response, now)
 func (c *Core) ApplyReport(request ReportRequest, response contract.CacheReports, now time.Duration) {
@@ -70,7 +74,7 @@
 		return
 	}
 	worker.respondedAt = now
-	// From now on, any other response to the same request is discarded.
+	// Any other response to the same request now has an outdated pollSequence and is discarded.
 	worker.pollSequence++
 	if response.Incarnation != worker.incarnation {
 		worker.incarnation, worker.lastSequence, worker.needsFullReport = response.Incarnation, 0, true
@@ -79,7 +83,8 @@
 	}
 	switch {
 	case response.Complete:
-		// Invalidate the holder records of prefixes that the worker no longer caches, as the full report lacks them.
+		// Invalidate the holder records of prefixes that the worker no longer caches, as the report of its complete cache
+		// does not have them.
 		worker.generation++
 		c.Stats.FullReports++
 		for _, cached := range response.Cached {
@@ -91,8 +96,9 @@
 	}
 }
 
-// applyNumberedReports applies the cache reports that follow the last known one without a gap in their numbers. If
-// this does not reach the last report of the worker, a full report is requested.
+// applyNumberedReports applies those cache reports in a worker's response that follow the worker's last known report
+// without a gap in their numbers. If they do not reach the worker's latest report (response.Number), a report of its
+// complete cache is requested next.
 func (c *Core) applyNumberedReports(request ReportRequest, worker *worker, response contract.CacheReports, now time.Duration) {
 	for _, report := range response.Reports {
 		if report.Number <= worker.lastSequence {
@@ -117,7 +123,8 @@
 	}
 }
 
-// addHolder records that a worker caches a prefix. It ignores keys that are not assigned to this index node.
+// addHolder records that a worker or store has reported a prefix as cached. It ignores keys that are not assigned to
+// this index node.
 func (c *Core) addHolder(request ReportRequest, w *worker, cached contract.CachedPrefix, now time.Duration) {
 	key, ok := prefix.Parse(cached.Key)
 	if !ok || !c.isAssigned(key) {
@@ -133,8 +140,8 @@
 	e.holders[request.Name] = holderRecord{certainty: Confirmed, updatedAt: now, generation: w.generation}
 }
 
-// RemoveWorker invalidates the holder records of a worker that was removed from the deployment, and resets its
-// polling state.
+// RemoveWorker invalidates the holder records of a worker or store that is not listed any more, and resets its polling
+// state.
 //
 // Example: c.RemoveWorker("worker-3")
 func (c *Core) RemoveWorker(name string) {
@@ -145,8 +152,8 @@
 	}
 }
 
-// MarkIncomplete records that this index has missed cache changes of all workers, as it didn't poll them. The index
-// is not warm until the workers have responded again.
+// MarkIncomplete records that this index may have missed cache changes of all workers and stores, as it did not poll
+// them while it was on standby. Warm returns false until they have responded again.
 //
 // Example: c.MarkIncomplete()
 func (c *Core) MarkIncomplete() {
--- a/internal/data/promptindex/serving.go
+++ b/internal/data/promptindex/serving.go
@@ -6,17 +6,18 @@
 	"pebbleloom/internal/wire"
 )
 
-// minServingNodes is the minimum number of serving index nodes, if there are as many. Each key is assigned to two.
+// minServingNodes is the minimum number of index nodes that keys are assigned to, if as many are live. It is 2 because
+// each key is assigned to two index nodes.
 const minServingNodes = 2
 
-// isLive reports whether a node is an index node that is not known to be dead.
+// isLive reports whether a cluster node is a prompt index node that the cluster membership does not regard as dead.
 func isLive(node *wire.Node) bool {
 	return node.Role == clustermembership.RolePromptIndex && node.State < clustermembership.Dead
 }
 
-// ServingNodes selects the live index nodes that keys are assigned to: half of them, but at least two, and in
-// different zones if possible. The others are on standby and do not poll workers. Processes with the same view of
-// the cluster membership select the same nodes.
+// ServingNodes selects the live index nodes that keys are assigned to: half of them, rounded up, but at least two, and
+// in different zones if possible. The other live index nodes are on standby and do not poll workers. Processes with
+// the same view of the cluster membership select the same nodes.
 //
 // Example: s := promptindex.NewShards(promptindex.ServingNodes(snapshot.Nodes))
 func ServingNodes(nodes []*wire.Node) (serving []*wire.Node) {
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -13,20 +13,21 @@
 	"pebbleloom/internal/wire"
 )
 
-// shardCount is the number of shards. The first byte of a key is the number of its shard.
+// shardCount is the number of shards into which the keys of prompt prefixes are divided. The first byte of a key is
+// the number of its shard.
 const shardCount = 256
 
-// Shards assigns each key to two index nodes: the first one in the order of rendezvous hashing, and the next one in
-// another zone, if there is one. It is immutable.
+// Shards assigns each key to two index nodes: the first one in the order of rendezvous hashing for the key's shard,
+// and the next one in that order in another zone, or the second one if there is no other zone. It is immutable.
 type Shards struct {
-	// nodes has the names of the two index nodes of each shard, in the order in which lookups call them; "" if there
-	// are fewer.
+	// nodes has the names of the two index nodes of each shard, in the order in which lookups call them. A name is "" if
+	// fewer than two index nodes are live.
 	nodes [shardCount][2]string
 	// addresses has the address of each live index node, by name.
 	addresses map[string]string
 }
 
-// NewShards assigns the shards to those of nodes that are live index nodes.
+// NewShards assigns each shard to two of the live index nodes in nodes, or to the only one.
 //
 // Example: s := promptindex.NewShards(snapshot.Nodes)
 func NewShards(nodes []*wire.Node) *Shards {
@@ -56,7 +57,8 @@
 	return shards
 }
 
-// NodesOf returns the names of the two index nodes that a key is assigned to; "" if there are fewer.
+// NodesOf returns the names of the two index nodes that a key is assigned to. A name is "" if fewer than two index
+// nodes are live.
 //
 // Example: first := s.NodesOf(key)[0]
 func (s *Shards) NodesOf(key prefix.Key) [2]string { return s.nodes[key[0]] }
@@ -92,14 +94,16 @@
 // Example: addr := s.Addr("catalogue/edge-1")
 func (s *Shards) Addr(name string) string { return s.addresses[name] }
 
-// Lookup looks up keys with one concurrent call to each of their first index nodes. Keys whose node does not
-// respond in time, or is not warm yet, are then looked up on their second node. Each of the two attempts takes at
-// most wait. Keys that neither node responded to are missing from the result; this is not an error.
+// Lookup looks up keys with one concurrent call to each of their first index nodes. Keys whose first node does not
+// respond in time, or responds that it is not warm (it does not have the reports of enough workers yet), are then
+// looked up on their second node. Each of the two attempts takes at most wait. Keys that neither node responded to are
+// missing from the result; this is not an error.
 //
 // Example: found := s.Lookup(ctx, keys, clients.PromptIndex, 20*time.Millisecond)
 func (s *Shards) Lookup(ctx context.Context, keys []prefix.Key, connect func(addr string) wire.PromptIndex, wait time.Duration) map[prefix.Key]*wire.LookupResult {
 	found := make(map[prefix.Key]*wire.LookupResult, len(keys))
-	// isFinal has the keys for which a warm index node has responded.
+	// isFinal has the keys for which an index node has responded that has the reports of enough workers
+	// (LookupResponse.Warm).
 	isFinal := make(map[prefix.Key]bool, len(keys))
 	// mu guards found and isFinal, which the concurrent calls write.
 	var mu sync.Mutex
@@ -119,7 +123,7 @@
 			calls.Go(func() {
 				response := callLookup(callCtx, connect(s.addresses[node]), nodeKeys)
 				if response == nil {
-					// The second attempt, if there is one, looks up the keys of this failed call.
+					// If this is the first attempt, the second one looks up the keys of this failed call on their second nodes.
 					return
 				}
 				mu.Lock()
@@ -135,7 +139,8 @@
 	return found
 }
 
-// callLookup looks up keys on one index node. It returns nil if the call fails or the response is incomplete.
+// callLookup looks up keys on one index node. It returns nil if the call fails or the response does not have one
+// result for each key.
 func callLookup(ctx context.Context, client wire.PromptIndex, keys []prefix.Key) *wire.LookupResponse {
 	request := &wire.LookupRequest{}
 	for _, key := range keys {
@@ -148,8 +153,8 @@
 	return response
 }
 
-// MergeFound merges the lookup results a (may be nil) and b of two index nodes for the same key. For a holder that is in
-// both, the certainty that b reports is used.
+// MergeFound merges the lookup results a (may be nil) and b of two index nodes for the same key. For a worker or store
+// that is a holder in both, the certainty (presumed or confirmed) in b is used.
 //
 // Example: found[key] = promptindex.MergeFound(found[key], response.Results[i])
 func MergeFound(a, b *wire.LookupResult) *wire.LookupResult {
