--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -18,32 +18,33 @@
 	"pebbleloom/internal/wire"
 )
 
-// Intervals and timeouts, as ratios of the bounds in settings.Bounds.
+// Intervals and timeouts of the node agent's requests, as ratios of the time limits in settings.Bounds.
 const (
-	// configTimeoutRatio is the timeout of one request for the configuration, as a ratio of the bound on how
-	// long an outdated configuration stays in use (Bounds.Config).
+	// configTimeoutRatio is the timeout of one request to a control node for the configuration, as a ratio of the bound
+	// on how long an outdated configuration stays in use (Bounds.Config).
 	configTimeoutRatio = 0.3
 	// configLongPollRatio is how long a control node may hold a request for the configuration until there is a newer one,
 	// as a ratio of the bound on how long an outdated configuration stays in use (Bounds.Config). Long polls save calls
-	// while the configuration does not change, but must be short enough for the freshness proof to stay within the bound.
+	// while the configuration does not change, but must be short enough for the freshness proof (FreshnessProof) to be
+	// renewed within that bound.
 	configLongPollRatio = 0.15
 	// configRetryRatio is the delay after a failed request for the configuration, as a ratio of the bound on how long
 	// an outdated configuration stays in use (Bounds.Config).
 	configRetryRatio = 0.05
-	// workerPollRatio is the interval between two requests for the worker list, and between two probes of one worker, as
-	// a ratio of the bound on how long a removed worker still gets requests (Bounds.Leave).
+	// workerPollRatio is the interval between two requests for the platform's worker list, and between two probes of one
+	// worker, as a ratio of the bound on how long a removed worker still gets requests (Bounds.Leave).
 	workerPollRatio = 0.15
-	// listTimeoutRatio is the timeout of a request for the worker list, as a ratio of the bound on how long a removed
-	// worker still gets requests (Bounds.Leave).
+	// listTimeoutRatio is the timeout of one request for the platform's worker list, as a ratio of the bound on how long
+	// a removed worker still gets requests (Bounds.Leave).
 	listTimeoutRatio = 0.3
-	// probeTimeoutRatio is the timeout of one probe of a worker, as a ratio of the bound on how long a removed worker
-	// still gets requests (Bounds.Leave).
+	// probeTimeoutRatio is the timeout of one health probe of a worker, as a ratio of the bound on how long a removed
+	// worker still gets requests (Bounds.Leave).
 	probeTimeoutRatio = 0.25
 	// placementPollRatio is the interval between two requests for the placement of a service, as a ratio of the recovery
 	// time bound (Bounds.Heal).
 	placementPollRatio = 1.0 / 12
-	// placementTimeoutRatio is the timeout of one request for a placement, as a ratio of the recovery time bound
-	// (Bounds.Heal).
+	// placementTimeoutRatio is the timeout of one request for the placement of a service, as a ratio of the recovery time
+	// bound (Bounds.Heal).
 	placementTimeoutRatio = 1.0 / 24
 )
 
@@ -60,31 +61,37 @@
 // agentState is the mutable state of a node agent. It is accessed only within the agent's actor.
 type agentState struct {
 	proof *FreshnessProof
-	// config is the configuration in use; nil if there is none, or if it can't be decoded.
+	// config is the configuration in use, decoded; nil if there is none, or if it can't be decoded.
 	config  *serviceconfig.Config
 	workers *WorkerTable
-	// rows has the workers as they are sent in updates. Rows are replaced but never modified, because responses share
-	// them.
+	// rows has the workers as they are sent in updates to the processes on this machine. The slice and its elements are
+	// replaced, never modified, because responses that are being sent refer to them.
 	rows       []*wire.Worker
 	membership clustermembership.View
 	// placements has the newest known placement of each service, by the name of the service.
 	placements map[string]*wire.Document
-	// links has the throughput of recent fetches of cached prefixes, by the class of the network link.
+	// links has the throughput of recent fetches of cached prefixes over the network, by the class of the network link.
 	links map[string]*wire.LinkThroughput
-	// outcomes has the outcomes of recent requests to each worker, by the name of the worker.
+	// outcomes has the numbers of recent successful and failed attempts of the proxy on this machine at each worker, by
+	// the name of the worker.
 	outcomes map[string]*recentOutcomes
 	// decisions has the latest routing decisions of the proxy on this machine, oldest first.
 	decisions []*wire.Decision
-	// version is incremented whenever anything in an update changes.
+	// version is the version of the update that is sent to the processes on this machine. Each change increments it and
+	// wakes waiting requests, except changes of only the loads and recent outcomes of workers, or of the throughput of
+	// links.
 	version uint64
-	// listsVersion is incremented whenever the workers, nodes, placements, stores or links in an update change.
+	// listsVersion is the version of the lists in an update: workers, nodes, placements, stores and links. It is
+	// incremented by each change of nodes or placements, and each time that the workers are published.
 	listsVersion uint64
-	// waiters has a channel for each waiting request for an update. It is closed when there is an update.
+	// waiters has a channel for each request that waits for an update. All of these channels are closed when there is
+	// one.
 	waiters map[chan struct{}]bool
 }
 
-// newAgentState returns an empty state. Its version numbers start at random values, so that a client that knows a
-// version from before a restart of the node agent does not mistake a new version for it.
+// newAgentState returns the state of a node agent that has just started. The version numbers of its updates start at
+// random values, so that a client that knows a version from before a restart of the node agent does not mistake a
+// later update for the one that it knows.
 func newAgentState(process *daemon.Process) *agentState {
 	return &agentState{
 		version:      process.Seed(),
@@ -128,7 +135,7 @@
 	return agent.serve()
 }
 
-// addMetrics registers the metrics of workers and cluster nodes.
+// addMetrics registers the metrics of the numbers of workers that are up and of cluster nodes that are not dead.
 func (a *Agent) addMetrics() {
 	a.process.Meter.Gauge("pebbleloom_workers_up", "workers that this machine sees up", func() (up float64) {
 		a.actor.Ask(func(s *agentState) {
@@ -150,7 +157,8 @@
 	})
 }
 
-// serve starts the servers for the processes on this machine, for the cluster membership and for operators.
+// serve starts the server for the processes on this machine and for the cluster membership protocol, and the server
+// for operators.
 func (a *Agent) serve() error {
 	settings := a.process.Settings
 	mux := http.NewServeMux()
--- a/internal/data/nodeagent/follow.go
+++ b/internal/data/nodeagent/follow.go
@@ -11,9 +11,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// followConfig long-polls one member of the control state shard that stores the configuration, until the process stops.
-// Each member is polled by its own goroutine, so that a member that does not respond does not delay updates from the
-// others.
+// followConfig long-polls one member of the control state shard that stores the configuration, until the process
+// stops. Each member is polled by its own goroutine, so that a member that does not respond does not delay updates
+// from the other members.
 func (a *Agent) followConfig(member string) {
 	bounds := a.process.Settings.Bounds
 	for a.process.Ctx.Err() == nil {
@@ -30,8 +30,8 @@
 	}
 }
 
-// watchConfig sends a long poll for a configuration newer than knownVersion to a shard member. It returns nil if there
-// is no response.
+// watchConfig sends a long poll for a configuration newer than knownVersion to a shard member. It returns nil if the
+// address of the member is not known or the request fails.
 func (a *Agent) watchConfig(member string, knownVersion uint64) *wire.WatchResponse {
 	bounds := a.process.Settings.Bounds
 	addr, ok := a.member.View().Addr(clustermembership.RoleControlNode + "/" + member)
@@ -48,8 +48,8 @@
 	return response
 }
 
-// applyConfig applies a shard member's response to the freshness proof. If this proves a newer configuration, the agent
-// uses it from now on.
+// applyConfig applies the response of a control state shard member to the freshness proof. If two members have now
+// attested a newer configuration, the agent uses it from now on.
 func (a *Agent) applyConfig(state *agentState, member string, knownVersion uint64, requestedAt time.Duration, response *wire.WatchResponse) {
 	defer state.notifyWaiters()
 	if !state.proof.HandleResponse(member, knownVersion, requestedAt, response) {
@@ -69,14 +69,15 @@
 	a.process.Log.Info("applied a new configuration", "version", document.Version)
 }
 
-// followPlacements requests newer placements of all services that have workers.
+// followPlacements requests from the control state a newer placement of each service that has workers.
 func (a *Agent) followPlacements() {
 	var knownVersions map[string]uint64
 	a.actor.Ask(func(s *agentState) { knownVersions = s.placementVersions() })
 	for service, knownVersion := range knownVersions {
 		shard := controlclient.ShardOf(service)
 		members := controlclient.Members(shard, a.process.Settings.Core)
-		// Ask a different member each second.
+		// The requests go to a different member of the shard in each second, so that a failed member does not stop the
+		// updates.
 		member := members[int(a.clock.Now()/time.Second)%len(members)]
 		if addr, ok := a.member.View().Addr(clustermembership.RoleControlNode + "/" + member); ok {
 			a.followPlacement(addr, shard, service, knownVersion)
@@ -84,9 +85,9 @@
 	}
 }
 
-// placementVersions returns the known version of the placement of each configured service that has workers, 0 if none is
-// known; services without workers have no placement. It also removes the placements of services that are no longer
-// configured.
+// placementVersions returns the known version of the placement of each configured service that has workers, or 0 if no
+// placement of it is known; services without workers have no placement. It also removes the placements of services
+// that are no longer configured.
 func (s *agentState) placementVersions() map[string]uint64 {
 	versions := map[string]uint64{}
 	if s.config == nil {
@@ -105,7 +106,8 @@
 	return versions
 }
 
-// followPlacement requests a newer placement of one service from a shard member, which responds at once.
+// followPlacement requests a placement of one service that is newer than knownVersion from a control state shard
+// member. The member responds at once, also if it has none.
 func (a *Agent) followPlacement(addr string, shard uint32, service string, knownVersion uint64) {
 	ctx, cancel := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Heal(placementTimeoutRatio))
 	defer cancel()
--- a/internal/data/nodeagent/freshnessproof.go
+++ b/internal/data/nodeagent/freshnessproof.go
@@ -14,21 +14,23 @@
 // recent enough.
 type FreshnessProof struct{ current, next attestedConfig }
 
-// attestedConfig is a configuration and the attestations for it.
+// attestedConfig is a configuration and the statements of shard members that their disks have no newer one.
 type attestedConfig struct {
-	// document is the configuration document; nil if there is none.
+	// document is the configuration as it is stored in the control state; nil if there is none.
 	document *wire.Document
 	// attestations has the latest attestation of each member, by the name of the member.
 	attestations map[string]attestation
 }
 
-// attestation is the statement of one shard member that its disk has no newer configuration.
+// attestation is the statement of one control state shard member that its disk has no newer configuration.
 type attestation struct {
-	// requestedAt is the time at which the request was sent. The member made the statement later.
+	// requestedAt is the time at which the node agent sent the request that the member answered with the statement. The
+	// member made the statement later than that.
 	requestedAt time.Duration
-	// incarnation is the incarnation of the member that made the statement.
+	// incarnation is the incarnation of the shard member that made the statement.
 	incarnation string
-	// acceptedIncarnations has the incarnations of the other members that this member regards as valid.
+	// acceptedIncarnations has the incarnations of the other shard members that the member that made the statement
+	// regards as valid.
 	acceptedIncarnations []*wire.KnownIncarnation
 }
 
@@ -43,23 +45,23 @@
 	return true
 }
 
-// NewFreshnessProof returns a proof without a configuration.
+// NewFreshnessProof returns a proof that has no configuration and no statements of shard members yet.
 //
 // Example: p := nodeagent.NewFreshnessProof()
 func NewFreshnessProof() *FreshnessProof {
 	return &FreshnessProof{current: attestedConfig{attestations: map[string]attestation{}}}
 }
 
-// LatestVersion returns the newest version that was received, whether or not it is in use yet. The next request sends it
-// as the known version.
+// LatestVersion returns the newest version of the configuration that any shard member has sent, whether or not it is
+// in use yet. The next request for the configuration sends it as the known version.
 //
 // Example: request.KnownVersion = p.LatestVersion()
 func (p *FreshnessProof) LatestVersion() uint64 {
 	return max(p.current.document.GetVersion(), p.next.document.GetVersion())
 }
 
-// HandleResponse applies the response of a member to a request that was sent at requestedAt with knownVersion as the
-// known version. It reports whether the configuration in use has changed.
+// HandleResponse applies the response of a shard member to a request for a configuration newer than knownVersion,
+// which was sent at requestedAt. It reports whether the configuration in use has changed.
 //
 // Example: changed := p.HandleResponse("core-1", 7, requestedAt, response)
 func (p *FreshnessProof) HandleResponse(member string, knownVersion uint64, requestedAt time.Duration, response *wire.WatchResponse) bool {
@@ -88,17 +90,17 @@
 	return false
 }
 
-// attest records the statement of a member, unless a statement in response to a later request is known: responses may
-// arrive out of order.
+// attest records the statement of a shard member that it has no newer configuration, unless its response to a later
+// request was recorded before: responses may arrive out of order.
 func (c *attestedConfig) attest(member string, requestedAt time.Duration, response *wire.WatchResponse) {
 	if requestedAt > c.attestations[member].requestedAt {
 		c.attestations[member] = attestation{requestedAt, response.Incarnation, response.KnownIncarnations}
 	}
 }
 
-// freshUntil returns the latest time t for which two members have made statements in response to requests sent at t or
-// later, or zero if there are no two such members. Each of the two must regard the other's incarnation as valid, because
-// a member whose name another machine has taken over must not count.
+// freshUntil returns the latest time t for which two shard members have stated, in response to requests sent at t or
+// later, that they have no newer configuration. It returns zero if there are no two such members. Each of the two must
+// regard the other's incarnation as valid, because a member whose name another machine has taken over must not count.
 func (c *attestedConfig) freshUntil() (latest time.Duration) {
 	for nameA, a := range c.attestations {
 		for nameB, b := range c.attestations {
@@ -110,8 +112,8 @@
 	return latest
 }
 
-// FreshUntil returns the time up to which no configuration newer than the one in use had been acknowledged; zero if there
-// is no proof.
+// FreshUntil returns the time up to which no configuration newer than the one in use had been acknowledged as
+// committed; zero if this is not proved for any time.
 //
 // Example: if now-p.FreshUntil() > bound { reject() }
 func (p *FreshnessProof) FreshUntil() time.Duration { return p.current.freshUntil() }
--- a/internal/data/nodeagent/outcomes.go
+++ b/internal/data/nodeagent/outcomes.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	// outcomeDecayRatio is the time in which the weight of the outcome of an attempt decays to 1/e, as a ratio of the
-	// recovery time bound (Bounds.Heal).
+	// outcomeDecayRatio is the time in which the weight of an attempt in the recent outcomes of a worker decays to 1/e,
+	// as a ratio of the recovery time bound (Bounds.Heal).
 	outcomeDecayRatio = 1.0
-	// linkDecay is multiplied with the weight of earlier fetches over a class of links at each new report of fetches.
+	// linkDecay is the factor by which the tokens and times of earlier prefix fetches over a class of network links are
+	// multiplied when a new fetch report is added to them.
 	linkDecay = 0.98
-	// maxLinkClasses limits the classes of links whose throughput is recorded.
+	// maxLinkClasses limits the number of classes of network links whose throughput is recorded.
 	maxLinkClasses = 8
 )
 
@@ -24,7 +25,7 @@
 	updatedAt         time.Duration
 }
 
-// decay applies the exponential decay of the counts up to now.
+// decay applies the exponential decay of the counts of successes and failures up to now.
 func (o *recentOutcomes) decay(now, timeConstant time.Duration) {
 	weight := math.Exp(-float64(now-o.updatedAt) / float64(timeConstant))
 	o.succeeded, o.failed, o.updatedAt = o.succeeded*weight, o.failed*weight, now
@@ -58,7 +59,7 @@
 	outcomes.failed += float64(report.Failures)
 }
 
-// recordLink adds reported prefix fetches to the throughput of their class of links.
+// recordLink adds the prefix fetches in a report to the throughput of their class of network links.
 func (s *agentState) recordLink(report *wire.AttemptReport) {
 	if report.LinkNs <= 0 {
 		return
--- a/internal/data/nodeagent/updates.go
+++ b/internal/data/nodeagent/updates.go
@@ -10,15 +10,18 @@
 )
 
 const (
-	// maxWaitTime limits how long a request waits for an update.
+	// maxWaitTime limits how long a request to the node agent waits for an update.
 	maxWaitTime = 10 * time.Second
-	// maxWaiters limits the requests that wait for an update at the same time. Further requests get a response at once.
+	// maxWaiters limits the number of requests to the node agent that wait for an update at the same time. Further
+	// requests get a response at once.
 	maxWaiters = 64
-	// maxDecisions limits the stored routing decisions of the proxy on this machine.
+	// maxDecisions limits the number of routing decisions of the proxy on this machine that are stored; the latest ones
+	// are kept.
 	maxDecisions = 1024
 )
 
-// notifyWaiters increments the version of the update, and wakes the requests that wait for an update.
+// notifyWaiters increments the version of the update for the processes on this machine, and wakes the requests that
+// wait for it.
 func (s *agentState) notifyWaiters() {
 	s.version++
 	for waiter := range s.waiters {
@@ -27,13 +30,15 @@
 	clear(s.waiters)
 }
 
-// notifyListsChanged increments the version of the lists in the update, and wakes the requests that wait for an update.
+// notifyListsChanged increments the versions of the update for the processes on this machine and of the lists in it,
+// and wakes the requests that wait for an update.
 func (s *agentState) notifyListsChanged() {
 	s.listsVersion++
 	s.notifyWaiters()
 }
 
-// Explain returns the stored routing decisions that the proxy on this machine made for a request.
+// Explain returns the stored routing decisions that the proxy on this machine made for one client request, given by
+// its ID.
 //
 // Example: wire.NewNodeAgentProtobufClient(url, h).Explain(ctx, &wire.ExplainRequest{RequestId: "r1"})
 func (a *Agent) Explain(_ context.Context, request *wire.ExplainRequest) (*wire.ExplainResponse, error) {
@@ -48,8 +53,9 @@
 	return response, nil
 }
 
-// Feed handles the long polls of the processes on this machine. It responds as soon as there is an update, or when the
-// wait time of the request has passed. It also records the attempts and decisions that the request reports.
+// Feed handles the long polls of the processes on this machine for updates of the configuration and the lists. It
+// responds as soon as there is an update, or when the wait time of the request has passed. It also records the
+// attempts at workers and the routing decisions that the request reports.
 //
 // Example: wire.NewNodeAgentProtobufClient(url, h).Feed(ctx, &wire.FeedRequest{KnownVersion: 9, MaxWaitNs: 2e8})
 func (a *Agent) Feed(ctx context.Context, request *wire.FeedRequest) (*wire.FeedResponse, error) {
@@ -89,7 +95,7 @@
 	}
 }
 
-// hasFired reports whether a timer has fired, and drains its channel.
+// hasFired reports whether a timer has fired, and drains the timer's channel.
 func hasFired(timer *time.Timer) bool {
 	select {
 	case <-timer.C:
@@ -99,15 +105,16 @@
 	}
 }
 
-// recordReports records the attempts and decisions that the proxy on this machine reports in a request for an update.
+// recordReports records the attempts at workers and the routing decisions that the proxy on this machine reports in a
+// request for an update.
 func (a *Agent) recordReports(s *agentState, request *wire.FeedRequest) {
 	a.recordAttempts(s, request.Attempts)
 	s.decisions = append(s.decisions, request.Decisions...)
 	s.decisions = s.decisions[max(0, len(s.decisions)-maxDecisions):]
 }
 
-// newResponse returns the update for a request. It leaves out the configuration and the lists if the client already has
-// their current versions.
+// newResponse returns the response to a request for an update. It leaves out the configuration, and the lists of
+// workers, nodes, placements, links and stores, if the client already has their current versions.
 func (s *agentState) newResponse(request *wire.FeedRequest) *wire.FeedResponse {
 	response := &wire.FeedResponse{Version: s.version, ListsVersion: s.listsVersion, ProofAtNs: uint64(s.proof.FreshUntil()),
 		Config: s.proof.Document(), WorkersListedAtNs: uint64(s.workers.listedAt)}
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// maxWorkers limits the workers in the table; further workers in the platform's list are ignored.
+	// maxWorkers limits the number of workers in a WorkerTable; further workers in the platform's list are ignored.
 	maxWorkers = 1024
-	// maxProbeAgeRatio is the time since the last successful probe of a worker after which it gets no more requests, as a
-	// ratio of the bound on how long a removed worker still gets requests (Bounds.Leave).
+	// maxProbeAgeRatio is the time since the start of the last successful probe of a worker after which the worker gets
+	// no more requests, as a ratio of the bound on how long a removed worker still gets requests (Bounds.Leave).
 	maxProbeAgeRatio = 0.6
 )
 
-// refreshWorkers reads the platform's list of workers and applies it. If the request fails, the previous list stays in
-// use.
+// refreshWorkers requests the platform's list of workers and applies it to the worker table. If the request fails, the
+// previous list stays in use.
 func (a *Agent) refreshWorkers() {
 	requestedAt := a.clock.Now()
 	ctx, cancel := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Leave(listTimeoutRatio))
@@ -53,7 +53,7 @@
 }
 
 // publishWorkers replaces the rows that are sent in updates by the current state of the worker table. It wakes the
-// requests that wait for an update, unless only loads and recent outcomes have changed.
+// requests that wait for an update, unless only the loads and recent outcomes of workers have changed.
 func (a *Agent) publishWorkers(state *agentState) {
 	var draining map[string]bool
 	if state.config != nil {
@@ -74,7 +74,8 @@
 	}
 }
 
-// isSameExceptLoad reports whether two rows are equal, apart from their load and recent outcomes.
+// isSameExceptLoad reports whether two rows have the same worker name, address, health state, incarnation and models.
+// It ignores the load and the recent outcomes of the worker.
 func isSameExceptLoad(a, b *wire.Worker) bool {
 	return a.Name == b.Name && a.Addr == b.Addr && a.State == b.State && a.Weights == b.Weights &&
 		a.Incarnation == b.Incarnation && a.Model == b.Model && slices.EqualFunc(a.LoadedModels, b.LoadedModels, isSameLoadedModel)
@@ -85,8 +86,8 @@
 	return a.Model == b.Model && a.Weights == b.Weights && maps.Equal(a.Adapters, b.Adapters)
 }
 
-// WorkerTable tracks the health of the workers in the platform's list by probes and by failed attempts of the proxy. It
-// is not safe for concurrent use.
+// WorkerTable tracks the health of the workers in the platform's list by health probes and by failed attempts of the
+// proxy on this machine. It is not safe for concurrent use.
 type WorkerTable struct {
 	bounds settings.Bounds
 	// workers has the state of each listed worker, by the name of the worker.
@@ -98,27 +99,27 @@
 // worker is the state of one worker in the platform's list.
 type worker struct {
 	listed contract.ListedWorker
-	// state is what the worker reported in its last successful probe.
+	// state is what the worker reported in response to its last successful probe.
 	state contract.WorkerState
-	// probedAt is the time at which the last successful probe was started; 0 if there was none.
+	// probedAt is the time at which the last successful probe of the worker was started; 0 if there was none.
 	probedAt time.Duration
-	// respondedAt is the time at which the last successful probe ended.
+	// respondedAt is the time at which the worker's response to its last successful probe was received.
 	respondedAt time.Duration
-	// failedAt is the time of the last failed attempt or probe.
+	// failedAt is the time of the last failed probe of the worker or failed attempt of the proxy at it.
 	failedAt time.Duration
-	// isProbing is true while a probe is in flight.
+	// isProbing is true while a probe of the worker is in flight.
 	isProbing bool
 }
 
-// NewWorkerTable returns an empty table.
+// NewWorkerTable returns a table without workers.
 //
 // Example: w := nodeagent.NewWorkerTable(bounds)
 func NewWorkerTable(bounds settings.Bounds) *WorkerTable {
 	return &WorkerTable{bounds: bounds, workers: map[string]*worker{}}
 }
 
-// ApplyList applies the platform's list of workers, which was requested at requestedAt. Workers that are not in the list
-// are removed at once. A worker whose address has changed is a new incarnation, of which nothing is known yet.
+// ApplyList applies the platform's list of workers, which was requested at requestedAt. Workers that are not in the
+// list are removed at once. A worker whose address has changed counts as a new one whose health is not known yet.
 //
 // Example: w.ApplyList(list, requestedAt)
 func (workers *WorkerTable) ApplyList(list []contract.ListedWorker, requestedAt time.Duration) {
@@ -156,7 +157,8 @@
 	return due
 }
 
-// RecordProbe records the result of a probe. A response from a different worker at the same address counts as a failure.
+// RecordProbe records the result of a health probe of a worker that was started at startedAt and ended now. A response
+// from a different worker at the same address counts as a failure.
 //
 // Example: w.RecordProbe(worker, state, err == nil, startedAt, now)
 func (workers *WorkerTable) RecordProbe(probed contract.ListedWorker, state contract.WorkerState, succeeded bool, startedAt, now time.Duration) {
@@ -172,7 +174,7 @@
 	known.failedAt = now
 }
 
-// RecordAttempts records which workers have failed attempts of the proxy on this machine.
+// RecordAttempts records, as of now, the workers at which attempts of the proxy on this machine have failed.
 //
 // Example: w.RecordAttempts(reports, now)
 func (workers *WorkerTable) RecordAttempts(reports []*wire.AttemptReport, now time.Duration) {
@@ -183,8 +185,8 @@
 	}
 }
 
-// Rows returns the workers as they are sent in updates, sorted by name. draining has the names of the workers that are
-// marked as draining in the configuration.
+// Rows returns the workers as they are sent in updates to the processes on this machine, sorted by name. draining has
+// the names of the workers that are marked as draining in the configuration.
 //
 // Example: rows := w.Rows(config.Draining, now)
 func (workers *WorkerTable) Rows(draining map[string]bool, now time.Duration) (rows []*wire.Worker) {
@@ -199,8 +201,8 @@
 	return rows
 }
 
-// health returns the state of a worker that is sent in updates. A worker that was never probed successfully, or not for
-// too long, as in a network partition, gets no requests.
+// health returns the health state of a worker that is sent in updates. A worker that was never probed successfully, or
+// not within maxProbeAgeRatio, as in a network partition, is WorkerGone and gets no requests.
 func (workers *WorkerTable) health(known *worker, isDrained bool, now time.Duration) uint32 {
 	switch {
 	case known.probedAt == 0 || now-known.probedAt > workers.bounds.Leave(maxProbeAgeRatio):
@@ -213,7 +215,8 @@
 	return updatestream.WorkerUp
 }
 
-// loadedModels returns the models that a worker reports to have in memory, if it reports more than a single model.
+// loadedModels returns the list of models that a worker reports to have in memory; nil if the worker reports no such
+// list, but only a single model.
 func loadedModels(state contract.WorkerState) (models []*wire.LoadedModel) {
 	for _, loaded := range state.Loaded {
 		models = append(models, &wire.LoadedModel{Model: loaded.Model, Weights: loaded.Weights, Adapters: loaded.Adapters})
