--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -14,15 +14,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// key returns the n-th of a sequence of different keys.
+// key returns the n-th of a sequence of different prefix keys.
 func key(n int) prefix.Key { return prefix.Chain("shared", "m", 1, []string{fmt.Sprint(n)})[0].Key }
 
-// cachedPrefix returns the element of a cache report for key(n).
+// cachedPrefix returns the element of a cache report which states that a worker caches the prefix with key(n).
 func cachedPrefix(n int) contract.CachedPrefix {
 	return contract.CachedPrefix{Key: key(n).String(), Tokens: 10}
 }
 
-// holdersOf returns the valid holders of key(number), each formatted as "name:certainty ".
+// holdersOf returns the workers and stores that the index lists as holders of key(number), each formatted as
+// "name:certainty ", with certainty 1 for presumed and 2 for confirmed.
 func holdersOf(core *Core, number int, now time.Duration) string {
 	text := ""
 	for _, h := range core.Lookup([]prefix.Key{key(number)}, now)[0].Holders {
@@ -31,10 +32,11 @@
 	return text
 }
 
-// anyKey assigns all keys to the index node under test.
+// anyKey is an assignment function for NewCore that assigns all keys to the index node under test.
 func anyKey(prefix.Key) bool { return true }
 
-// applyReport applies reports as the response to the next request to "worker".
+// applyReport makes the next request for cache reports to the worker named "worker" and applies reports as its
+// response.
 func applyReport(core *Core, reports contract.CacheReports, now time.Duration) {
 	core.ApplyReport(core.NextReport("worker", "s"), reports, now)
 }
@@ -48,7 +50,8 @@
 		{Number: 3, Added: []contract.CachedPrefix{cachedPrefix(1)}},
 		{Number: 4, Removed: []string{key(2).String(), key(3).String()}},
 	}
-	// After all four reports the worker caches key 1 alone; want has the holders of key 1.
+	// want has the holders of key 1 after all four reports, when the worker caches only key 1: it is a confirmed holder
+	// (certainty 2).
 	want := "worker:2 "
 	orders, fullRequests := 0, 0
 	var walk func(left []contract.CacheReport, applied []contract.CacheReport)
@@ -66,21 +69,22 @@
 			applyReport(core, contract.CacheReports{Incarnation: "i", Number: 4, Complete: true, Cached: []contract.CachedPrefix{cachedPrefix(1)}}, 4)
 		}
 		if of1, of2, of3 := holdersOf(core, 1, 5), holdersOf(core, 2, 5), holdersOf(core, 3, 5); of1 != want || of2+of3 != "" {
-			t.Fatalf("holders after the reports %v: key 1 %q, key 2 %q, key 3 %q; want \"worker:2 \" (confirmed) for key 1 and none for the others", done, of1, of2, of3)
+			t.Fatalf("holders after the cache reports %v: got for key 1 %q, key 2 %q, key 3 %q; want \"worker:2 \" (confirmed) for key 1 and none for the others", done, of1, of2, of3)
 		}
 		for i := range left {
 			walk(append(append([]contract.CacheReport(nil), left[:i]...), left[i+1:]...), append(append([]contract.CacheReport(nil), done...), left[i]))
 		}
 	}
 	walk(reports, nil)
-	// Every sequence of reports except the complete, ascending one makes a full report necessary.
+	// Of the 65 ordered subsets of four reports, only the one with all four in ascending order makes no full report
+	// necessary.
 	if orders != 65 || fullRequests != 64 {
-		t.Fatalf("tested %d report orders with %d full reports requested; want 65 orders with 64 full reports", orders, fullRequests)
+		t.Fatalf("got %d tested orders of cache reports, %d of which led to a request for a full report; want 65 orders and 64 requests", orders, fullRequests)
 	}
 }
 
-// Presumed holders expire unless a report confirms them. Confirmed holders expire when the worker stops reporting, and
-// at once when it has a new incarnation.
+// Presumed holders of a prefix expire unless a cache report confirms them. Confirmed holders expire when the worker
+// stops responding to polls, and at once when a new incarnation of the worker responds.
 func TestHoldingsLapseUnlessConfirmed(t *testing.T) {
 	bounds := settings.DefaultBounds()
 	accessed := key(1)
@@ -91,30 +95,30 @@
 	applyReport(core, contract.CacheReports{Incarnation: "i", Complete: true}, 1)
 	recordPresumedHolder(core, 1, 1)
 	if got := holdersOf(core, 1, bounds.Heal(0.4)); got != "worker:1 " {
-		t.Errorf("prefix presumed to be cached, after 0.4 of the recovery time bound without confirmation: got holders %q, want \"worker:1 \" (presumed)", got)
+		t.Errorf("holders of a prefix that a worker is presumed to cache, after 0.4 of the recovery time bound without confirmation: got %q, want \"worker:1 \" (presumed)", got)
 	}
 	if got := holdersOf(core, 1, bounds.Heal(0.6)); got != "" {
-		t.Errorf("prefix presumed to be cached, after 0.6 of the recovery time bound without confirmation: got holders %q, want none", got)
+		t.Errorf("holders of a prefix that a worker is presumed to cache, after 0.6 of the recovery time bound without confirmation: got %q, want none", got)
 	}
 	applyReport(core, contract.CacheReports{Incarnation: "i", Number: 1, Reports: []contract.CacheReport{{Number: 1, Added: []contract.CachedPrefix{cachedPrefix(1)}}}}, bounds.Heal(1))
 	if got := holdersOf(core, 1, bounds.Heal(3)); got != "worker:2 " {
-		t.Errorf("prefix reported as cached, after twice the recovery time bound without further reports: got holders %q, want \"worker:2 \" (confirmed)", got)
+		t.Errorf("holders of a prefix that a worker reported as cached, after twice the recovery time bound without further reports: got %q, want \"worker:2 \" (confirmed)", got)
 	}
 	if got := holdersOf(core, 1, bounds.Heal(4)); got != "" {
-		t.Errorf("prefix reported as cached, after 3 times the recovery time bound without further reports: got holders %q, want none", got)
+		t.Errorf("holders of a prefix that a worker reported as cached, after 3 times the recovery time bound without further reports: got %q, want none", got)
 	}
 	applyReport(core, contract.CacheReports{Incarnation: "i", Complete: true, Number: 1, Cached: []contract.CachedPrefix{cachedPrefix(1)}}, bounds.Heal(4))
 	applyReport(core, contract.CacheReports{Incarnation: "j"}, bounds.Heal(4))
 	if got := holdersOf(core, 1, bounds.Heal(4)); got != "" {
-		t.Errorf("prefix cached by the previous incarnation of a worker, after a report of the new incarnation: got holders %q, want none", got)
+		t.Errorf("holders of a prefix that the previous incarnation of a worker cached, after a response of the new incarnation: got %q, want none", got)
 	}
 	if !core.NextReport("worker", "s").Full {
-		t.Error("the next request to a worker with a new incarnation does not ask for a full report")
+		t.Error("next request to a worker after a response of its new incarnation: got Full false, want true")
 	}
 }
 
-// A batch of accesses that is sent several times is counted once. An index node that restarted and no longer knows the
-// reporter asks it to resend its window of batches.
+// A batch of accesses that is sent several times is counted once. An index node that has restarted, and has no
+// deduplication state for the sender, asks it to resend its recent batches.
 func TestBatchIsCountedOnce(t *testing.T) {
 	accessed := key(1)
 	newRequest := func(incarnation, sequence uint64) *wire.CountRequest {
@@ -127,21 +131,22 @@
 	core.RecordAccesses(newRequest(1, 2), 1)
 	core.RecordAccesses(newRequest(1, 1), 1)
 	if h := core.Lookup([]prefix.Key{accessed}, 1)[0].Hotness; h != 10 {
-		t.Errorf("hotness after two batches of 5 accesses, the first sent 4 times: got %v, want 10", h)
+		t.Errorf("hotness of a key after two batches of 5 accesses to it, the first sent 4 times: got %v, want 10", h)
 	}
 	if got := core.RecordAccesses(newRequest(2, 1), 1); got.ResendWindow || got.Sequence != 1 {
-		t.Errorf("response to the first batch of a reporter's new incarnation: got %v, want sequence 1 without resend_window", got)
+		t.Errorf("response to batch 1 of a sender's new incarnation: got %v, want sequence 1 and resend_window false", got)
 	}
 	if got := NewCore(settings.DefaultBounds(), anyKey).RecordAccesses(newRequest(1, 7), 1); !got.ResendWindow {
-		t.Error("a new index did not ask an unknown reporter, whose batch has number 7, to resend its window")
+		t.Error("response of a new index to batch 7 of an unknown sender: got ResendWindow false, want true")
 	}
 	if h := core.Lookup([]prefix.Key{accessed}, 1+30*time.Second)[0].Hotness; h > 6 || h < 5 {
-		t.Errorf("hotness after 15 accesses have decayed for 30 s: got %v, want 5 to 6", h)
+		t.Errorf("hotness of a key 30 s after 15 accesses to it, with a decay time constant of 30 s: got %v, want 5 to 6", h)
 	}
 }
 
-// Late batches from a reporter's previous incarnation are not counted as batches of the current one. When the reporter
-// table is full, resent batches of further reporters are not counted twice.
+// Late batches of access counts from the previous incarnation of a sender are not counted as batches of the current
+// one. While the index has deduplication state for its maximum number of senders, resent batches of further senders
+// are not counted twice.
 func TestLateAndEvictedReportersAreNotCountedTwice(t *testing.T) {
 	bounds, accessed := settings.DefaultBounds(), key(1)
 	newRequest := func(reporter string, incarnation, sequence uint64) *wire.CountRequest {
@@ -149,13 +154,13 @@
 	}
 	hotness := func(core *Core) float64 { return core.Lookup([]prefix.Key{accessed}, 1)[0].Hotness }
 	core := NewCore(bounds, anyKey)
-	// The batches are pairs of incarnation and sequence number. The later incarnation has the smaller number, as is possible
-	// after a reboot.
+	// Each batch is a pair of the sender's incarnation and the batch's sequence number. Incarnation 4 follows incarnation
+	// 9: the numbers may decrease after a reboot of the sender's machine.
 	for _, batch := range [][2]uint64{{9, 1}, {4, 1}, {9, 1}, {9, 2}, {4, 1}, {4, 2}} {
 		core.RecordAccesses(newRequest("d", batch[0], batch[1]), 1)
 	}
 	if h := hotness(core); h != 3 {
-		t.Errorf("hotness after 3 different batches of 1 access, some sent again: got %v, want 3", h)
+		t.Errorf("hotness of a key after 3 different batches of 1 access to it, some sent again: got %v, want 3", h)
 	}
 	core = NewCore(bounds, anyKey)
 	for range 2 {
@@ -164,10 +169,10 @@
 		}
 	}
 	if h := hotness(core); h != maxReporters || len(core.reporters) != maxReporters {
-		t.Errorf("after 1074 reporters sent the same batch twice: got hotness %v and %d remembered reporters, want 1024 of each", h, len(core.reporters))
+		t.Errorf("after each of 1074 senders sent a batch of 1 access to the same key twice: got hotness %v and deduplication state of %d senders, want 1024 of each (the maximum number of senders)", h, len(core.reporters))
 	}
 	if core.RecordAccesses(newRequest("new", 1, 1), bounds.Heal(2)); core.reporters["new"] == nil || len(core.reporters) != maxReporters {
-		t.Error("a new reporter did not replace one of the 1024 known reporters, which had sent no batch for twice the recovery time bound")
+		t.Error("a new sender of access counts did not replace one of the 1024 known senders, which had sent no batch for twice the recovery time bound")
 	}
 }
 
@@ -177,7 +182,7 @@
 func TestEveryOrderOfAWorkerReturning(t *testing.T) {
 	old := contract.CacheReports{Incarnation: "a", Number: 3, Complete: true, Cached: []contract.CachedPrefix{cachedPrefix(1)}}
 	next := contract.CacheReports{Incarnation: "b", Number: 1, Complete: true, Cached: []contract.CachedPrefix{cachedPrefix(2)}}
-	events := []string{"request to old", "report from old", "removal", "request to new", "report from new"}
+	events := []string{"request to the old incarnation", "report from the old incarnation", "removal of the worker", "request to the new incarnation", "report from the new incarnation"}
 	orders := 0
 	var walk func(done []string)
 	walk = func(done []string) {
@@ -188,35 +193,35 @@
 			hasLeft := false
 			for _, event := range done {
 				switch event {
-				case "removal":
+				case "removal of the worker":
 					core.RemoveWorker("worker")
 					hasLeft = true
-				case "report from old":
-					core.ApplyReport(requests["request to old"], old, 1)
-				case "report from new":
-					core.ApplyReport(requests["request to new"], next, 1)
+				case "report from the old incarnation":
+					core.ApplyReport(requests["request to the old incarnation"], old, 1)
+				case "report from the new incarnation":
+					core.ApplyReport(requests["request to the new incarnation"], next, 1)
 				default:
 					requests[event] = core.NextReport("worker", "s")
 				}
 				if hasLeft && holdersOf(core, 1, 1) != "" {
-					t.Fatalf("event order %q: after %q the removed incarnation is still a holder of its prefix", done, event)
+					t.Fatalf("order of events %q: after event %q the worker is still listed as a holder of the prefix that its removed incarnation reported; want no holders", done, event)
 				}
 			}
 			if got := holdersOf(core, 2, 1); got != "worker:2 " {
-				t.Fatalf("event order %q: holders of the prefix reported by the new incarnation: got %q, want \"worker:2 \" (confirmed)", done, got)
+				t.Fatalf("order of events %q: holders of the prefix that the new incarnation of the worker reported: got %q, want \"worker:2 \" (confirmed)", done, got)
 			}
 			return
 		}
 		for _, event := range events {
 			isDone := func(x string) bool { return slices.Contains(done, x) }
-			if isDone(event) || event == "report from old" && !isDone("request to old") || event == "report from new" && !isDone("request to new") || event == "request to new" && !isDone("removal") || event == "removal" && !isDone("request to old") {
+			if isDone(event) || event == "report from the old incarnation" && !isDone("request to the old incarnation") || event == "report from the new incarnation" && !isDone("request to the new incarnation") || event == "request to the new incarnation" && !isDone("removal of the worker") || event == "removal of the worker" && !isDone("request to the old incarnation") {
 				continue
 			}
 			walk(append(slices.Clone(done), event))
 		}
 	}
 	if walk(nil); orders != 4 {
-		t.Fatalf("tested %d event orders, want 4", orders)
+		t.Fatalf("number of tested orders of the requests, reports and removal of a worker: got %d, want 4", orders)
 	}
 }
 
@@ -249,7 +254,7 @@
 			t.Fatalf("index nodes of a key: got %q, want two nodes in different zones (the zone of c-N is N modulo 4)", assigned)
 		}
 		if assigned[0] != "c-8" && assignedWithout[0] != assigned[0] {
-			t.Fatalf("first index node of a key after the removal of c-8: got %[2]s, want %[1]s as before", assigned[0], assignedWithout[0])
+			t.Fatalf("first index node of a key, which was not c-8, after the removal of index node c-8: got %[2]s, want %[1]s as before", assigned[0], assignedWithout[0])
 		}
 		keysByNode[assigned[0]]++
 	}
@@ -283,7 +288,7 @@
 	megabytes := heap() - before
 	t.Logf("memory of an index with %d entries of 3 holders each: %.1f MB", len(core.entries), megabytes)
 	if len(core.entries) != bounds.MaxIndexEntries || megabytes > 60 {
-		t.Errorf("a full index has %d entries and takes %.1f MB; want MaxIndexEntries entries and at most 60 MB", len(core.entries), megabytes)
+		t.Errorf("full index with 3 holders for each entry: got %d entries in %.1f MB, want MaxIndexEntries entries in at most 60 MB", len(core.entries), megabytes)
 	}
 	runtime.KeepAlive(core)
 }
--- a/internal/data/promptindex/eventfollower_test.go
+++ b/internal/data/promptindex/eventfollower_test.go
@@ -20,7 +20,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// indexNodes returns live index nodes, one in each of the given zones.
+// indexNodes returns live prompt index nodes, one for each of the given zones, which may repeat.
 func indexNodes(zones ...string) (nodes []*wire.Node) {
 	for i, zone := range zones {
 		nodes = append(nodes, &wire.Node{Name: fmt.Sprintf("catalogue/core-%d", i), Role: clustermembership.RolePromptIndex, Zone: zone, Addr: fmt.Sprintf("10.0.0.%d:1", i)})
@@ -32,17 +32,17 @@
 	four := indexNodes("a", "a", "b", "b")
 	serving := ServingNodes(append(four, &wire.Node{Name: "edge/1", Role: "edge"}))
 	if len(serving) != 2 || serving[0].Zone == serving[1].Zone {
-		t.Fatalf("serving index nodes of 4 nodes in 2 zones: got %v, want 2 nodes in different zones", serving)
+		t.Fatalf("serving index nodes of 4 index nodes in 2 zones: got %v, want 2 nodes in different zones", serving)
 	}
 	reversed := slices.Clone(four)
 	slices.Reverse(reversed)
 	if others := ServingNodes(reversed); others[0].Name != serving[0].Name || others[1].Name != serving[1].Name {
-		t.Fatal("the selection of serving index nodes depends on the order of the nodes in the membership")
+		t.Fatal("serving index nodes after the list of cluster nodes was reversed: got different ones, want the same ones in the same order")
 	}
 	serving[0].State = 2
 	others := ServingNodes(four)
 	if len(others) != 2 || others[0] != serving[1] && others[1] != serving[1] || others[0] == serving[0] || others[1] == serving[0] {
-		t.Fatal("after the death of one of 2 serving index nodes, the other one must keep serving and a standby node must replace the dead one")
+		t.Fatal("serving index nodes after the death of one of 2, with 2 others on standby: want the surviving one and a replacement from the standby nodes")
 	}
 	if n := len(ServingNodes(indexNodes("a", "a", "a", "a", "b", "b", "b", "b"))); n != 4 {
 		t.Fatalf("number of serving index nodes, of 8: got %d, want 4", n)
@@ -56,11 +56,11 @@
 type fakeWorkers struct {
 	backend.Client
 	mu sync.Mutex
-	// eventCalls counts the calls for cache events.
+	// eventCalls counts the calls of CacheEvents.
 	eventCalls map[string]int
-	// fullListCalls counts the calls for the complete cache.
+	// fullListCalls counts the calls of CachedPrefixes, which request the complete cache.
 	fullListCalls map[string]int
-	// hasGap makes the first response with events report that changes are missing.
+	// hasGap makes the responses to requests for all events since the worker's start report that changes are missing.
 	hasGap        bool
 	unreachable   map[string]bool
 	waits         []time.Duration
@@ -70,7 +70,7 @@
 	isThrottled bool
 }
 
-// startCall counts a call to an address, and fails if the address is unreachable.
+// startCall counts a call to the fake worker at an address, and fails if this is set to be unreachable.
 func (w *fakeWorkers) startCall(addr string, calls map[string]int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -89,7 +89,7 @@
 	w.mu.Unlock()
 }
 
-// CacheEvents implements backend.Client: each call returns the event that part a is cached.
+// CacheEvents implements backend.Client: each call returns the cache event that 10 tokens of part a are cached.
 func (w *fakeWorkers) CacheEvents(_ context.Context, addr string, since uint64, wait time.Duration) (backend.CacheEvents, error) {
 	defer w.endCall(addr)
 	if err := w.startCall(addr, w.eventCalls); err != nil {
@@ -101,7 +101,7 @@
 	return backend.CacheEvents{BootID: 1, NextSequence: 5, Gap: w.hasGap && since == 0, Throttled: w.isThrottled, Changes: []backend.CacheChange{cacheChange("a", 10)}}, nil
 }
 
-// CachedPrefixes implements backend.Client: the complete cache has the parts a and b.
+// CachedPrefixes implements backend.Client: each call returns a complete cache that has the prompt parts a and b.
 func (w *fakeWorkers) CachedPrefixes(_ context.Context, addr string) (backend.CacheEvents, error) {
 	defer w.endCall(addr)
 	if err := w.startCall(addr, w.fullListCalls); err != nil {
@@ -130,20 +130,21 @@
 	})
 }
 
-// wait advances the simulated clock.
+// wait advances the simulated clock by d, and waits until all goroutines of the test are blocked.
 func wait(d time.Duration) {
 	<-time.NewTimer(d).C
 	synctest.Wait()
 }
 
-// newSnapshot returns a snapshot with two workers of a service with a prompt cache, a worker of one without, and a store.
+// newSnapshot returns a snapshot with two workers of a service with a prompt cache, a worker of a service without one,
+// and a store.
 func newSnapshot(nodes []*wire.Node) *fleet.Snapshot {
 	return &fleet.Snapshot{Nodes: nodes, Workers: []fleet.Worker{{ID: "w1", Service: "llm", Addr: "1:1"}, {ID: "w2", Service: "llm", Addr: "1:2"}, {ID: "p", Service: "app", Addr: "1:9"}},
 		Plan: &routingconfig.Plan{Services: []routingconfig.Service{{Name: "llm", Engine: &routingconfig.Engine{MaxPolls: 12}}, {Name: "app"}, {Name: "d", Store: &routingconfig.Store{Addr: "2:1"}}}}}
 }
 
-// Polls take resources of the workers. A serving index node makes one call to each worker per poll interval, and none to
-// workers without a prompt cache. An index node on standby makes no calls.
+// Each poll for cache events takes resources of the polled worker. A serving index node makes one call to each worker
+// per poll interval, and none to workers without a prompt cache. An index node on standby makes no calls.
 func TestWorkersArePolledAtTheirPace(t *testing.T) {
 	bounds := settings.DefaultBounds()
 	workers := &fakeWorkers{}
@@ -151,11 +152,11 @@
 		wait(10 * bounds.Heal(pollRatio))
 		for _, a := range []string{"1:1", "1:2", "2:1"} {
 			if workers.eventCalls[a] < 9 || workers.eventCalls[a] > 11 {
-				t.Errorf("number of polls of %s in 10 poll intervals: got %d, want 9 to 11", a, workers.eventCalls[a])
+				t.Errorf("number of polls of the worker or store at %s in 10 poll intervals: got %d, want 9 to 11", a, workers.eventCalls[a])
 			}
 		}
 		if workers.eventCalls["1:9"] != 0 || len(workers.fullListCalls) != 0 || workers.maxInFlight != 1 {
-			t.Errorf("got %d polls of the worker without a prompt cache, calls for the complete cache %v, and up to %d concurrent calls to one worker; want 0, none and 1", workers.eventCalls["1:9"], workers.fullListCalls, workers.maxInFlight)
+			t.Errorf("polls in 10 poll intervals: got %d polls of the worker without a prompt cache, calls for the complete cache %v, and up to %d concurrent calls to one worker; want 0, none and 1", workers.eventCalls["1:9"], workers.fullListCalls, workers.maxInFlight)
 		}
 		k, up := PartKey("s", "a"), StoreHealthKey("d")
 		a, err := n.Lookup(context.Background(), &wire.LookupRequest{Keys: [][]byte{k[:], up[:]}})
@@ -173,7 +174,7 @@
 	}
 	runSite(t, workers, newSnapshot(nodes), func(*Node) { wait(bounds.Heal(1)) })
 	if len(workers.eventCalls) != 0 {
-		t.Errorf("polls by an index node on standby: got %v, want none", workers.eventCalls)
+		t.Errorf("numbers of polls by an index node on standby, by worker address: got %v, want none", workers.eventCalls)
 	}
 }
 
--- a/internal/data/promptindex/loadaggregator_test.go
+++ b/internal/data/promptindex/loadaggregator_test.go
@@ -9,20 +9,22 @@
 	"pebbleloom/internal/wire"
 )
 
-// newLoads returns a report of the loads of one worker, given by its index in a worker list.
+// newLoads returns a proxy's report of the load of one worker, which is given by its index in the worker list with the
+// hash list.
 func newLoads(list uint64, worker, inFlight, pending, succeeded, failed uint32) *wire.WorkerLoads {
 	return &wire.WorkerLoads{WorkerListHash: list, WorkerIndexes: []uint32{worker}, InFlight: []uint32{inFlight}, PendingPrefill: []uint32{pending}, Successes: []uint32{succeeded}, Failures: []uint32{failed}}
 }
 
-// newWarmAggregator returns an aggregator whose first report is old enough, at now, for it to return sums.
+// newWarmAggregator returns an aggregator that returns sums of loads from now on, since its first report is one report
+// lifetime old.
 func newWarmAggregator(now time.Duration) *LoadAggregator {
 	aggregator := NewLoadAggregator(settings.DefaultBounds())
 	aggregator.Record("before", newLoads(0, 0, 0, 0, 0, 0), now-aggregator.bounds.Heal(loadReportLifetimeRatio))
 	return aggregator
 }
 
-// An index node that has just started, or has received no reports for a while, may not have the reports of all proxies
-// yet. It must not return partial sums.
+// An index node that has just started, or has received no load reports for a while, may not have the reports of all
+// proxies yet. It must not return partial sums of worker loads.
 func TestIncompleteLoadsAreNotPassedOn(t *testing.T) {
 	b := settings.DefaultBounds()
 	aggregator, now := NewLoadAggregator(b), time.Hour
@@ -30,31 +32,31 @@
 		at := now + time.Duration(i)*b.Heal(loadReportLifetimeRatio)/2
 		aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
 		if total := aggregator.Others("c", 1, at); (total.Reporters > 0) != (i == 2) {
-			t.Errorf("reporters in the sum of loads, %d half report lifetimes after the first report: got %d, want 0 before 2 half lifetimes and at least 1 from then on", i, total.Reporters)
+			t.Errorf("number of reporters in the sum of worker loads, %d half report lifetimes after the first report: got %d, want 0 before 2 half lifetimes and at least 1 from then on", i, total.Reporters)
 		}
 	}
 	at := now + 3*b.Heal(loadReportLifetimeRatio)
 	aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
 	if total := aggregator.Others("c", 1, at); total.Reporters > 0 {
-		t.Errorf("reporters in the sum of loads, after 2 report lifetimes without reports: got %d, want 0", total.Reporters)
+		t.Errorf("number of reporters in the sum of worker loads, after 2 report lifetimes without reports: got %d, want 0", total.Reporters)
 	}
 }
 
 func TestLoadsAreAddedUpOverOtherReporters(t *testing.T) {
 	aggregator, now := newWarmAggregator(time.Hour), time.Hour
 	aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
-	// This report replaces the first one of a.
+	// This load report of proxy a replaces the first one.
 	aggregator.Record("a", newLoads(1, 7, 2, 20, 8, 0), now)
 	aggregator.Record("b", newLoads(1, 7, 3, 30, 0, 8), now)
 	aggregator.Record("b2", newLoads(1, 4, 1, 0, 16, 0), now)
-	// The report of c is excluded from the sum for c.
+	// The load report of proxy c is excluded from the sum that c gets.
 	aggregator.Record("c", newLoads(1, 7, 50, 50, 0, 0), now)
-	// The report of d is excluded because it refers to a different worker list.
+	// The load report of proxy d is excluded from the sum because it refers to a different worker list.
 	aggregator.Record("d", newLoads(2, 7, 50, 50, 0, 0), now)
 	total := aggregator.Others("c", 1, now)
 	if total.Reporters != 3 || total.WorkerListHash != 1 || !slices.Equal(total.WorkerIndexes, []uint32{4, 7}) || !slices.Equal(total.InFlight, []uint32{1, 5}) ||
 		!slices.Equal(total.PendingPrefill, []uint32{0, 50}) || !slices.Equal(total.Successes, []uint32{16, 8}) || !slices.Equal(total.Failures, []uint32{0, 8}) {
-		t.Fatalf("sum of the loads reported by proxies other than c: got %v, want 3 reporters and, for workers 4 and 7, in_flight 1 and 5, pending_prefill 0 and 50, successes 16 and 8, failures 0 and 8", total)
+		t.Fatalf("sum of the worker loads reported by proxies other than c: got %v, want 3 reporters and, for workers 4 and 7, in_flight 1 and 5, pending_prefill 0 and 50, successes 16 and 8, failures 0 and 8", total)
 	}
 }
 
@@ -63,10 +65,10 @@
 	aggregator, now := newWarmAggregator(time.Hour), time.Hour
 	aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
 	if total := aggregator.Others("b", 1, now+b.Heal(loadReportLifetimeRatio)); total.Reporters != 1 {
-		t.Fatalf("sum of the loads exactly one report lifetime after the report: got %v, want 1 reporter", total)
+		t.Fatalf("sum of the worker loads exactly one report lifetime after the report: got %v, want 1 reporter", total)
 	}
 	if total := aggregator.Others("b", 1, now+b.Heal(loadReportLifetimeRatio)+1); total.Reporters != 0 || len(total.WorkerIndexes) != 0 {
-		t.Fatalf("sum of the loads more than one report lifetime after the report: got %v, want no reporters and no workers", total)
+		t.Fatalf("sum of the worker loads more than one report lifetime after the report: got %v, want no reporters and no workers", total)
 	}
 }
 
@@ -75,12 +77,12 @@
 	aggregator.Record("a", &wire.WorkerLoads{WorkerListHash: 1, WorkerIndexes: []uint32{1, 2}, InFlight: []uint32{1}}, now)
 	aggregator.Record("b", nil, now)
 	if total := aggregator.Others("c", 1, now); total.Reporters != 0 {
-		t.Fatalf("sum of the loads after a report with arrays of different lengths and a nil report: got %v, want no reporters", total)
+		t.Fatalf("sum of the worker loads after a report with arrays of different lengths and a nil report: got %v, want no reporters", total)
 	}
 }
 
-// The number of stored reports is limited, however many proxies report. When the limit is reached, new reports replace
-// expired ones.
+// The number of stored load reports is limited, however many proxies report. When the limit is reached, new reports
+// replace expired ones.
 func TestReportersAreBounded(t *testing.T) {
 	b := settings.DefaultBounds()
 	aggregator, now := NewLoadAggregator(b), time.Hour
@@ -88,12 +90,12 @@
 		aggregator.Record("x"+string(rune(i)), newLoads(1, 0, 1, 0, 0, 0), now)
 	}
 	if len(aggregator.reports) > maxReporters {
-		t.Fatalf("stored reports after reports of 3072 proxies: got %d, want at most 1024", len(aggregator.reports))
+		t.Fatalf("number of stored load reports after reports of 3072 proxies: got %d, want at most 1024", len(aggregator.reports))
 	}
 	later := now + 3*b.Heal(loadReportLifetimeRatio)
 	aggregator.Record("old", newLoads(1, 0, 1, 0, 0, 0), later-b.Heal(loadReportLifetimeRatio))
 	aggregator.Record("new", newLoads(1, 0, 1, 0, 0, 0), later)
 	if total := aggregator.Others("c", 1, later); total.Reporters != 2 {
-		t.Fatalf("reporters in the sum of loads, after 2 new reports and 1024 expired ones: got %d, want 2", total.Reporters)
+		t.Fatalf("number of reporters in the sum of worker loads, after 2 new reports and 1024 expired ones: got %d, want 2", total.Reporters)
 	}
 }
