--- a/internal/data/nodeagent/freshnessproof_test.go
+++ b/internal/data/nodeagent/freshnessproof_test.go
@@ -8,18 +8,19 @@
 	"pebbleloom/internal/wire"
 )
 
-// unchangedResponse returns a member's statement that its disk has no configuration newer than the known version.
+// unchangedResponse returns the response of a shard member which states that its disk has no configuration newer than
+// the known version.
 func unchangedResponse() *wire.WatchResponse {
 	return &wire.WatchResponse{Outcome: wire.OutcomeUnchanged}
 }
 
-// updatedResponse returns a response with a newer configuration. With nothingNewer the member also states that its disk
-// has no configuration newer than that.
+// updatedResponse returns the response of a shard member with a configuration of a version. If nothingNewer is true,
+// the member also states that its disk has no newer configuration than this one.
 func updatedResponse(version uint64, nothingNewer bool) *wire.WatchResponse {
 	return &wire.WatchResponse{Outcome: wire.OutcomeUpdated, NothingNewer: nothingNewer, Document: &wire.Document{Version: version, Body: []byte("x")}}
 }
 
-// receivedResponse has the arguments of one call of HandleResponse.
+// receivedResponse has the arguments of one call of FreshnessProof.HandleResponse.
 type receivedResponse struct {
 	member       string
 	knownVersion uint64
@@ -44,8 +45,9 @@
 	return n
 }
 
-// Applies six responses in every order. A configuration must be in use only once two members have attested it, the proof
-// must not be later than two of the members attested, and the version in use must not decrease.
+// Applies six responses of shard members in every order. A configuration must come into use exactly when two members
+// have stated that they have no newer one, the proof must reach exactly to the second latest of the members' request
+// times, and the version in use must not decrease.
 func TestEveryOrderOfResponses(t *testing.T) {
 	responses := []receivedResponse{{"a", 1, 10, unchangedResponse()}, {"b", 1, 20, unchangedResponse()}, {"c", 1, 30, updatedResponse(2, true)}, {"a", 1, 25, updatedResponse(2, false)}, {"a", 2, 40, unchangedResponse()}, {"b", 1, 35, updatedResponse(2, true)}}
 	adopted := 0
@@ -75,7 +77,7 @@
 			}
 			sort.Slice(requestTimes, func(i, j int) bool { return requestTimes[i] > requestTimes[j] })
 			if proof.Document().Version != inUse || proof.FreshUntil() != requestTimes[1] {
-				t.Fatalf("response order %v: got configuration version %d proved fresh until %d, want version %d proved fresh until %d", order, proof.Document().Version, proof.FreshUntil(), inUse, requestTimes[1])
+				t.Fatalf("order of responses %v: got configuration version %d proved fresh until %d, want version %d proved fresh until %d", order, proof.Document().Version, proof.FreshUntil(), inUse, requestTimes[1])
 			}
 		}
 		if proof.Document().Version == 2 {
@@ -83,7 +85,7 @@
 		}
 	})
 	if orders != 720 || adopted < orders/2 {
-		t.Fatalf("tested %d response orders, of which %d ended with the newer configuration in use; want 720 orders and at least half of them", orders, adopted)
+		t.Fatalf("got %d tested orders of responses, %d of which ended with the newer configuration in use; want 720 orders, and at least 360 that end with it", orders, adopted)
 	}
 }
 
@@ -95,6 +97,6 @@
 	}
 	proof.HandleResponse("b", 1, 20, &wire.WatchResponse{Outcome: wire.OutcomeUnknown})
 	if proof.FreshUntil() != 0 || proof.Document() != nil {
-		t.Fatalf("after attestations of a single member: got a configuration in use, or a proof of freshness until %d; want no configuration and 0", proof.FreshUntil())
+		t.Fatalf("after statements of a single shard member that it has no newer configuration: got configuration in use %v, proved fresh until %d; want no configuration and 0", proof.Document(), proof.FreshUntil())
 	}
 }
--- a/internal/data/nodeagent/workers_test.go
+++ b/internal/data/nodeagent/workers_test.go
@@ -16,12 +16,13 @@
 	failedReport = []*wire.AttemptReport{{Worker: "worker-1", Failures: 1}}
 )
 
-// afterProbe returns the time that is a ratio of Bounds.Leave after the first successful probe.
+// afterProbe returns the time at which a ratio of Bounds.Leave has passed since the successful probe of
+// newProbedTable.
 func afterProbe(ratio float64) time.Duration {
 	return time.Second + settings.DefaultBounds().Leave(ratio)
 }
 
-// newProbedTable returns a table with one worker, which was probed successfully after one second.
+// newProbedTable returns a table with one worker, which was probed successfully at time 1 s.
 func newProbedTable() *WorkerTable {
 	workers := NewWorkerTable(settings.DefaultBounds())
 	workers.ApplyList([]contract.ListedWorker{listedWorker}, time.Second)
@@ -33,7 +34,7 @@
 // notInTable is the result of healthOf for an empty table.
 const notInTable = -1
 
-// healthOf returns the state of the only worker in a table, or notInTable if the table is empty.
+// healthOf returns the health state of the only worker in a table, or notInTable if the table is empty.
 func healthOf(workers *WorkerTable, draining map[string]bool, now time.Duration) int {
 	rows := workers.Rows(draining, now)
 	if len(rows) == 0 {
@@ -42,7 +43,8 @@
 	return int(rows[0].State)
 }
 
-// Worker lists, probes, failed attempts and the configuration determine the state of a worker that proxies see.
+// The platform's worker list, health probes, failed attempts of the proxy and the configuration determine the health
+// state of a worker that proxies see.
 func TestWorkerHealth(t *testing.T) {
 	draining, moved, drainingState := listedWorker, listedWorker, healthyState
 	draining.Draining, drainingState.Draining = true, true
@@ -54,29 +56,29 @@
 		now   time.Duration
 		want  int
 	}{
-		{"listed and probed", func(*WorkerTable) {}, afterward, int(updatestream.WorkerUp)},
-		{"last successful probe is too long ago", func(*WorkerTable) {}, afterProbe(0.7), int(updatestream.WorkerGone)},
-		{"removed from the platform's list", func(workers *WorkerTable) { workers.ApplyList(nil, afterward) }, afterward, notInTable},
-		{"draining in the platform's list", func(workers *WorkerTable) {
+		{"listed and probed successfully", func(*WorkerTable) {}, afterward, int(updatestream.WorkerUp)},
+		{"last successful probe of the worker is too long ago", func(*WorkerTable) {}, afterProbe(0.7), int(updatestream.WorkerGone)},
+		{"worker was removed from the platform's list", func(workers *WorkerTable) { workers.ApplyList(nil, afterward) }, afterward, notInTable},
+		{"worker is draining in the platform's list", func(workers *WorkerTable) {
 			workers.ApplyList([]contract.ListedWorker{draining}, afterward)
 		}, afterward, int(updatestream.WorkerDraining)},
-		{"draining in its own report", func(workers *WorkerTable) {
+		{"worker reports itself as draining in a probe", func(workers *WorkerTable) {
 			workers.RecordProbe(listedWorker, drainingState, true, afterward, afterward)
 		}, afterward, int(updatestream.WorkerDraining)},
-		{"an attempt failed after its last probe", func(workers *WorkerTable) {
+		{"attempt of the proxy failed after the last probe of the worker", func(workers *WorkerTable) {
 			workers.RecordAttempts(failedReport, afterward)
 		}, afterward, int(updatestream.WorkerSuspect)},
-		{"a successful probe clears a failed attempt", func(workers *WorkerTable) {
+		{"successful probe of the worker after a failed attempt of the proxy", func(workers *WorkerTable) {
 			workers.RecordAttempts(failedReport, afterward)
 			workers.RecordProbe(listedWorker, healthyState, true, afterProbe(0.2), afterProbe(0.2))
 		}, afterProbe(0.2), int(updatestream.WorkerUp)},
-		{"a different worker responds at its address", func(workers *WorkerTable) {
+		{"a different worker responds to a probe of the listed address", func(workers *WorkerTable) {
 			workers.RecordProbe(listedWorker, contract.WorkerState{Name: "worker-9"}, true, afterward, afterward)
 		}, afterward, int(updatestream.WorkerSuspect)},
-		{"listed with a new address, not probed there yet", func(workers *WorkerTable) {
+		{"worker is listed with a new address and not probed there yet", func(workers *WorkerTable) {
 			workers.ApplyList([]contract.ListedWorker{moved}, afterward)
 		}, afterward, int(updatestream.WorkerGone)},
-		{"late result of a probe of its old address", func(workers *WorkerTable) {
+		{"late successful probe of the old address of a worker listed with a new one", func(workers *WorkerTable) {
 			workers.ApplyList([]contract.ListedWorker{moved}, afterward)
 			workers.RecordProbe(listedWorker, healthyState, true, afterward, afterward)
 		}, afterward, int(updatestream.WorkerGone)},
@@ -85,12 +87,12 @@
 			workers := newProbedTable()
 			test.event(workers)
 			if got := healthOf(workers, nil, test.now); got != test.want {
-				t.Errorf("worker state: got %d, want %d (0 up, 1 suspect, 2 draining, 3 gone, -1 not in the table)", got, test.want)
+				t.Errorf("health state of the only worker in the table: got %d, want %d (0 up, 1 suspect, 2 draining, 3 gone, -1 not in the table)", got, test.want)
 			}
 		})
 	}
 	if got := healthOf(newProbedTable(), map[string]bool{"worker-1": true}, afterward); got != int(updatestream.WorkerDraining) {
-		t.Errorf("state of a worker that is draining in the configuration: got %d, want 2 (draining)", got)
+		t.Errorf("health state of a worker that is draining in the configuration: got %d, want 2 (draining)", got)
 	}
 }
 
@@ -118,7 +120,7 @@
 		workers.RecordProbe(listed, contract.WorkerState{Name: "w", Weights: 1}, true, now, now)
 		var draining map[string]bool
 		if workers.Rows(draining, now)[0].State != updatestream.WorkerUp {
-			t.Fatal("a listed and successfully probed worker that is not draining: got a state other than WorkerUp")
+			t.Fatalf("health state of a listed and successfully probed worker that is not draining: got %d, want 0 (WorkerUp)", workers.Rows(draining, now)[0].State)
 		}
 		changed, state, unlisted := listed, contract.WorkerState{Name: "w", Weights: 1}, false
 		for _, i := range done {
@@ -141,12 +143,12 @@
 			workers.RecordProbe(changed, state, true, now, now)
 			rows := workers.Rows(draining, now)
 			if unlisted != (len(rows) == 0) || !unlisted && rows[0].State != updatestream.WorkerDraining {
-				t.Fatalf("event order %v, after event %d (0 to 2: draining, 3: removal): got rows %v, want one draining row, or none after the removal", done, i, rows)
+				t.Fatalf("order of events %v, after event %d (0 to 2: draining, 3: removal): got worker rows %v, want one draining worker, or no row after the removal", done, i, rows)
 			}
 		}
 	}
 	visit(nil, 0)
 	if orders != 24 {
-		t.Fatalf("tested %d event orders, want 24", orders)
+		t.Fatalf("number of tested orders of the 3 events that drain a worker and of its removal: got %d, want 24", orders)
 	}
 }
