--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -1,6 +1,6 @@
-// Package nodeagent implements the agent that runs on each edge machine, beside a proxy. It follows the configuration and
-// the placements in the control state, proves that the configuration in use is fresh, checks the health of the workers,
-// and serves updates of all this over loopback to the other processes on the machine.
+// Package nodeagent implements the agent that runs on each edge machine, beside a proxy. It follows the configuration
+// and the placements of prompt prefixes in the control state, proves that the configuration in use is fresh, checks
+// the health of the workers, and serves updates of all this over loopback to the other processes on the machine.
 package nodeagent
 
 import (
@@ -40,11 +40,11 @@
 	// probeTimeoutRatio is the timeout of one health probe of a worker, as a ratio of the bound on how long a removed
 	// worker still gets requests (Bounds.Leave).
 	probeTimeoutRatio = 0.25
-	// placementPollRatio is the interval between two requests for the placement of a service, as a ratio of the recovery
-	// time bound (Bounds.Heal).
+	// placementPollRatio is the interval between two requests for the placement of a service's prompt prefixes, as a
+	// ratio of the recovery time bound (Bounds.Heal).
 	placementPollRatio = 1.0 / 12
-	// placementTimeoutRatio is the timeout of one request for the placement of a service, as a ratio of the recovery time
-	// bound (Bounds.Heal).
+	// placementTimeoutRatio is the timeout of one request for the placement of a service's prompt prefixes, as a ratio of
+	// the recovery time bound (Bounds.Heal).
 	placementTimeoutRatio = 1.0 / 24
 )
 
@@ -58,7 +58,8 @@
 	member   *clustermembership.Member
 }
 
-// agentState is the mutable state of a node agent. It is accessed only within the agent's actor.
+// agentState is the mutable state of a node agent. It is accessed only by functions that the agent's actor runs one at
+// a time.
 type agentState struct {
 	proof *FreshnessProof
 	// config is the configuration in use, decoded; nil if there is none, or if it can't be decoded.
@@ -68,7 +69,7 @@
 	// replaced, never modified, because responses that are being sent refer to them.
 	rows       []*wire.Worker
 	membership clustermembership.View
-	// placements has the newest known placement of each service, by the name of the service.
+	// placements has the newest known placement of each service's prompt prefixes, by the name of the service.
 	placements map[string]*wire.Document
 	// links has the throughput of recent fetches of cached prefixes over the network, by the class of the network link.
 	links map[string]*wire.LinkThroughput
--- a/internal/data/nodeagent/follow.go
+++ b/internal/data/nodeagent/follow.go
@@ -69,7 +69,8 @@
 	a.process.Log.Info("applied a new configuration", "version", document.Version)
 }
 
-// followPlacements requests from the control state a newer placement of each service that has workers.
+// followPlacements requests, for each service that has workers, a newer placement of its prompt prefixes from the
+// control state.
 func (a *Agent) followPlacements() {
 	var knownVersions map[string]uint64
 	a.actor.Ask(func(s *agentState) { knownVersions = s.placementVersions() })
@@ -85,9 +86,9 @@
 	}
 }
 
-// placementVersions returns the known version of the placement of each configured service that has workers, or 0 if no
-// placement of it is known; services without workers have no placement. It also removes the placements of services
-// that are no longer configured.
+// placementVersions returns, for each configured service that has workers, the known version of the placement of its
+// prompt prefixes, or 0 if no placement of it is known; services without workers have no placement. It also removes
+// the placements of services that are no longer configured.
 func (s *agentState) placementVersions() map[string]uint64 {
 	versions := map[string]uint64{}
 	if s.config == nil {
@@ -106,8 +107,8 @@
 	return versions
 }
 
-// followPlacement requests a placement of one service that is newer than knownVersion from a control state shard
-// member. The member responds at once, also if it has none.
+// followPlacement requests the placement of one service's prompt prefixes from a control state shard member, if it is
+// newer than knownVersion. The member responds at once, also if it has no newer one.
 func (a *Agent) followPlacement(addr string, shard uint32, service string, knownVersion uint64) {
 	ctx, cancel := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Heal(placementTimeoutRatio))
 	defer cancel()
--- a/internal/data/nodeagent/freshnessproof.go
+++ b/internal/data/nodeagent/freshnessproof.go
@@ -18,7 +18,8 @@
 type attestedConfig struct {
 	// document is the configuration as it is stored in the control state; nil if there is none.
 	document *wire.Document
-	// attestations has the latest attestation of each member, by the name of the member.
+	// attestations has the latest statement of each shard member that its disk has no newer configuration, by the name of
+	// the member.
 	attestations map[string]attestation
 }
 
@@ -34,8 +35,8 @@
 	acceptedIncarnations []*wire.KnownIncarnation
 }
 
-// accepts reports whether the member that made the statement regards an incarnation of another member as valid. It
-// does if it knows no incarnation of that member.
+// accepts reports whether the shard member that made the statement regards an incarnation of another member as valid.
+// This is also the case if it knows no incarnation of the other member.
 func (a attestation) accepts(member, incarnation string) bool {
 	for _, known := range a.acceptedIncarnations {
 		if known.Name == member {
--- a/internal/data/nodeagent/outcomes.go
+++ b/internal/data/nodeagent/outcomes.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// recordOutcomes adds reported successes and failures to the recent outcomes of a worker.
+// recordOutcomes adds the numbers of successful and failed attempts in a report of the proxy on this machine to the
+// recent outcomes of the worker.
 func (a *Agent) recordOutcomes(s *agentState, report *wire.AttemptReport) {
 	if report.Successes+report.Failures <= 0 {
 		return
--- a/internal/data/nodeagent/updates.go
+++ b/internal/data/nodeagent/updates.go
@@ -77,7 +77,7 @@
 			state.waiters[updated] = true
 		})
 		if !ok {
-			// The actor is stopped, since the process is stopping.
+			// The agent's actor has stopped, because the process is stopping. The response has no update.
 			return &wire.FeedResponse{Version: request.KnownVersion}, nil
 		}
 		if response != nil {
@@ -119,7 +119,8 @@
 	response := &wire.FeedResponse{Version: s.version, ListsVersion: s.listsVersion, ProofAtNs: uint64(s.proof.FreshUntil()),
 		Config: s.proof.Document(), WorkersListedAtNs: uint64(s.workers.listedAt)}
 	if s.config == nil {
-		// There is no configuration, or it can't be decoded.
+		// There is no configuration, or it can't be decoded: the response has neither a configuration nor a proof that one
+		// is fresh.
 		response.Config, response.ProofAtNs = nil, 0
 	} else if response.Config.GetVersion() == request.KnownConfigVersion {
 		response.Config = nil
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -92,7 +92,7 @@
 	bounds settings.Bounds
 	// workers has the state of each listed worker, by the name of the worker.
 	workers map[string]*worker
-	// listedAt is the time at which the last applied list was requested.
+	// listedAt is the time at which the platform's list that was applied last was requested.
 	listedAt time.Duration
 }
 
--- a/internal/data/nodeagent/workers_test.go
+++ b/internal/data/nodeagent/workers_test.go
@@ -56,7 +56,7 @@
 		now   time.Duration
 		want  int
 	}{
-		{"listed and probed successfully", func(*WorkerTable) {}, afterward, int(updatestream.WorkerUp)},
+		{"worker is listed and was probed successfully", func(*WorkerTable) {}, afterward, int(updatestream.WorkerUp)},
 		{"last successful probe of the worker is too long ago", func(*WorkerTable) {}, afterProbe(0.7), int(updatestream.WorkerGone)},
 		{"worker was removed from the platform's list", func(workers *WorkerTable) { workers.ApplyList(nil, afterward) }, afterward, notInTable},
 		{"worker is draining in the platform's list", func(workers *WorkerTable) {
--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -55,7 +55,7 @@
 	ExpiredHolders uint64
 	// Gaps counts responses of workers and stores in which cache changes were missing.
 	Gaps uint64
-	// FullReports counts reports of the complete cache of a worker or store.
+	// FullReports counts the responses of workers and stores with their complete caches.
 	FullReports uint64
 	// Evicted counts entries that were removed to keep the number of entries within Bounds.MaxIndexEntries.
 	Evicted uint64
@@ -67,11 +67,12 @@
 type entry struct {
 	// tokens is the number of tokens in the last part of the prefix; the shorter prefixes have entries of their own.
 	tokens uint32
-	// hotness is the number of accesses, each weighted by exponential decay over its age.
+	// hotness is the number of accesses to the prefix, each weighted by exponential decay over its age.
 	hotness float64
 	// decayedAt is the time up to which the exponential decay has been applied to hotness.
 	decayedAt time.Duration
-	// service is the service that accessed the prefix last, or whose worker first reported it.
+	// service is the service with the last access to the prefix or, before any access, the service whose worker first
+	// reported the prefix as cached.
 	service string
 	// isHead is true if the prefix consists of only the first part of a prompt, so that there is no shorter prefix.
 	isHead bool
@@ -141,8 +142,8 @@
 	}
 }
 
-// Sweep removes expired holder records, unused entries, and the state of workers that are not listed any more
-// and have stopped responding. listed has the names of all current workers and stores.
+// Sweep removes expired holder records, unused entries, and the polling state of workers and stores that are not
+// listed any more and have stopped responding. listed has the names of all current workers and stores.
 //
 // Example: c.Sweep(listed, now)
 func (c *Core) Sweep(listed map[string]bool, now time.Duration) {
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -41,8 +41,8 @@
 	core.ApplyReport(core.NextReport("worker", "s"), reports, now)
 }
 
-// Applies every ordered subset of four numbered cache reports, so that reports are lost and arrive out of order. The
-// index must then either know exactly what the worker caches, or request a full report.
+// Applies every ordered subset of four numbered cache reports, as if the other reports were lost and these arrived in
+// that order. The index must then either know exactly what the worker caches, or request a full report.
 func TestEveryOrderAndGapOfReports(t *testing.T) {
 	reports := []contract.CacheReport{
 		{Number: 1, Added: []contract.CachedPrefix{cachedPrefix(1), cachedPrefix(2)}},
@@ -62,7 +62,7 @@
 		for _, report := range done {
 			applyReport(core, contract.CacheReports{Incarnation: "i", Number: report.Number, Reports: []contract.CacheReport{report}}, 2)
 		}
-		// This response has no reports, but gives the number of the last report, 4.
+		// This response of the worker has no reports, but states that the number of its last report is 4.
 		applyReport(core, contract.CacheReports{Incarnation: "i", Number: 4}, 3)
 		if core.NextReport("worker", "s").Full {
 			fullRequests++
@@ -251,7 +251,7 @@
 		k := key(i)
 		assigned, assignedWithout := shards.NodesOf(k), without.NodesOf(k)
 		if assigned[0] == "" || assigned[1] == "" || assigned[0][2:] == assigned[1][2:] || (assigned[0][2]-'0')%4 == (assigned[1][2]-'0')%4 {
-			t.Fatalf("index nodes of a key: got %q, want two nodes in different zones (the zone of c-N is N modulo 4)", assigned)
+			t.Fatalf("assigned index nodes of a key: got %q, want two nodes in different zones (the zone of c-N is N modulo 4)", assigned)
 		}
 		if assigned[0] != "c-8" && assignedWithout[0] != assigned[0] {
 			t.Fatalf("first index node of a key, which was not c-8, after the removal of index node c-8: got %[2]s, want %[1]s as before", assigned[0], assignedWithout[0])
--- a/internal/data/promptindex/eventfollower.go
+++ b/internal/data/promptindex/eventfollower.go
@@ -55,7 +55,8 @@
 // isStore reports whether the poll target is a store rather than a worker.
 func (t pollTarget) isStore() bool { return t.service == "" }
 
-// pollTargets returns the stores in a snapshot, and the workers whose service has a prompt cache.
+// pollTargets returns the workers and stores to poll: the stores in a snapshot of the fleet, and the workers whose
+// service has a prompt cache.
 func pollTargets(snapshot *fleet.Snapshot) (targets []pollTarget) {
 	hasCache := map[string]bool{}
 	for _, service := range snapshot.Plan.Services {
@@ -84,7 +85,7 @@
 	isPolling map[string]bool
 	// isListed has the workers and stores in the snapshot that was used for the previous round of polls, by name.
 	isListed map[string]bool
-	// nextPollAt has the time from which each worker or store is due to be polled, by name.
+	// nextPollAt has the time from which the next poll of each worker or store is due, by name.
 	nextPollAt map[string]time.Duration
 	// fullListAt has the time of the last request for the complete cache of each worker or store, by name.
 	fullListAt map[string]time.Duration
@@ -165,7 +166,7 @@
 	}
 }
 
-// interval returns the duration that is a ratio of the recovery time bound (Bounds.Heal).
+// interval returns the recovery time bound (Bounds.Heal) multiplied by ratio.
 func (f *eventFollower) interval(ratio float64) time.Duration {
 	return f.node.process.Settings.Bounds.Heal(ratio)
 }
--- a/internal/data/promptindex/eventfollower_test.go
+++ b/internal/data/promptindex/eventfollower_test.go
@@ -45,10 +45,10 @@
 		t.Fatal("serving index nodes after the death of one of 2, with 2 others on standby: want the surviving one and a replacement from the standby nodes")
 	}
 	if n := len(ServingNodes(indexNodes("a", "a", "a", "a", "b", "b", "b", "b"))); n != 4 {
-		t.Fatalf("number of serving index nodes, of 8: got %d, want 4", n)
+		t.Fatalf("number of serving index nodes, of 8 live ones: got %d, want 4", n)
 	}
 	if n := len(ServingNodes(indexNodes("a"))); n != 1 {
-		t.Fatalf("number of serving index nodes, of 1: got %d, want 1", n)
+		t.Fatalf("number of serving index nodes, of 1 live one: got %d, want 1", n)
 	}
 }
 
@@ -184,7 +184,7 @@
 	runSite(t, workers, newSnapshot(indexNodes("a")), func(n *Node) {
 		wait(b.Heal(0.9))
 		if workers.fullListCalls["1:1"] != 1 || workers.fullListCalls["1:2"] != 1 || workers.fullListCalls["2:1"] != 1 {
-			t.Errorf("calls for the complete cache, by address, within 0.9 of the recovery time bound: got %v, want 1 for each of 1:1, 1:2 and 2:1", workers.fullListCalls)
+			t.Errorf("calls for the complete cache of 2 workers and a store, by address, within 0.9 of the recovery time bound: got %v, want 1 for each of 1:1, 1:2 and 2:1", workers.fullListCalls)
 		}
 	})
 }
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -71,11 +71,11 @@
 		t.Fatal("after a response with a new boot ID to a request with a sequence number of the old process: a part that the old or new process reported has holders, want none")
 	}
 	if request := core.NextEvents("w", "llm"); request.After != 0 || request.Full || core.Warm() {
-		t.Fatalf("next request after the worker restarted: got %+v, warm index %v; want After 0, Full false, and an index that is not warm", request, core.Warm())
+		t.Fatalf("next request to a worker after it restarted: got %+v, warm index %v; want After 0, Full false, and an index that is not warm", request, core.Warm())
 	}
 	applyEvents(core, backend.CacheEvents{BootID: 2, NextSequence: 9, Changes: []backend.CacheChange{cacheChange("c", 100), cacheChange("b", 100)}}, 4)
 	if holdersOfPart(core, "c", 5) != "w:2 " || holdersOfPart(core, "a", 5) != "" || !core.Warm() {
-		t.Fatalf("after all events of the restarted worker, which caches parts b and c: got holders of part c %q, of part a %q; want \"w:2 \", none, and a warm index", holdersOfPart(core, "c", 5), holdersOfPart(core, "a", 5))
+		t.Fatalf("after all events of the restarted worker, which caches parts b and c: got holders of part c %q, of part a %q; want \"w:2 \" (confirmed), none, and a warm index", holdersOfPart(core, "c", 5), holdersOfPart(core, "a", 5))
 	}
 }
 
@@ -85,7 +85,7 @@
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 90, Gap: true, Changes: []backend.CacheChange{cacheChange("b", 100)}}, 2)
 	request := core.NextEvents("w", "llm")
 	if !request.Full || holdersOfPart(core, "a", 3) != "w:2 " || holdersOfPart(core, "b", 3) != "w:2 " || !core.Warm() {
-		t.Fatalf("after a response with a gap in the cache events: got next request %+v, holders of part a %q, of part b %q; want a full request, \"w:2 \" for both, and a warm index", request, holdersOfPart(core, "a", 3), holdersOfPart(core, "b", 3))
+		t.Fatalf("after a response with a gap in the cache events: got next request %+v, holders of part a %q, of part b %q; want Full true, \"w:2 \" (confirmed) for both, and a warm index", request, holdersOfPart(core, "a", 3), holdersOfPart(core, "b", 3))
 	}
 	// While the complete cache is needed but may not be requested again yet, requests ask for cache changes, and these
 	// are applied.
@@ -96,7 +96,7 @@
 	}
 	core.ApplyEvents(request, backend.CacheEvents{BootID: 1, NextSequence: 95, Changes: []backend.CacheChange{cacheChange("c", 100)}}, 5)
 	if request = core.NextEvents("w", "llm"); request.Full || holdersOfPart(core, "a", 6) != "" || holdersOfPart(core, "c", 6) != "w:2 " {
-		t.Fatalf("after a response with the complete cache, which has only part c: got next request %+v, holders of part a %q, of part c %q; want Full false, none, \"w:2 \"", request, holdersOfPart(core, "a", 6), holdersOfPart(core, "c", 6))
+		t.Fatalf("after a response with the complete cache, which has only part c: got next request %+v, holders of part a %q, of part c %q; want Full false, none, \"w:2 \" (confirmed)", request, holdersOfPart(core, "a", 6), holdersOfPart(core, "c", 6))
 	}
 }
 
--- a/internal/data/promptindex/holdings.go
+++ b/internal/data/promptindex/holdings.go
@@ -33,18 +33,19 @@
 	blockTokens = 16
 )
 
-// holderRecord records that a worker or store caches the prefix of an entry.
+// holderRecord records that a worker or store caches the prefix of an index entry, or is presumed to cache it.
 type holderRecord struct {
 	certainty uint32
 	updatedAt time.Duration
 	// generation is the generation of the worker or store when the record was made. The record is invalid once
 	// worker.generation has been incremented.
 	generation uint32
-	// cachedTokens is the number of the entry's tokens that are cached; 0 means all of them.
+	// cachedTokens is how many of the entry's tokens the worker or store caches; 0 means all of them.
 	cachedTokens uint32
 }
 
-// isPartial reports whether the holder caches too few of the entry's tokens to be listed as a holder.
+// isPartial reports whether the worker or store caches too few of the entry's tokens (see minCachedRatio) to be listed
+// as a holder.
 func (h holderRecord) isPartial(e *entry) bool {
 	return h.cachedTokens > 0 && h.cachedTokens+blockTokens <= e.tokens && float64(h.cachedTokens) < minCachedRatio*float64(e.tokens)
 }
@@ -63,7 +64,8 @@
 	return now-max(w.respondedAt, h.updatedAt) < c.bounds.Heal(maxReportAgeRatio)
 }
 
-// Lookup returns the hotness and the holders, sorted by name, of each key. The results are in the order of keys.
+// Lookup returns for each key the hotness (decayed number of accesses) of its prefix and the workers and stores that
+// cache the prefix, sorted by name. The results are in the order of keys.
 //
 // Example: results := c.Lookup(keys, now)
 func (c *Core) Lookup(keys []prefix.Key, now time.Duration) []*wire.LookupResult {
@@ -79,8 +81,8 @@
 	return results
 }
 
-// validHolders returns the holders of an entry, sorted by name, and removes expired holder records. Holders that
-// cache too few of the entry's tokens are left out.
+// validHolders returns the workers and stores that cache the prefix of an entry, sorted by name, and removes expired
+// holder records. Those that cache too few of the entry's tokens are left out.
 func (c *Core) validHolders(e *entry, now time.Duration) (holders []*wire.Holder) {
 	for holder, h := range e.holders {
 		switch {
--- a/internal/data/promptindex/loadaggregator.go
+++ b/internal/data/promptindex/loadaggregator.go
@@ -16,14 +16,14 @@
 // from which it can't determine how loaded or unhealthy a worker is. A LoadAggregator is not safe for concurrent use.
 type LoadAggregator struct {
 	bounds settings.Bounds
-	// reports has the last report of each proxy, by the proxy's name.
+	// reports has the last load report of each proxy, by the name of the proxy.
 	reports map[string]*loadReport
 	// uninterruptedSince is the time since which at least one proxy's report has been valid at every moment.
 	uninterruptedSince time.Duration
 	lastReportAt       time.Duration
 }
 
-// loadReport is the last report of one proxy.
+// loadReport is the last report of worker loads that one proxy has sent.
 type loadReport struct {
 	loads      *wire.WorkerLoads
 	receivedAt time.Duration
@@ -47,8 +47,8 @@
 	return loads != nil && len(loads.InFlight) == count && len(loads.PendingPrefill) == count && len(loads.Successes) == count && len(loads.Failures) == count
 }
 
-// Record replaces the last report of a proxy. It ignores reports with arrays of different lengths, and reports of
-// further proxies while the number of proxies with valid reports is at its limit (maxReporters).
+// Record replaces the stored load report of a proxy by a new one. It ignores reports with arrays of different lengths,
+// and reports of further proxies while the number of proxies with valid reports is at its limit (maxReporters).
 //
 // Example: a.Record("edge/edge-1", request.Loads, now)
 func (a *LoadAggregator) Record(reporter string, loads *wire.WorkerLoads, now time.Duration) {
--- a/internal/data/promptindex/loadaggregator_test.go
+++ b/internal/data/promptindex/loadaggregator_test.go
@@ -32,13 +32,13 @@
 		at := now + time.Duration(i)*b.Heal(loadReportLifetimeRatio)/2
 		aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
 		if total := aggregator.Others("c", 1, at); (total.Reporters > 0) != (i == 2) {
-			t.Errorf("number of reporters in the sum of worker loads, %d half report lifetimes after the first report: got %d, want 0 before 2 half lifetimes and at least 1 from then on", i, total.Reporters)
+			t.Errorf("number of proxies whose reports are in the sum of worker loads, %d half report lifetimes after the first report: got %d, want 0 before 2 half lifetimes and at least 1 from then on", i, total.Reporters)
 		}
 	}
 	at := now + 3*b.Heal(loadReportLifetimeRatio)
 	aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
 	if total := aggregator.Others("c", 1, at); total.Reporters > 0 {
-		t.Errorf("number of reporters in the sum of worker loads, after 2 report lifetimes without reports: got %d, want 0", total.Reporters)
+		t.Errorf("number of proxies whose reports are in the sum of worker loads, after 2 report lifetimes without reports: got %d, want 0", total.Reporters)
 	}
 }
 
@@ -56,7 +56,7 @@
 	total := aggregator.Others("c", 1, now)
 	if total.Reporters != 3 || total.WorkerListHash != 1 || !slices.Equal(total.WorkerIndexes, []uint32{4, 7}) || !slices.Equal(total.InFlight, []uint32{1, 5}) ||
 		!slices.Equal(total.PendingPrefill, []uint32{0, 50}) || !slices.Equal(total.Successes, []uint32{16, 8}) || !slices.Equal(total.Failures, []uint32{0, 8}) {
-		t.Fatalf("sum of the worker loads reported by proxies other than c: got %v, want 3 reporters and, for workers 4 and 7, in_flight 1 and 5, pending_prefill 0 and 50, successes 16 and 8, failures 0 and 8", total)
+		t.Fatalf("sum of the worker loads reported by proxies other than proxy c: got %v, want 3 reporters and, for workers 4 and 7, in_flight 1 and 5, pending_prefill 0 and 50, successes 16 and 8, failures 0 and 8", total)
 	}
 }
 
@@ -65,10 +65,10 @@
 	aggregator, now := newWarmAggregator(time.Hour), time.Hour
 	aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
 	if total := aggregator.Others("b", 1, now+b.Heal(loadReportLifetimeRatio)); total.Reporters != 1 {
-		t.Fatalf("sum of the worker loads exactly one report lifetime after the report: got %v, want 1 reporter", total)
+		t.Fatalf("sum of the worker loads exactly one report lifetime after the report of a proxy: got %v, want 1 reporter", total)
 	}
 	if total := aggregator.Others("b", 1, now+b.Heal(loadReportLifetimeRatio)+1); total.Reporters != 0 || len(total.WorkerIndexes) != 0 {
-		t.Fatalf("sum of the worker loads more than one report lifetime after the report: got %v, want no reporters and no workers", total)
+		t.Fatalf("sum of the worker loads more than one report lifetime after the report of a proxy: got %v, want no reporters and no workers", total)
 	}
 }
 
@@ -96,6 +96,6 @@
 	aggregator.Record("old", newLoads(1, 0, 1, 0, 0, 0), later-b.Heal(loadReportLifetimeRatio))
 	aggregator.Record("new", newLoads(1, 0, 1, 0, 0, 0), later)
 	if total := aggregator.Others("c", 1, later); total.Reporters != 2 {
-		t.Fatalf("number of reporters in the sum of worker loads, after 2 new reports and 1024 expired ones: got %d, want 2", total.Reporters)
+		t.Fatalf("number of proxies whose reports are in the sum of worker loads, after 2 new reports and 1024 expired ones: got %d, want 2", total.Reporters)
 	}
 }
--- a/internal/data/promptindex/node.go
+++ b/internal/data/promptindex/node.go
@@ -56,8 +56,8 @@
 // Example: mux.Handle(wire.PromptIndexPathPrefix, n.Handler())
 func (n *Node) Handler() http.Handler { return wire.NewPromptIndexServer(n) }
 
-// Lookup handles lookups of keys; keys of the wrong length are ignored. If the request reports the worker loads of a
-// proxy, they are recorded, and the response has the loads reported by the other proxies.
+// Lookup handles lookups of prefix keys; keys of the wrong length are ignored. If the request reports the worker loads
+// of a proxy, they are recorded, and the response has the loads reported by the other proxies.
 //
 // Example: wire.NewPromptIndexProtobufClient(url, h).Lookup(ctx, request)
 func (n *Node) Lookup(_ context.Context, request *wire.LookupRequest) (*wire.LookupResponse, error) {
@@ -92,7 +92,7 @@
 	return response, nil
 }
 
-// Hottest handles requests for the hottest entries of a service.
+// Hottest handles requests for the index entries of a service with the highest hotness (decayed number of accesses).
 //
 // Example: wire.NewPromptIndexProtobufClient(url, h).Hottest(ctx, request)
 func (n *Node) Hottest(_ context.Context, request *wire.HottestRequest) (*wire.HottestResponse, error) {
--- a/internal/data/promptindex/reports.go
+++ b/internal/data/promptindex/reports.go
@@ -9,7 +9,7 @@
 
 // worker is the state of one worker or store that an index node polls for cache changes.
 type worker struct {
-	// incarnation identifies the process that responded last; "" before the first response.
+	// incarnation identifies the process of the worker that responded to a poll last; "" before the first response.
 	incarnation string
 	// generation is incremented to invalidate all holder records of the worker.
 	generation uint32
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -63,7 +63,7 @@
 // Example: first := s.NodesOf(key)[0]
 func (s *Shards) NodesOf(key prefix.Key) [2]string { return s.nodes[key[0]] }
 
-// IsAssigned reports whether a key is assigned to the index node of that name.
+// IsAssigned reports whether a key is assigned to the index node with a name.
 //
 // Example: s.IsAssigned("catalogue/edge-1", key)
 func (s *Shards) IsAssigned(name string, key prefix.Key) bool { return s.isAssigned(name, int(key[0])) }
