--- a/internal/data/nodeagent/outcomes.go
+++ b/internal/data/nodeagent/outcomes.go
@@ -60,7 +60,8 @@
 	outcomes.failed += float64(report.Failures)
 }
 
-// recordLink adds the prefix fetches in a report to the throughput of their class of network links.
+// recordLink adds the fetches of cached prefixes in a report of the proxy on this machine to the throughput of their
+// class of network links.
 func (s *agentState) recordLink(report *wire.AttemptReport) {
 	if report.LinkNs <= 0 {
 		return
--- a/internal/data/nodeagent/updates.go
+++ b/internal/data/nodeagent/updates.go
@@ -53,9 +53,9 @@
 	return response, nil
 }
 
-// Feed handles the long polls of the processes on this machine for updates of the configuration and the lists. It
-// responds as soon as there is an update, or when the wait time of the request has passed. It also records the
-// attempts at workers and the routing decisions that the request reports.
+// Feed handles the long polls of the processes on this machine for updates of the configuration, workers, nodes and
+// placements. It responds as soon as there is an update, or when the wait time of the request has passed. It also
+// records the attempts at workers and the routing decisions that the request reports.
 //
 // Example: wire.NewNodeAgentProtobufClient(url, h).Feed(ctx, &wire.FeedRequest{KnownVersion: 9, MaxWaitNs: 2e8})
 func (a *Agent) Feed(ctx context.Context, request *wire.FeedRequest) (*wire.FeedResponse, error) {
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// isSameExceptLoad reports whether two rows have the same worker name, address, health state, incarnation and models.
-// It ignores the load and the recent outcomes of the worker.
+// isSameExceptLoad reports whether two rows have the same worker name, address, health state, incarnation, models and
+// versions of the weights. It ignores the load and the recent outcomes of the worker.
 func isSameExceptLoad(a, b *wire.Worker) bool {
 	return a.Name == b.Name && a.Addr == b.Addr && a.State == b.State && a.Weights == b.Weights &&
 		a.Incarnation == b.Incarnation && a.Model == b.Model && slices.EqualFunc(a.LoadedModels, b.LoadedModels, isSameLoadedModel)
--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -50,8 +50,8 @@
 
 // Stats counts events on an index node since it started.
 type Stats struct {
-	// ExpiredHolders counts holder records that were not confirmed in time, or whose worker or store stopped responding
-	// to polls.
+	// ExpiredHolders counts holder records that were removed because they were not confirmed in time, because their
+	// worker or store stopped responding to polls, or because they were invalidated, as by a restart of the worker.
 	ExpiredHolders uint64
 	// Gaps counts responses of workers and stores in which cache changes were missing.
 	Gaps uint64
@@ -59,7 +59,8 @@
 	FullReports uint64
 	// Evicted counts entries that were removed to keep the number of entries within Bounds.MaxIndexEntries.
 	Evicted uint64
-	// DuplicateBatches counts batches of accesses that were ignored because they had been counted before.
+	// DuplicateBatches counts batches of accesses that were ignored because they had been counted before, or because they
+	// came from a previous incarnation of their sender.
 	DuplicateBatches uint64
 }
 
--- a/internal/data/promptindex/keys.go
+++ b/internal/data/promptindex/keys.go
@@ -7,8 +7,8 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// keyBufferSize is the size in bytes of the stack buffer of PartKey. Only a longer text of salt and part ID takes a
-// heap allocation.
+// keyBufferSize is the size in bytes of the stack buffer in which PartKey puts together the text to hash. Only a
+// longer text takes a heap allocation.
 const keyBufferSize = 256
 
 // PartKey returns the index key of a prompt part that is cached under a salt. The ID of a part identifies the complete
@@ -26,8 +26,8 @@
 	return key
 }
 
-// StoreHealthKey returns the key that indicates the health of a store: the store is listed as its holder while it
-// responds to polls.
+// StoreHealthKey returns the key that indicates the health of a store: a lookup of the key lists the store as the
+// holder while the store responds to polls.
 //
 // Example: isUp := len(found[promptindex.StoreHealthKey("cartons")].GetHolders()) > 0
 func StoreHealthKey(store string) prefix.Key { return PartKey("\x00up", store) }
--- a/internal/data/promptindex/loadaggregator_test.go
+++ b/internal/data/promptindex/loadaggregator_test.go
@@ -15,8 +15,8 @@
 	return &wire.WorkerLoads{WorkerListHash: list, WorkerIndexes: []uint32{worker}, InFlight: []uint32{inFlight}, PendingPrefill: []uint32{pending}, Successes: []uint32{succeeded}, Failures: []uint32{failed}}
 }
 
-// newWarmAggregator returns an aggregator that returns sums of loads from now on, since its first report is one report
-// lifetime old.
+// newWarmAggregator returns an aggregator that returns sums of worker loads from the time now on, when its first
+// report is one report lifetime old.
 func newWarmAggregator(now time.Duration) *LoadAggregator {
 	aggregator := NewLoadAggregator(settings.DefaultBounds())
 	aggregator.Record("before", newLoads(0, 0, 0, 0, 0, 0), now-aggregator.bounds.Heal(loadReportLifetimeRatio))
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -89,7 +89,7 @@
 	return true
 }
 
-// Addr returns the address of an index node; "" if the node is not live.
+// Addr returns the address of the index node with a name; "" if the node is not live.
 //
 // Example: addr := s.Addr("catalogue/edge-1")
 func (s *Shards) Addr(name string) string { return s.addresses[name] }
@@ -170,8 +170,8 @@
 	return merged
 }
 
-// MergeHot merges the hottest entries (those with the most recent accesses) that several index nodes report. Two nodes
-// count the accesses to each entry; the higher count is used. The result is sorted by key.
+// MergeHot merges the hottest entries (those with the highest decayed number of accesses) that several index nodes
+// report. Two nodes count the accesses to each entry; the higher hotness is used. The result is sorted by key.
 //
 // Example: hot := promptindex.MergeHot(responses)
 func MergeHot(responses []*wire.HottestResponse) []*wire.HotPrefix {
