--- a/internal/data/promptindex/reports.go
+++ b/internal/data/promptindex/reports.go
@@ -13,8 +13,8 @@
 	incarnation string
 	// generation is incremented to invalidate all holder records of the worker.
 	generation uint32
-	// lastSequence is the number of the last known cache change of the worker; the next request to the worker asks for
-	// later changes.
+	// lastSequence is the number of the worker's last known cache report or, in an index that is fed by cache events, the
+	// sequence number up to which the worker's events are known. The next request asks for later ones.
 	lastSequence uint64
 	// needsFullReport is true if the next request to the worker must ask for the complete cache of the worker, not only
 	// for changes.
@@ -44,7 +44,8 @@
 // removed, or another response of the worker was applied, after the request was made.
 type ReportRequest struct {
 	Name, Service string
-	// After is the number of the last cache change that the index node knows; the request asks for later changes.
+	// After is the number of the last cache report, or the sequence number of the cache events, up to which the index
+	// node knows the cache changes. The request asks for later ones.
 	After uint64
 	// Full is true if the request asks for the complete cache contents instead of the changes.
 	Full bool
