--- a/internal/data/promptindex/loadaggregator.go
+++ b/internal/data/promptindex/loadaggregator.go
@@ -16,27 +16,27 @@
 // from which it can't determine how loaded or unhealthy a worker is. A LoadAggregator is not safe for concurrent use.
 type LoadAggregator struct {
 	bounds settings.Bounds
-	// reports has the last report of each proxy, by the proxy's name.
+	// reports has the last load report of each proxy, by the name of the proxy.
 	reports map[string]*loadReport
-	// uninterruptedSince is the time since which there has always been a valid report of some proxy.
+	// uninterruptedSince is the time since which at least one proxy's report has been valid at every moment.
 	uninterruptedSince time.Duration
 	lastReportAt       time.Duration
 }
 
-// loadReport is the last report of one proxy.
+// loadReport is the last report of worker loads that one proxy has sent.
 type loadReport struct {
 	loads      *wire.WorkerLoads
 	receivedAt time.Duration
 }
 
-// NewLoadAggregator returns an aggregator without reports.
+// NewLoadAggregator returns an aggregator that has no reports of worker loads yet.
 //
 // Example: a := promptindex.NewLoadAggregator(bounds)
 func NewLoadAggregator(bounds settings.Bounds) *LoadAggregator {
 	return &LoadAggregator{bounds: bounds, reports: map[string]*loadReport{}}
 }
 
-// lifetime returns how long a report is valid.
+// lifetime returns how long a proxy's report of worker loads is valid after it was received.
 func (a *LoadAggregator) lifetime() time.Duration { return a.bounds.Heal(loadReportLifetimeRatio) }
 
 // IsValidReport reports whether loads is not nil and all of its per-worker arrays have the same length.
@@ -47,8 +47,8 @@
 	return loads != nil && len(loads.InFlight) == count && len(loads.PendingPrefill) == count && len(loads.Successes) == count && len(loads.Failures) == count
 }
 
-// Record replaces the last report of a proxy. It ignores reports with arrays of different lengths, and reports of
-// further proxies while the number of proxies with valid reports is at its limit.
+// Record replaces the stored load report of a proxy by a new one. It ignores reports with arrays of different lengths,
+// and reports of further proxies while the number of proxies with valid reports is at its limit (maxReporters).
 //
 // Example: a.Record("edge/edge-1", request.Loads, now)
 func (a *LoadAggregator) Record(reporter string, loads *wire.WorkerLoads, now time.Duration) {
@@ -68,7 +68,7 @@
 	a.reports[reporter] = &loadReport{loads, now}
 }
 
-// dropExpired removes the reports that are older than the lifetime of a report.
+// dropExpired removes the load reports that were received longer ago than loadReportLifetimeRatio allows.
 func (a *LoadAggregator) dropExpired(now time.Duration) {
 	for reporter, report := range a.reports {
 		if now-report.receivedAt > a.lifetime() {
@@ -80,9 +80,9 @@
 // workerLoad is the load of one worker, summed over the reports of several proxies.
 type workerLoad struct{ inFlight, pendingPrefill, successes, failures uint32 }
 
-// Others returns the sum of the valid reports of all proxies except reporter, so far as they refer to the same list
-// of workers. It returns no loads until reports have arrived for one report lifetime: before that, some proxies may
-// not have reported yet, and a partial sum is worse than none.
+// Others returns the sum of the valid reports of all proxies except reporter, so far as they refer to the list of
+// workers with the hash workerListHash. It returns no loads until reports have arrived for one report lifetime: before
+// that, some proxies may not have sent a report yet, and a partial sum is worse than none.
 //
 // Example: response.Loads = a.Others("edge/edge-1", request.Loads.WorkerListHash, now)
 func (a *LoadAggregator) Others(reporter string, workerListHash uint64, now time.Duration) *wire.WorkerLoads {
