--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -63,7 +63,7 @@
 			{"config validate --file -", `{"version":0}`, 2, "version: missing"},
 			{"config validate --file -", plan, 0, "valid"},
 			{"config apply --file - --if-epoch 0", plan, 0, "done, epoch 7"},
-			{"config apply --file - --if-epoch 0", `{"version":8}`, 5, "current version 7,"},
+			{"config apply --file - --if-epoch 0", `{"version":8}`, 5, "document version 7,"},
 			{"config apply --file -", `{"version":6}`, 2, "isn't above 7"},
 			{"config patch --file - --if-epoch 7 --token t1", `{"version":9,"routes":[{"name":"b","to":"reading"}]}`, 0, "done, epoch 9"},
 			{"config patch --file - --if-epoch 7 --token t1", `{"version":9,"routes":[{"name":"b","to":"reading"}]}`, 0, "done, epoch 9"},
