--- a/internal/data/selection/attempts.go
+++ b/internal/data/selection/attempts.go
@@ -104,8 +104,9 @@
 	}
 }
 
-// abandonedRatio is the age at which an attempt without a recorded outcome is removed, as a ratio of the time
-// for which request IDs are remembered.
+// abandonedRatio is the age at which an attempt without a recorded outcome is no longer counted as in flight at
+// its worker, as a ratio of the time for which the IDs of at-most-once requests are kept to detect duplicates
+// (settings.Bounds.RequestIDRetention).
 const abandonedRatio = 1.0 / 2
 
 // recordFirstEvent records the first response event of an attempt, which shows that its prompt is prefilled
--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -24,17 +24,17 @@
 	edge.now += 2 * route.LatencyTarget
 	for range 10 {
 		if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home || choice.Fetch != home+":1" {
-			t.Fatalf("first event of worker %s is overdue: selected %s, fetching from %q; want another worker, fetching from %q", home, choice.Worker.ID, choice.Fetch, home+":1")
+			t.Fatalf("first response event of worker %s is overdue: selected %s, fetching from %q; want another worker, fetching from %q", home, choice.Worker.ID, choice.Fetch, home+":1")
 		}
 	}
 	// The lateness of a first event still raises the worker's cost for some time after the event was received.
 	edge.recordFirstEvent(request, choice, &Load{Running: 2, Slots: 128}, 2*route.LatencyTarget, edge.now)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
-		t.Errorf("right after a late first event of worker %s: selected it again, want another worker", home)
+		t.Errorf("right after a late first response event of worker %s: selected it again, want another worker", home)
 	}
 	edge.now += 8 * edge.bounds.Heal(loadTuning.decayRatio)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home {
-		t.Errorf("after the lateness of the home worker's first event decayed: selected %s, want home worker %s", choice.Worker.ID, home)
+		t.Errorf("after the recorded lateness of the home worker's first response event decayed to about 0: selected %s, want home worker %s", choice.Worker.ID, home)
 	}
 }
 
@@ -54,14 +54,14 @@
 	edge.now += 40 * time.Millisecond
 	edge.recordFirstEvent(request, choice, &Load{Running: 14, Waiting: 30, Slots: 128}, 40*time.Millisecond, edge.now)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
-		t.Errorf("selected %s, which reported 30 waiting requests with its first event; want another worker", home)
+		t.Errorf("selected %s, which reported 30 waiting requests with its first response event; want another worker", home)
 	}
 	if homeStats := edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[home]].stats; homeStats.inFlight != 1 || len(homeStats.pendingPrefills) != 0 {
-		t.Errorf("after the first event of the only attempt at worker %s: %d attempts in flight there, %d without a first event; want 1 and 0", home, homeStats.inFlight, len(homeStats.pendingPrefills))
+		t.Errorf("after the first response event of the only attempt at worker %s: %d attempts in flight there, %d without a first response event; want 1 and 0", home, homeStats.inFlight, len(homeStats.pendingPrefills))
 	}
 	edge.recordOutcome(request, choice, Completed, nil, 40*time.Millisecond, edge.now)
 	if homeStats := edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[home]].stats; homeStats.inFlight != 0 || len(homeStats.pendingPrefills) != 0 {
-		t.Errorf("after the outcome of the only attempt at worker %s: %d attempts in flight there, %d without a first event; want 0 and 0", home, homeStats.inFlight, len(homeStats.pendingPrefills))
+		t.Errorf("after the outcome of the only attempt at worker %s: %d attempts in flight there, %d without a first response event; want 0 and 0", home, homeStats.inFlight, len(homeStats.pendingPrefills))
 	}
 }
 
--- a/internal/data/selection/ejection_test.go
+++ b/internal/data/selection/ejection_test.go
@@ -45,7 +45,7 @@
 		}
 		edge.now = worker.ejectedUntil
 		if ratio := worker.slowStartRatio(edge.now); ratio <= 0 || worker.slowStartRatio(edge.now+worker.ejectionTime/2) >= ratio || worker.slowStartRatio(edge.now+worker.ejectionTime) != 0 {
-			t.Errorf("slow start ratio of a worker after an ejection of %v: %v at its end, %v after half that time more and %v after all of it; want above 0, less than that, and 0", worker.ejectionTime, ratio, worker.slowStartRatio(edge.now+worker.ejectionTime/2), worker.slowStartRatio(edge.now+worker.ejectionTime))
+			t.Errorf("fraction of the slow start cost charged to a worker whose ejection of %v ended: %v at the end of the ejection, %v half the ejection time later, %v the whole ejection time later; want the first above 0, the second below the first, the third 0", worker.ejectionTime, ratio, worker.slowStartRatio(edge.now+worker.ejectionTime/2), worker.slowStartRatio(edge.now+worker.ejectionTime))
 		}
 	}
 	for range 9 {
@@ -65,21 +65,22 @@
 
 func TestOutcomesDecideWhetherAWorkerIsAvoided(t *testing.T) {
 	for outcome, avoided := range map[Outcome]bool{Completed: false, NoFreeSlot: true, NotReady: true, Misdirected: true, Failed: true, ClientGone: false, TimedOut: true} {
+		outcomeName := [...]string{"Completed", "NoFreeSlot", "NotReady", "Misdirected", "Failed", "ClientGone", "TimedOut"}[outcome]
 		edge := newEdge(newFleet(6))
 		request := edge.newRequest("p", 13000)
 		choice := edge.mustSelect(t, request)
 		edge.recordSent(request, choice, edge.now)
 		edge.recordOutcome(request, choice, outcome, nil, 0, edge.now)
 		if next := edge.mustSelect(t, edge.newRequest("p", 13000)); (next.Worker.ID != choice.Worker.ID) != avoided {
-			t.Errorf("after an attempt with outcome %d at worker %s: selected %s for the next request; want the first worker avoided: %t", outcome, choice.Worker.ID, next.Worker.ID, avoided)
+			t.Errorf("after an attempt with outcome %s at worker %s: selected worker %s for the next request; want the worker of the attempt avoided: %t", outcomeName, choice.Worker.ID, next.Worker.ID, avoided)
 		}
 		if len(edge.inFlight) != 0 || edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight != 0 {
-			t.Errorf("after outcome %d of the only attempt: %d attempts in flight in the table and %d at its worker, want 0 and 0", outcome, len(edge.inFlight), edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight)
+			t.Errorf("after the only attempt ended with outcome %s: %d attempts in flight in the table and %d at its worker, want 0 and 0", outcomeName, len(edge.inFlight), edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight)
 		}
 		// Recording the outcome of the same attempt again must have no effect.
 		edge.recordOutcome(request, choice, outcome, nil, 0, edge.now)
 		if edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight != 0 {
-			t.Errorf("outcome %d of the only attempt recorded twice: %d attempts in flight at its worker, want 0", outcome, edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight)
+			t.Errorf("after outcome %s of the only attempt was recorded twice: %d attempts in flight at its worker, want 0", outcomeName, edge.layout.groups["llm"].candidates[edge.layout.groups["llm"].index[choice.Worker.ID]].stats.inFlight)
 		}
 	}
 }
--- a/internal/data/selection/loadsharing_test.go
+++ b/internal/data/selection/loadsharing_test.go
@@ -150,12 +150,12 @@
 	edge.now = sharing.now
 	request, choice := edge.sendTo(t, "w1")
 	if loads := edge.localLoads(sharing.now); len(loads.WorkerIndexes) != 1 || loads.PendingPrefill[0] != 1000/pendingTokensUnit || loads.InFlight[0] != 1 {
-		t.Fatalf("after an attempt was sent: load report %v, want 1 worker with 1 request in flight and %d units of pending prefill", loads, 1000/pendingTokensUnit)
+		t.Fatalf("after an attempt was sent: load report %v, want 1 worker with 1 request in flight and pending prefill %d, its 1000 prompt tokens in units of %d tokens", loads, 1000/pendingTokensUnit, pendingTokensUnit)
 	}
 	edge.recordFirstEvent(request, choice, nil, time.Millisecond, sharing.now+time.Millisecond)
 	sharing.now += time.Minute / 2
 	if loads := edge.localLoads(sharing.now); len(loads.WorkerIndexes) != 1 || loads.PendingPrefill[0] != 0 || loads.Failures[0] != 0 || loads.InFlight[0] != 1 {
-		t.Errorf("after the first event of the only attempt: load report %v, want 1 worker with 1 request in flight, no pending prefill and no failures", loads)
+		t.Errorf("after the first response event of the only attempt: load report %v, want 1 worker with 1 request in flight, no pending prefill and no failures", loads)
 	}
 	edge.recordOutcome(request, choice, Completed, nil, time.Millisecond, sharing.now)
 	if loads := edge.localLoads(sharing.now); len(loads.WorkerIndexes) != 1 || loads.InFlight[0] != 0 || loads.Successes[0] != outcomesPerCount {
--- a/internal/data/selection/overload_test.go
+++ b/internal/data/selection/overload_test.go
@@ -31,10 +31,11 @@
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, map[string]bool{"w3": true}, edge.now); !ok {
 		t.Error("all workers backlogged: no worker selected for a request that was sent to worker w3 before, want one")
 	}
-	// Advance the clock until the workers' lateness, of which there are no new samples, has decayed.
+	// Advance the clock until the recorded lateness of the workers' first response events has decayed to about 0;
+	// no event was received in the meantime.
 	edge.now += 9 * edge.bounds.Heal(loadTuning.decayRatio)
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, nil, edge.now); !ok {
-		t.Error("after the lateness of all workers decayed: no worker selected, want one")
+		t.Error("after the recorded lateness of the first response events of all workers decayed to about 0: no worker selected, want one")
 	}
 }
 
@@ -91,6 +92,6 @@
 		}
 	}
 	if inTime*10 < offered*8 {
-		t.Errorf("after the overload ended: %d of %d requests got their first event within the latency target, want at least 80%%", inTime, offered)
+		t.Errorf("after the overload ended: %d of %d requests got their first response event within the latency target, want at least 80%%", inTime, offered)
 	}
 }
--- a/internal/data/selection/rendezvous.go
+++ b/internal/data/selection/rendezvous.go
@@ -14,7 +14,8 @@
 // keyHash returns the first 8 bytes of a prompt index key as its hash; such keys are themselves hashes.
 func keyHash(key prefix.Key) uint64 { return binary.BigEndian.Uint64(key[:]) }
 
-// mix returns a hash of x in which each bit depends on all bits of x: the 64-bit finalizer of MurmurHash3.
+// mix returns a hash of x in which each bit depends on all bits of x. Source: the 64-bit finalizer of
+// MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -193,11 +193,11 @@
 	}
 	edge.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{}
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Fetch != "" || choice.Save != "" {
-		t.Errorf("only store is unavailable: choice has fetch address %q and save address %q, want neither", choice.Fetch, choice.Save)
+		t.Errorf("the only store of the group is unavailable: choice has fetch address %q and save address %q, want neither", choice.Fetch, choice.Save)
 	}
 	edge.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{Holders: []*wire.Holder{{Worker: "store"}}}
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Fetch != "store:1" {
-		t.Errorf("only store is available again: choice has fetch address %q, want store:1", choice.Fetch)
+		t.Errorf("the only store of the group is available again after it was unavailable: choice has fetch address %q, want store:1", choice.Fetch)
 	}
 }
 
@@ -315,7 +315,7 @@
 	request := edge.newRequest("p", 1000)
 	// The expected keys to look up are those of both prompt parts, and the health key of the store.
 	if lookupCount(request) != 3 {
-		t.Errorf("prompt of two parts that were never sent: %d prompt index keys to look up, want 3", lookupCount(request))
+		t.Errorf("prompt of two parts that were never sent: %d prompt index keys to look up, want 3: one for each part and the health key of the store", lookupCount(request))
 	}
 	edge.serve(request, edge.mustSelect(t, request), 50*time.Millisecond)
 	if n := lookupCount(edge.newRequest("p", 1000)); n != 0 {
--- a/internal/data/selection/tuning.go
+++ b/internal/data/selection/tuning.go
@@ -12,7 +12,7 @@
 type affinityParameters struct {
 	// homeLoadRatio is the multiple of the workers' mean load up to which a worker may be the home of a prompt
 	// part; one request more than that is always allowed. Range: 1 to 4. Lower values spread load, higher
-	// values keep parts at one worker.
+	// values keep parts at one worker. Source: docs/design.md (1.25 of the mean, plus one).
 	homeLoadRatio float64
 	// homeSlotRatio is the fraction of a worker's slots that is added to the load limit for home workers (see
 	// homeLoadRatio), so that a worker with many slots isn't avoided for a few requests. Range: 0 to 1.
@@ -20,6 +20,7 @@
 	// coldWeight is the cost charged to workers other than the home worker while no worker caches the affinity
 	// part, as a ratio of the cost of prefilling it, so that the part is prefilled only once. Range: 0 to 1.
 	// Higher values avoid duplicate prefill, lower values avoid waiting for the home worker.
+	// Source: docs/design.md (three quarters).
 	coldWeight float64
 	// copyWeight is the cost charged to a worker that lacks the affinity part while another worker caches it,
 	// as a ratio of the cost of prefilling the part. Range: 0 to 1. Higher values avoid copies, lower values
@@ -213,7 +214,7 @@
 type rolloutParameters struct {
 	// olderVersionRatio is for how long after the control state named newer weights a worker on older ones may
 	// be selected, as a ratio of the rollout time limit. Range: 0 to below 1, so that the request starts within
-	// the limit.
+	// the limit. Source: docs/design.md (0.85 of the limit).
 	olderVersionRatio float64
 	// inheritedRatio is the time after the process's start within which a weights version that the process
 	// sees for the first time counts as named before the start, as a ratio of the recovery time limit. Range: 0
@@ -342,9 +343,11 @@
 // the total value of the requests that are served under high load. Range: above 0, smallRatio at most
 // mediumRatio.
 type sizeParameters struct {
-	// Fraction of the latency target below which a prompt's prefill time makes the prompt a small one.
+	// Expected prefill time, as a fraction of the latency target, below which a prompt is in the size class
+	// small.
 	smallRatio float64
-	// Fraction of the latency target below which a prompt that isn't small is a medium one.
+	// Expected prefill time, as a fraction of the latency target, below which a prompt that isn't in the size
+	// class small is in the class medium; from this time on it is large.
 	mediumRatio float64
 }
 
--- a/internal/data/selection/versions_test.go
+++ b/internal/data/selection/versions_test.go
@@ -62,15 +62,15 @@
 	}
 	edge.now = snapshot.NamedAt["m"] + edge.bounds.Weights(0.84)
 	if edge.upgrade(snapshot, 1); edge.countOlder() == 0 {
-		t.Error("1 of 9 workers serves weights version 2, 0.84 of the rollout time limit has passed: 0 of 60 requests assigned to older weights, want some")
+		t.Error("1 of 9 workers serves weights version 2, named 0.84 of the rollout time limit ago, less than the 0.85 after which older weights are excluded: 0 of 60 requests assigned to older weights, want some")
 	}
 	edge.now = snapshot.NamedAt["m"] + edge.bounds.Weights(0.86)
 	if n := edge.countOlder(); n != 0 {
-		t.Errorf("1 of 9 workers serves weights version 2, 0.86 of the rollout time limit has passed: %d of 60 requests assigned to older weights, want 0", n)
+		t.Errorf("1 of 9 workers serves weights version 2, named 0.86 of the rollout time limit ago, more than the 0.85 after which older weights are excluded: %d of 60 requests assigned to older weights, want 0", n)
 	}
 	edge.upgrade(snapshot, 0)
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 1000), nil, nil, edge.now); ok {
-		t.Error("all workers serve older weights, 0.86 of the rollout time limit has passed: a worker was selected, want none")
+		t.Error("all workers serve older weights than version 2, named 0.86 of the rollout time limit ago, more than the 0.85 after which older weights are excluded: a worker was selected, want none")
 	}
 }
 
@@ -82,16 +82,16 @@
 	edge := newEdge(snapshot)
 	edge.now = processStart + time.Second
 	if edge.upgrade(snapshot, 1); edge.countOlder() != 0 {
-		t.Error("process started 1 s ago, a worker serves weights version 2: requests assigned to older weights, want none")
+		t.Error("process started 1 s ago and can't know how long ago weights version 2 was named, and a worker serves that version: requests assigned to older weights, want none")
 	}
 	// Until the process counts as in contact with the control state, the rollout time limit doesn't apply.
 	edge.rolloutLimitAppliesFrom = processStart + 2*time.Second
 	if edge.upgrade(snapshot, 1); edge.countOlder() == 0 {
-		t.Error("process not yet in contact with the control state: 0 of 60 requests assigned to older weights, want some")
+		t.Error("process started 1 s ago, the rollout time limit applies only from 2 s after its start: 0 of 60 requests assigned to older weights, want some")
 	}
 	edge.now = edge.rolloutLimitAppliesFrom
 	if edge.upgrade(snapshot, 1); edge.countOlder() != 0 {
-		t.Error("process in contact with the control state, a worker serves weights version 2: requests assigned to older weights, want none")
+		t.Error("process started 2 s ago, the rollout time limit applies from this time on, and a worker serves the newest weights version, 2: requests assigned to older weights, want none")
 	}
 	// Package agent, which supplies the snapshot, assumes that half of the rollout time limit had passed before
 	// the process started. Until 0.85 of the limit has, older weights are allowed if no worker serves newer
@@ -101,7 +101,7 @@
 	for ratio, want := range map[float64]bool{0.01: true, 0.34: true, 0.36: false} {
 		edge.now = processStart + edge.bounds.Weights(ratio)
 		if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 1000), nil, nil, edge.now); ok != want {
-			t.Errorf("weights version 2 named before the process started, served by no worker; %v of the rollout time limit after the start: selected a worker: %t, want %t", ratio, ok, want)
+			t.Errorf("weights version 2, which no worker serves, was named 0.5 of the rollout time limit before the process started, and older weights are excluded after 0.85 of it; %v of the limit after the start: selected a worker: %t, want %t", ratio, ok, want)
 		}
 	}
 }
@@ -273,14 +273,14 @@
 	}
 	edge.now = first + edge.bounds.Weights(0.84)
 	if counts := countByVersion(); counts[1] == 0 {
-		t.Errorf("after 0.84 of the rollout time limit of weights version 2: number of requests by version: %v, want some on version 1", counts)
+		t.Errorf("weights version 2 was named 0.84 of the rollout time limit ago, less than the 0.85 after which version 1 is excluded: number of requests by version: %v, want some on version 1", counts)
 	}
 	edge.now = first + edge.bounds.Weights(0.86)
 	if counts := countByVersion(); counts[1] != 0 || counts[2] == 0 {
-		t.Errorf("after 0.86 of the rollout time limit of weights version 2, before that of version 3: number of requests by version: %v, want none on version 1 and some on version 2", counts)
+		t.Errorf("weights version 2 was named 0.86 of the rollout time limit ago, more than the 0.85 after which version 1 is excluded, and version 3 later, less than 0.85 ago: number of requests by version: %v, want none on version 1 and some on version 2", counts)
 	}
 	edge.now = second + edge.bounds.Weights(0.86)
 	if counts := countByVersion(); len(counts) != 0 {
-		t.Errorf("after 0.86 of the rollout time limit of weights version 3: number of requests by version: %v, want no requests", counts)
+		t.Errorf("weights version 3 was named 0.86 of the rollout time limit ago, more than the 0.85 after which versions 1 and 2 are excluded: number of requests by version: %v, want no requests", counts)
 	}
 }
