--- a/internal/control/consensus/contact_test.go
+++ b/internal/control/consensus/contact_test.go
@@ -71,7 +71,7 @@
 		}
 		core.Step(appendResponseTo(request))
 		if got := contactAgeOf(t, core, "c/0"); got != late {
-			t.Errorf("a response arrived %[1]d ticks after its request: the contact age is %[2]d ticks, want %[1]d", late, got)
+			t.Errorf("a response arrived %[1]d ticks after its request: the contact age of the peer, the age of its newest answered request, is %[2]d ticks, want %[1]d", late, got)
 		}
 		for core.Status().IsLeader && core.ticks < 100 {
 			core.Tick()
@@ -97,7 +97,7 @@
 		response.SentTick = tick
 		c.Step(response)
 		if got := contactAgeOf(t, c, "c/0"); got != 0 {
-			t.Errorf("a response echoed tick %d: the contact age is %d ticks, want 0", tick, got)
+			t.Errorf("a response with the invalid send tick %d (0 or later than the current tick, %d) has just arrived: the contact age of the peer is %d ticks, want 0, as if the request had been sent in the current tick", tick, c.ticks, got)
 		}
 	}
 }
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -109,7 +109,7 @@
 		return 0, 0, false
 	}
 	for _, voter := range removed {
-		delete(c.peers, voter) // replication to the removed voter ends: it must not receive the uncommitted entry of its removal
+		delete(c.peers, voter) // replication to the removed voter ends: with the uncommitted entry of its removal in its log, it could reject votes for candidates that lack this entry
 	}
 	for _, voter := range proposed {
 		if voter != c.cfg.Self && c.peers[voter] == nil {
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -41,7 +41,7 @@
 	group.propose("a", "two")
 	group.tick(10, "b", "c") // b and c are down: a and d are a majority of the voters a, b and d
 	if status := group.cores["a"].Status(); status.Applied != status.LastIndex || group.members("b") != "a b d" {
-		t.Fatalf("with members b and c down, of which c was removed: status of leader a %+v, want all entries applied; voters in the log of b %q, want a b d", status, group.members("b"))
+		t.Fatalf("after voter c was removed, and then b and c stopped: status of leader a %+v, want all entries applied; voters in the log that b had before it stopped: %q, want a b d", status, group.members("b"))
 	}
 	// c hasn't received the entry of its removal: it requests pre-votes, but must not disrupt the leader or be elected.
 	group.tick(60)
@@ -241,11 +241,11 @@
 			all += race.orders
 			changed += race.outcomes[change.proposed]
 			if race.orders < 30 || race.outcomes[change.proposed]+race.outcomes["a b c"] != race.orders {
-				t.Errorf("change of members to %q, delivery %d lost (-1: none): %d orders tried, want at least 30; their final members %v, want only the old or the new ones", change.proposed, lostDelivery, race.orders, race.outcomes)
+				t.Errorf("change of voters to %q, delivery %d lost (-1: none): %d orders of message deliveries tried, want at least 30; number of orders by the final voters %v, want only the old voters, a b c, or the new ones", change.proposed, lostDelivery, race.orders, race.outcomes)
 			}
 		}
 		if all < 300 || changed == 0 || changed == all {
-			t.Errorf("change of members to %q: %d orders tried, want at least 300; the change took effect in %d, want some but not all", change.proposed, all, changed)
+			t.Errorf("change of voters to %q: %d orders of message deliveries tried, want at least 300; the change took effect in %d of them, want some but not all", change.proposed, all, changed)
 		}
 	}
 }
--- a/internal/control/consensus/message_order_test.go
+++ b/internal/control/consensus/message_order_test.go
@@ -122,7 +122,7 @@
 	b.Step(&wire.Message{From: "a", To: "b", Kind: wire.MessageKind_APPEND_REQUEST, Term: 5, Probe: 50})
 	for _, message := range b.Ready().Messages {
 		if message.Kind != wire.MessageKind_APPEND_RESPONSE || message.Ok || message.Term != 6 || message.Probe != 0 {
-			t.Errorf("the response to a request of term 5 is %v, want a rejection of term 6 with probe 0", message)
+			t.Errorf("the response to an append request of term 5 with read sequence number 50 is %v, want a rejection of term 6 with read sequence number (field probe) 0, which confirms no read", message)
 		}
 	}
 }
--- a/internal/control/consensus/model_actions_test.go
+++ b/internal/control/consensus/model_actions_test.go
@@ -97,7 +97,7 @@
 }
 
 // modelAction is an event at the member in a slot, or a step of the client that asks the members for a proof that its
-// document is the newest.
+// copy of the replicated state is the newest.
 type modelAction struct {
 	modelEvent
 	slot       int8
--- a/internal/control/consensus/model_freshness_test.go
+++ b/internal/control/consensus/model_freshness_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	queryFreshness  eventKind = 100 + iota // a client (agent) asks all members whether they have a newer document
-	attestFreshness                        // a member responds to the client that it has no newer document
+	queryFreshness  eventKind = 100 + iota // a client asks all members whether they have newer state than its copy
+	attestFreshness                        // a member responds to the client that it has no newer state than the client's copy
 )
 
-// attestation is the response of a member that has no newer document than the asking client. It carries the newest
+// attestation is the response of a member that has no newer state than the asking client's copy. It carries the newest
 // voters in the member's log, and the term and index of the entry that names them.
 type attestation struct {
 	member      string
@@ -23,8 +23,9 @@
 	generation  uint64
 }
 
-// beginFreshnessQuery records that a client asks the members for a proof that its document is the newest. It isn't: it
-// lacks the last committed command.
+// beginFreshnessQuery records that a client asks the members whether its copy of the replicated state is the newest. It
+// is if a majority of the newest voters that the responses name have no newer state. The copy in the model lacks the
+// last committed command, so a proof that it is the newest would be wrong.
 func (s *stateSpace) beginFreshnessQuery(id int32) int32 {
 	history := s.histories[id].observedHistory
 	if history.committedWhenAsked > 0 || history.bodies() == "" {
@@ -34,7 +35,7 @@
 	return s.internHistory(history)
 }
 
-// attest records that a member responds to the client that it has no newer document, if this is so.
+// attest records that a member responds to the client that it has no newer state than the client's copy, if this is so.
 func (s *stateSpace) attest(id int32, node nodeEntry) int32 {
 	history := s.histories[id].observedHistory
 	if history.committedWhenAsked == 0 || !node.core.IsVoter(node.name) || node.pending() {
@@ -58,8 +59,8 @@
 	return s.internHistory(history)
 }
 
-// checkFreshnessProof checks that the members' responses don't prove to the client that its document was the newest
-// when it asked, since the document lacks one committed command. A proof by members of earlier restore generations
+// checkFreshnessProof checks that the members' responses don't prove to the client that its copy of the replicated state
+// was the newest when it asked, since the copy lacks one committed command. A proof by members of earlier restore generations
 // alone is no violation, since the client can't learn of the restore from them.
 func (history observedHistory) checkFreshnessProof() string {
 	const version, askedAt = 1, time.Second
@@ -72,5 +73,5 @@
 	if !knowsNewest || proof.FreshUntil(version) == 0 {
 		return ""
 	}
-	return fmt.Sprintf("wrong proof that a client's document is the newest: responses %+v prove that only %d commands are committed, but %d were committed before the query", history.attestations, history.committedWhenAsked-1, history.committedWhenAsked)
+	return fmt.Sprintf("wrong proof that a client's copy of the replicated state is the newest: responses %+v prove that only %d commands are committed, but %d were committed before the query", history.attestations, history.committedWhenAsked-1, history.committedWhenAsked)
 }
--- a/internal/control/consensus/model_invariants_test.go
+++ b/internal/control/consensus/model_invariants_test.go
@@ -18,8 +18,8 @@
 // with their disks or in a restart.
 type observedHistory struct {
 	committed          []committedEntry
-	committedWhenAsked int                 // number of commands committed when the client asked whether its document is the newest; 0: it hasn't asked
-	attestations       []attestation       // responses to the client that the responding member has no newer document
+	committedWhenAsked int                 // number of commands committed when the client asked whether its copy of the replicated state is the newest; 0: it hasn't asked
+	attestations       []attestation       // responses of members to the client that they have no newer state than its copy
 	votes              map[string]castVote // by incarnation of a member: the latest vote that it granted
 	generation         uint64              // newest restore generation of the group; committed holds the entries committed in this generation
 }
--- a/internal/control/consensus/model_node_test.go
+++ b/internal/control/consensus/model_node_test.go
@@ -59,7 +59,7 @@
 var eventNames = map[eventKind]string{
 	electionTimeout:   "campaigns at an election timeout",
 	preVoteTimeout:    "requests pre-votes",
-	heartbeat:         "sends heartbeats, or state requests if it is blank",
+	heartbeat:         "sends heartbeats if it is the leader, or asks its peers for their states if it has lost its disk",
 	quorumContactLost: "notices that it lost contact with a quorum",
 	restart:           "crashes and restarts",
 	diskLoss:          "loses its disk",
@@ -254,7 +254,8 @@
 	return slices.DeleteFunc(slices.Clone(names), func(other string) bool { return other == name })
 }
 
-// tickHeartbeat makes the heartbeat of a leader due, or the state request of a blank member, and ticks the core. It
+// tickHeartbeat makes the heartbeat of a leader due, or the request of a member that lost its disk for the states of its
+// peers, and ticks the core. It
 // returns false for any other member.
 func tickHeartbeat(core *Core) bool {
 	core.heartbeatElapsed, core.learnerHeartbeatCount = core.cfg.HeartbeatTicks-1, learnerHeartbeats-1
@@ -330,7 +331,7 @@
 }
 
 // loseDisk returns the member after the loss of its disk. The name of a group's member isn't used again, so the member
-// is absent; a fixed member starts blank, with the next incarnation of its name.
+// is absent; a fixed member starts with an empty disk, as the next incarnation of its name.
 func (node *modelNode) loseDisk() *modelNode {
 	if node.core.cfg.DynamicMembership {
 		return &modelNode{name: node.name, absent: true}
--- a/internal/control/consensus/model_restore_test.go
+++ b/internal/control/consensus/model_restore_test.go
@@ -35,7 +35,8 @@
 }
 
 // afterRestore returns the history of a group after its restore from one member: the entries of that member count
-// as committed, later ones are lost, and a client's query whether its document is the newest is discarded.
+// as committed, later ones are lost, and a client's query whether its copy of the replicated state is the newest is
+// discarded.
 func (history observedHistory) afterRestore(result *stepResult) observedHistory {
 	restored := result.eventOutcome.restored
 	committed := history.committed[:min(len(history.committed), int(result.carriedOver[0].Index)-1)]
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -122,9 +122,9 @@
 		message := s.messages[action.arg]
 		return fmt.Sprintf("%s receives from %s: %s%s", name, message.From, describeMessage(message.Message), delayed)
 	case queryFreshness:
-		return "a client asks all members whether they have a newer document"
+		return "a client asks all members whether they have newer state than its copy"
 	case attestFreshness:
-		return name + " responds to the client that it has no newer document"
+		return name + " responds to the client that it has no newer state than the client's copy"
 	case addLearner, addMember, removeMember, replaceMember, transfer:
 		return fmt.Sprintf("%s %s %s", name, eventNames[action.kind], slotNames[action.arg])
 	case propose:
@@ -142,6 +142,6 @@
 	if message.Snapshot != nil {
 		fmt.Fprintf(&b, ", snapshot term/index %d/%d", message.Snapshot.Term, message.Snapshot.Index)
 	}
-	fmt.Fprintf(&b, ", commit index %d, ok %v, probe %d", message.Commit, message.Ok, message.Probe)
+	fmt.Fprintf(&b, ", commit index %d, ok %v, read sequence number %d", message.Commit, message.Ok, message.Probe)
 	return b.String()
 }
--- a/internal/control/consensus/model_space_test.go
+++ b/internal/control/consensus/model_space_test.go
@@ -24,19 +24,19 @@
 	proposals budget = iota
 	restarts
 	diskLosses
-	learners // additions of a learner by a leader, which then replicates to it
-	changes  // membership changes proposed by a leader
+	learners // kind of event: a leader adds a learner, and then replicates to it
+	changes  // kind of event: a leader proposes a membership change
 	transfers
 	compactions
 	reads
 	heartbeats
-	quorumTimeouts        // step-downs of a leader that has lost contact with a quorum
-	elections             // campaigns started by a member
-	duplicates            // deliveries of a message that stays in flight
-	delayedFlushes        // steps whose output isn't persisted and sent at once
-	freshnessQueries      // queries of a client for a proof that its document is the newest
-	freshnessAttestations // responses of members to a client that they have no newer document
-	restores              // restores of the group from one member
+	quorumTimeouts        // kind of event: a leader that has lost contact with a quorum steps down
+	elections             // kind of event: a member starts a campaign
+	duplicates            // kind of event: a message is delivered and stays in flight, so that it can be delivered again
+	delayedFlushes        // kind of event: the output of a member's step is persisted and sent only later
+	freshnessQueries      // kind of event: a client asks the members whether they have newer state than its copy
+	freshnessAttestations // kind of event: a member responds to a client that it has no newer state than the client's copy
+	restores              // kind of event: the group is restored from the state of a single member
 	budgetCount           // number of kinds of events that the bounds can limit
 )
 
@@ -134,7 +134,7 @@
 // states that differ by a permutation of the names of these voters aren't equivalent.
 func (b bounds) distinguished() int {
 	if b.pendingChange != (modelEvent{}) {
-		return 2 // a, which proposed the pending change and may campaign, and b, which was elected
+		return 2 // two voters have special roles: a, which proposed the pending change and may campaign, and b, which was elected
 	}
 	return 0
 }
--- a/internal/control/consensus/model_test.go
+++ b/internal/control/consensus/model_test.go
@@ -13,7 +13,7 @@
 //   - model_space_test.go: states of a group, and the messages in flight between its members
 //   - model_actions_test.go: the actions that are possible in a state, and the states that they lead to
 //   - model_restore_test.go: the restore of a group from one member, and the invariants of a restore
-//   - model_freshness_test.go: a client that asks the members to prove that its document is the newest
+//   - model_freshness_test.go: a client that asks the members to prove that its copy of the replicated state is the newest
 //   - model_invariants_test.go: the invariants, and the history of past events that is needed to check them
 //   - model_search_test.go: the breadth-first search, and the trace to a violation
 //   - model_encoding_test.go: copying, encoding and fingerprints of states
@@ -88,10 +88,10 @@
 	{"linearizable reads and leader transfer",
 		bounds{terms: 2, elected: true, limits: [budgetCount]uint8{elections: 1, duplicates: unlimited, reads: 2, transfers: 1}},
 		bounds{terms: 2, elected: true, limits: [budgetCount]uint8{elections: 1, duplicates: unlimited, proposals: 1, reads: 1, transfers: 1}}},
-	{"proof to a client that its document is the newest",
+	{"proof to a client that its copy of the replicated state is the newest",
 		bounds{terms: 2, elected: true, limits: [budgetCount]uint8{elections: 1, duplicates: unlimited, proposals: 1, freshnessQueries: 1, freshnessAttestations: 2}},
 		bounds{terms: 2, elected: true, limits: [budgetCount]uint8{elections: 1, duplicates: unlimited, proposals: 1, freshnessQueries: 1, freshnessAttestations: 2, changes: 1}}},
-	{"proof that a document is the newest during membership changes",
+	{"proof that a client's copy of the replicated state is the newest during membership changes",
 		bounds{terms: 1, elected: true, limits: [budgetCount]uint8{duplicates: unlimited, proposals: 1, freshnessQueries: 1, freshnessAttestations: 2, changes: 2}},
 		bounds{terms: 1, elected: true, learner: true, limits: [budgetCount]uint8{duplicates: unlimited, proposals: 1, freshnessQueries: 1, freshnessAttestations: 2, changes: 1, diskLosses: 1}}},
 	{"output of several steps of a member persisted together",
@@ -106,7 +106,7 @@
 	{"group restored from one member while the others continue",
 		bounds{terms: 3, elected: true, limits: [budgetCount]uint8{elections: 1, duplicates: unlimited, proposals: 1, restores: 1}},
 		bounds{terms: 3, elected: true, limits: [budgetCount]uint8{elections: 2, duplicates: unlimited, proposals: 1, restores: 1}}},
-	{"proof that a document is the newest in a restored group",
+	{"proof that a client's copy of the replicated state is the newest in a restored group",
 		bounds{initialVoters: 2, terms: 3, elected: true, limits: [budgetCount]uint8{elections: 1, duplicates: unlimited, proposals: 2, restores: 1, freshnessQueries: 1, freshnessAttestations: 2}},
 		bounds{terms: 3, elected: true, limits: [budgetCount]uint8{elections: 2, duplicates: unlimited, proposals: 2, restores: 1, freshnessQueries: 1, freshnessAttestations: 3}}},
 	{"shard of fixed members and a lost disk",
--- a/internal/control/consensus/peer_status_test.go
+++ b/internal/control/consensus/peer_status_test.go
@@ -14,9 +14,9 @@
 		compacted bool
 		caughtUp  bool
 	}{
-		{name: "lacks two small entries", bodyBytes: 10, caughtUp: true},
-		{name: "lacks two large entries", bodyBytes: 1 << 16},
-		{name: "lacks compacted entries", bodyBytes: 10, compacted: true},
+		{name: "learner lacks two small entries", bodyBytes: 10, caughtUp: true},
+		{name: "learner lacks two large entries", bodyBytes: 1 << 16},
+		{name: "learner lacks compacted entries", bodyBytes: 10, compacted: true},
 	} {
 		t.Run(lacking.name, func(t *testing.T) {
 			group := newTestGroup(t, "a b c", "d")
@@ -36,7 +36,7 @@
 				group.cores["a"].Compact(nil)
 			}
 			if status := group.peerStatus("a", "d"); status.CaughtUp != lacking.caughtUp {
-				t.Errorf("status of a learner that %s: %+v, want CaughtUp %v", lacking.name, status, lacking.caughtUp)
+				t.Errorf("%s: its status at the leader is %+v, want CaughtUp %v", lacking.name, status, lacking.caughtUp)
 			}
 		})
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// A new leader includes the silence of a member before the election in its contact age, up to one election
-// timeout. The contact age of a member that voted for the new leader starts at 0.
+// A new leader includes the silence of a member before the election in the contact age that it reports for the member,
+// up to one election timeout. The contact age of a member that voted for the new leader starts at 0.
 func TestNewLeaderCountsSilenceBeforeElection(t *testing.T) {
 	group := newTestGroup(t, "a b c", "")
 	group.elect("a")
@@ -70,10 +70,10 @@
 		leader, follower = "c", "b"
 	}
 	if status := group.peerStatus(leader, "a"); status.ContactAge < 9 {
-		t.Errorf("the old leader was silent for an election timeout: its contact age is %d ticks, want at least 9", status.ContactAge)
+		t.Errorf("the old leader was silent for an election timeout of 10 ticks: the new leader reports a contact age of %d ticks for it, want at least 9", status.ContactAge)
 	}
 	if status := group.peerStatus(leader, follower); status.ContactAge > 1 {
-		t.Errorf("the contact age of the member that voted for the new leader is %d ticks, want at most 1", status.ContactAge)
+		t.Errorf("the new leader reports a contact age of %d ticks for the member that has just voted for it, want at most 1", status.ContactAge)
 	}
 }
 
--- a/internal/control/consensus/progress.go
+++ b/internal/control/consensus/progress.go
@@ -28,7 +28,7 @@
 func (c *Core) newProgress(peer string) *peerProgress {
 	progress := &peerProgress{next: c.lastIndex() + 1}
 	if c.cfg.DynamicMembership {
-		progress.incarnation = peer // in a group each incarnation has its own name
+		progress.incarnation = peer // in a group, whose members can change, each incarnation of a machine has a member name of its own
 	}
 	return progress
 }
--- a/internal/control/consensus/rejoin.go
+++ b/internal/control/consensus/rejoin.go
@@ -10,10 +10,10 @@
 // unrelated to the restore generation of a group (restore.go).
 //
 // A member that has lost its disk starts blank, that is without log, term and vote, and so does a second machine
-// that is started under a name already in use. Both other members have to admit a blank member: it asks them for the latest generation that
-// they have recorded for its name, chooses the next one, and asks to be recorded with it. Each of them persists
-// the new incarnation and its generation before it sends its state, and ignores all earlier incarnations of the
-// name from then on. So of two machines with the same name at most one takes part, whichever was started later.
+// that is started under a name already in use. Both other members have to admit a blank member: it asks them for the
+// latest generation that they have recorded for its name, chooses the next one, and asks to be recorded with it. Each
+// of them persists the new incarnation and its generation before it sends its state, and ignores all earlier
+// incarnations of the name from then on. So of two machines with the same name at most one takes part, whichever was started later.
 
 // knownIncarnation returns the incarnation that this member has recorded for a peer; nil: none.
 func (c *Core) knownIncarnation(name string) *wire.KnownIncarnation {
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// recordIncarnation persists the latest incarnation of a peer and its generation. From then on, this member ignores
-// messages of every other incarnation of the peer.
+// recordIncarnation persists the latest incarnation of a peer and the number (generation) of that incarnation. From
+// then on, this member ignores messages of every other incarnation of the peer.
 func (c *Core) recordIncarnation(name, incarnation string, generation uint64) {
 	incarnations := []*wire.KnownIncarnation{{Name: name, Incarnation: incarnation, Generation: generation}}
 	for _, known := range c.hardState.KnownIncarnations {
@@ -46,23 +46,26 @@
 	return c.hardState.Incarnation, c.hardState.KnownIncarnations
 }
 
-// tickBlank sends the peers of this blank member a state request once in every two heartbeat intervals.
+// tickBlank asks the peers for their states once in every two heartbeat intervals, while this member is blank: it has
+// neither log, term nor vote.
 func (c *Core) tickBlank() {
 	if c.heartbeatElapsed%(2*c.cfg.HeartbeatTicks) == 1 {
 		c.requestState()
 	}
 }
 
-// requestState asks the peers for the latest generation that they have recorded for this member's name or, once this
-// member has chosen its generation, for their states: snapshot, log and recorded incarnations.
+// requestState asks the peers for the number (generation) of the latest incarnation that they have recorded under this
+// member's name or, once this member has chosen the number of its own incarnation, for their states: snapshot, log and
+// recorded incarnations.
 func (c *Core) requestState() {
 	c.forEachPeer(func(peer string) {
 		c.send(&wire.Message{To: peer, Kind: wire.MessageKind_STATE_REQUEST, AboutIncarnation: c.hardState.Incarnation, Generation: c.generation})
 	})
 }
 
-// handleStateRequest responds to a blank member: first with the latest generation that this member has recorded for
-// the sender's name; then, once the sender is recorded with the generation that it chose, with the complete state.
+// handleStateRequest responds to a blank member, which has neither log, term nor vote: first with the number
+// (generation) of the latest incarnation that this member has recorded under the sender's name; then, once the sender's
+// own incarnation is recorded with the number that the sender chose, with the complete state.
 func (c *Core) handleStateRequest(message *wire.Message) {
 	if c.cfg.DynamicMembership {
 		return
@@ -91,8 +94,9 @@
 	*progress = peerProgress{next: c.lastIndex() + 1, incarnation: incarnation, ticksSinceResponse: progress.ticksSinceResponse, contactAge: progress.contactAge}
 }
 
-// handleStateResponse collects the responses of both peers to this blank member: first the latest generations that
-// they have recorded for its name, by which it chooses its own, then their states.
+// handleStateResponse collects the responses of both peers to this blank member, which has neither log, term nor
+// vote: first the numbers (generations) of the latest incarnation that they have recorded under its name, by which it
+// chooses the number of its own incarnation, then their states.
 func (c *Core) handleStateResponse(message *wire.Message) {
 	if !c.isBlank() || message.AboutIncarnation != c.hardState.Incarnation {
 		return
@@ -101,7 +105,7 @@
 	case c.generation == 0:
 		c.collectGeneration(message)
 	case !message.Ok:
-		if message.Generation >= c.generation { // the peer has recorded another incarnation of this name with the chosen generation or a higher one: choose again
+		if message.Generation >= c.generation { // the peer has recorded another incarnation of this member's name with the number that this member chose for its own, or a higher one: choose again
 			c.restartRejoin()
 		}
 	case message.Generation == c.generation:
@@ -111,8 +115,9 @@
 	}
 }
 
-// collectGeneration records the latest generation that a peer knows for this member's name. Once both peers have
-// responded, this member chooses the generation after the higher of theirs, and requests the peers' states.
+// collectGeneration records the number (generation) of the latest incarnation that a peer knows under this member's
+// name. Once both peers have responded, this member chooses the number after the higher of theirs for its own
+// incarnation, and requests the peers' states.
 func (c *Core) collectGeneration(message *wire.Message) {
 	if c.peerGenerations[message.From] = message.Generation; len(c.peerGenerations) < len(c.cfg.Members)-1 {
 		return
@@ -124,7 +129,8 @@
 	c.requestState()
 }
 
-// restartRejoin makes this member ask the peers for their recorded generations again, so that it chooses a new one.
+// restartRejoin makes this member ask the peers again for the number of the latest incarnation that they have recorded
+// under its name, so that it chooses a new number for its own incarnation.
 func (c *Core) restartRejoin() {
 	c.generation = 0
 	clear(c.peerGenerations)
@@ -132,9 +138,9 @@
 }
 
 // rejoin takes over the more up-to-date of the peers' states, or an empty one if both are blank (see isBlank), as in a
-// new shard.
-// The protocol starts over if a peer has recorded another incarnation of the other peer than the one that sent its state. If one peer is blank although
-// the other has log entries, two disks are lost, and possibly committed entries with them: this member stays blank.
+// new shard. The protocol starts over if a peer has recorded another incarnation of the other peer than the one that
+// sent its state. If one peer is blank although the other has log entries, two disks are lost, and possibly committed
+// entries with them: this member stays blank, without a vote.
 func (c *Core) rejoin() {
 	if !c.peersRecognizeEachOther() {
 		c.restartRejoin()
@@ -194,8 +200,8 @@
 }
 
 // mergeIncarnations returns the incarnation of each peer that this member records when it rejoins: the incarnation that
-// sent its state, with the generation that the other peer has recorded for it. If this member has recorded one for the
-// peer itself, while it was blank, with the same or a higher generation, it keeps that one.
+// sent its state, with the number (generation) that the other peer has recorded for it. If this member itself recorded
+// an incarnation of the peer before it rejoined, with the same or a higher number, it keeps that one.
 func (c *Core) mergeIncarnations() (merged []*wire.KnownIncarnation) {
 	c.forEachPeer(func(peer string) {
 		incarnation := &wire.KnownIncarnation{Name: peer, Incarnation: c.peerStates[peer].Incarnation}
--- a/internal/control/consensus/snapshot_transfer_test.go
+++ b/internal/control/consensus/snapshot_transfer_test.go
@@ -57,10 +57,10 @@
 		}
 	}
 	if installed < 10 {
-		t.Errorf("the lagging follower advanced after %d of 20 commits, want at least 10", installed)
+		t.Errorf("the lagging follower applied entries after %d of 20 commits, want at least 10", installed)
 	}
 	ticks := network.runUntil("the lagging follower catches up", 200, func() bool { return network.hasCaughtUp(lagging) })
-	t.Logf("the lagging follower advanced after %d of 20 commits and caught up %d ticks after the last one", installed, ticks)
+	t.Logf("the lagging follower applied entries after %d of 20 commits (at least 10 required) and caught up %d ticks after the last commit (at most 200 allowed)", installed, ticks)
 }
 
 // A snapshot transfer that takes longer than the interval between two compactions completes. Guards against
--- a/internal/control/consensus/step.go
+++ b/internal/control/consensus/step.go
@@ -5,7 +5,7 @@
 // messageHandler defines how messages of one kind are handled, and which checks they have to pass first.
 type messageHandler struct {
 	handle     func(*Core, *wire.Message)
-	rejoin     bool // the messages are exchanged with blank members, which rejoin: Step skips its checks of incarnation, blank state and term
+	rejoin     bool // the messages are exchanged with a member that rejoins after the loss of its disk: Step skips its checks of incarnation, disk state and term
 	isResponse bool // the messages are responses: ignored unless they respond to the receiver's current incarnation
 	keepsTerm  bool // the receiver doesn't adopt a later term of the messages
 }
--- a/internal/control/mutation/model_test.go
+++ b/internal/control/mutation/model_test.go
@@ -113,5 +113,5 @@
 	mutant{name: "unapplied entries are left out of a proof of freshness", file: statusFile,
 		original:    "return c.entriesFrom(c.applied + 1) }",
 		replacement: "return nil }",
-		pkg:         consensusPackage, run: modelChecker + "proof_to_a_client_that_its_document_is_the_newest"},
+		pkg:         consensusPackage, run: modelChecker + "proof_to_a_client_that_its_copy_of_the_replicated_state_is_the_newest"},
 )
