--- a/internal/control/consensus/rejoin.go
+++ b/internal/control/consensus/rejoin.go
@@ -183,7 +183,8 @@
 }
 
 // bestPeerState returns the most up-to-date of the states received, as compared in elections (paper, section
-// 5.4.1); nil if all peers are blank (see isBlank). term is the highest term of the peers that aren't blank.
+// 5.4.1); nil if all peers started with empty disks and have not rejoined. term is the highest term of the other
+// peers.
 func (c *Core) bestPeerState() (best *wire.Message, term uint64, hasBlank bool) {
 	c.forEachPeer(func(peer string) {
 		state := c.peerStates[peer]
--- a/internal/data/selection/attempts.go
+++ b/internal/data/selection/attempts.go
@@ -133,7 +133,7 @@
 	service.meanPrefillTokens = movingAverage(service.meanPrefillTokens, sent.prefillTokens, loadTuning.sampleWeight)
 	worker.latenessMs = max(0, milliseconds(firstEvent)-service.firstEventMs-service.msPerToken*sent.prefillTokens)
 	worker.latenessAt = now
-	// If the worker reports waiting requests, the time to the first event includes more than prefill.
+	// If the worker reports waiting requests, the time to the first response event includes more than prefill.
 	if load == nil || load.Waiting == 0 {
 		t.learnFirstEvent(worker, sent.prefillTokens, firstEvent, now)
 	}
--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -27,7 +27,7 @@
 			t.Fatalf("first response event of worker %s is overdue: selected %s, fetching from %q; want another worker, fetching from %q", home, choice.Worker.ID, choice.Fetch, home+":1")
 		}
 	}
-	// The lateness of a first event still raises the worker's cost for some time after the event was received.
+	// The lateness of a first response event still raises the worker's cost for some time after the event arrived.
 	edge.recordFirstEvent(request, choice, &Load{Running: 2, Slots: 128}, 2*route.LatencyTarget, edge.now)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
 		t.Errorf("right after a late first response event of worker %s: selected it again, want another worker", home)
--- a/internal/data/selection/doc.go
+++ b/internal/data/selection/doc.go
@@ -27,7 +27,7 @@
 //	affinity           the worker would make another copy of a part whose home is another worker
 //	slow start         the worker was ejected recently
 //	rollout            the prompt is assigned to newer weights than the worker serves
-//	base latency       the time to the first event of an empty prompt, and the prompts queued ahead
+//	base latency       the time to the first response event of an empty prompt, and the prompts queued ahead
 //	prefill            the prompt tokens that the worker has to prefill
 //	transfer           the parts that it fetches instead, from the source that saves the most
 //	duplicate prefill  the parts that it prefills although another worker caches them
--- a/internal/data/selection/ejection_test.go
+++ b/internal/data/selection/ejection_test.go
@@ -65,7 +65,7 @@
 
 func TestOutcomesDecideWhetherAWorkerIsAvoided(t *testing.T) {
 	for outcome, avoided := range map[Outcome]bool{Completed: false, NoFreeSlot: true, NotReady: true, Misdirected: true, Failed: true, ClientGone: false, TimedOut: true} {
-		outcomeName := [...]string{"Completed", "NoFreeSlot", "NotReady", "Misdirected", "Failed", "ClientGone", "TimedOut"}[outcome]
+		outcomeName := [...]string{Completed: "Completed", NoFreeSlot: "NoFreeSlot", NotReady: "NotReady", Misdirected: "Misdirected", Failed: "Failed", ClientGone: "ClientGone", TimedOut: "TimedOut"}[outcome]
 		edge := newEdge(newFleet(6))
 		request := edge.newRequest("p", 13000)
 		choice := edge.mustSelect(t, request)
--- a/internal/data/selection/estimator.go
+++ b/internal/data/selection/estimator.go
@@ -36,9 +36,9 @@
 	return min(max(value, prior/estimatorTuning.maxMultiple), prior*estimatorTuning.maxMultiple)
 }
 
-// learnFirstEvent updates a worker's slowness and the first event estimates of its service with the time
-// firstEvent from sending a prompt to its first response event. tokens is the number of prompt tokens that the
-// worker prefilled.
+// learnFirstEvent updates a worker's slowness, and its service's estimates of the time to a first response
+// event, with the time firstEvent from sending a prompt to its first response event. tokens is the number of
+// prompt tokens that the worker prefilled.
 func (t *table) learnFirstEvent(w *workerStats, tokens float64, firstEvent, now time.Duration) {
 	stats := w.service
 	ms, expectedMs := milliseconds(firstEvent), stats.expectedFirstEventMs(tokens)
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -193,11 +193,11 @@
 	}
 	edge.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{}
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Fetch != "" || choice.Save != "" {
-		t.Errorf("the only store of the group is unavailable: choice has fetch address %q and save address %q, want neither", choice.Fetch, choice.Save)
+		t.Errorf("the only store of the fleet is unavailable: choice has fetch address %q and save address %q, want neither", choice.Fetch, choice.Save)
 	}
 	edge.found[promptindex.StoreHealthKey("store")] = &wire.LookupResult{Holders: []*wire.Holder{{Worker: "store"}}}
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Fetch != "store:1" {
-		t.Errorf("the only store of the group is available again after it was unavailable: choice has fetch address %q, want store:1", choice.Fetch)
+		t.Errorf("the only store of the fleet is available again after it was unavailable: choice has fetch address %q, want store:1", choice.Fetch)
 	}
 }
 
--- a/internal/data/selection/tuning.go
+++ b/internal/data/selection/tuning.go
@@ -303,23 +303,23 @@
 	// priorTokenRatio the prior of the prefill time per token. Both are ratios of the recovery time limit;
 	// range: above 0.
 	priorFirstEventRatio, priorTokenRatio float64
-	// The regression of first event times starts with priorSamples samples of an empty prompt and as many of a
-	// prompt of priorTokens tokens, all with the times that the priors predict. Range of priorSamples: 1 to
-	// 100; range of priorTokens: above 0. Higher values adapt more slowly.
+	// The regression of the time to the first response event starts with priorSamples samples of an empty
+	// prompt and as many of a prompt of priorTokens tokens, all with the times that the priors predict. Range
+	// of priorSamples: 1 to 100; range of priorTokens: above 0. Higher values adapt more slowly.
 	priorSamples int
 	priorTokens  float64
-	// maxMultiple limits the estimates of first event times to between 1/maxMultiple and maxMultiple times
-	// their prior. It also limits samples: to maxMultiple times the estimate, and in a worker's slowness to
-	// between 1/maxMultiple and maxMultiple times the estimate. Range: above 1. Higher values adapt to faster
-	// and slower workers, lower values are more stable.
+	// maxMultiple limits the estimates of the time to first response events to between 1/maxMultiple and
+	// maxMultiple times their prior. It also limits samples: to maxMultiple times the estimate, and in a
+	// worker's slowness to between 1/maxMultiple and maxMultiple times the estimate. Range: above 1. Higher
+	// values adapt to faster and slower workers, lower values are more stable.
 	maxMultiple float64
-	// sampleDecay is the factor by which each new sample of a service's first event times multiplies the
-	// weight of the earlier samples. Range: above 0, below 1. Higher values are more stable.
+	// sampleDecay is the factor by which each new sample of a service's times to first response events
+	// multiplies the weight of the earlier samples. Range: above 0, below 1. Higher values are more stable.
 	sampleDecay float64
 	// slownessWeight is the weight of the newest sample in a worker's logarithmic slowness, the logarithm of
-	// its first event times relative to their estimate. slownessDecayRatio is the age at which that logarithm
-	// has decayed to 3/8 (see decayWeight), as a ratio of the recovery time limit. Range of both: above 0, to
-	// 1.
+	// its times to first response events relative to their estimate. slownessDecayRatio is the age at which
+	// that logarithm has decayed to 3/8 (see decayWeight), as a ratio of the recovery time limit. Range of
+	// both: above 0, to 1.
 	slownessWeight, slownessDecayRatio float64
 	// minSlowness is the smallest absolute value of a worker's logarithmic slowness (see slownessWeight) that
 	// isn't rounded to 0: smaller differences between workers are noise. Range: 0 to 0.5.
