--- a/internal/data/selection/attempts.go
+++ b/internal/data/selection/attempts.go
@@ -104,8 +104,9 @@
 	}
 }
 
-// abandonedRatio is the age at which an attempt without a recorded outcome is removed, as a ratio of the time
-// for which request IDs are remembered.
+// abandonedRatio is the age at which an attempt without a recorded outcome is no longer counted as in flight at
+// its worker, as a ratio of the time for which the IDs of at-most-once requests are kept to detect duplicates
+// (settings.Bounds.RequestIDRetention).
 const abandonedRatio = 1.0 / 2
 
 // recordFirstEvent records the first response event of an attempt, which shows that its prompt is prefilled
@@ -132,7 +133,7 @@
 	service.meanPrefillTokens = movingAverage(service.meanPrefillTokens, sent.prefillTokens, loadTuning.sampleWeight)
 	worker.latenessMs = max(0, milliseconds(firstEvent)-service.firstEventMs-service.msPerToken*sent.prefillTokens)
 	worker.latenessAt = now
-	// If the worker reports waiting requests, the time to the first event includes more than prefill.
+	// If the worker reports waiting requests, the time to the first response event includes more than prefill.
 	if load == nil || load.Waiting == 0 {
 		t.learnFirstEvent(worker, sent.prefillTokens, firstEvent, now)
 	}
--- a/internal/data/selection/tuning.go
+++ b/internal/data/selection/tuning.go
@@ -12,7 +12,7 @@
 type affinityParameters struct {
 	// homeLoadRatio is the multiple of the workers' mean load up to which a worker may be the home of a prompt
 	// part; one request more than that is always allowed. Range: 1 to 4. Lower values spread load, higher
-	// values keep parts at one worker.
+	// values keep parts at one worker. Source: docs/design.md (1.25 of the mean, plus one).
 	homeLoadRatio float64
 	// homeSlotRatio is the fraction of a worker's slots that is added to the load limit for home workers (see
 	// homeLoadRatio), so that a worker with many slots isn't avoided for a few requests. Range: 0 to 1.
@@ -20,6 +20,7 @@
 	// coldWeight is the cost charged to workers other than the home worker while no worker caches the affinity
 	// part, as a ratio of the cost of prefilling it, so that the part is prefilled only once. Range: 0 to 1.
 	// Higher values avoid duplicate prefill, lower values avoid waiting for the home worker.
+	// Source: docs/design.md (three quarters).
 	coldWeight float64
 	// copyWeight is the cost charged to a worker that lacks the affinity part while another worker caches it,
 	// as a ratio of the cost of prefilling the part. Range: 0 to 1. Higher values avoid copies, lower values
@@ -213,7 +214,7 @@
 type rolloutParameters struct {
 	// olderVersionRatio is for how long after the control state named newer weights a worker on older ones may
 	// be selected, as a ratio of the rollout time limit. Range: 0 to below 1, so that the request starts within
-	// the limit.
+	// the limit. Source: docs/design.md (0.85 of the limit).
 	olderVersionRatio float64
 	// inheritedRatio is the time after the process's start within which a weights version that the process
 	// sees for the first time counts as named before the start, as a ratio of the recovery time limit. Range: 0
@@ -302,23 +303,23 @@
 	// priorTokenRatio the prior of the prefill time per token. Both are ratios of the recovery time limit;
 	// range: above 0.
 	priorFirstEventRatio, priorTokenRatio float64
-	// The regression of first event times starts with priorSamples samples of an empty prompt and as many of a
-	// prompt of priorTokens tokens, all with the times that the priors predict. Range of priorSamples: 1 to
-	// 100; range of priorTokens: above 0. Higher values adapt more slowly.
+	// The regression of the time to the first response event starts with priorSamples samples of an empty
+	// prompt and as many of a prompt of priorTokens tokens, all with the times that the priors predict. Range
+	// of priorSamples: 1 to 100; range of priorTokens: above 0. Higher values adapt more slowly.
 	priorSamples int
 	priorTokens  float64
-	// maxMultiple limits the estimates of first event times to between 1/maxMultiple and maxMultiple times
-	// their prior. It also limits samples: to maxMultiple times the estimate, and in a worker's slowness to
-	// between 1/maxMultiple and maxMultiple times the estimate. Range: above 1. Higher values adapt to faster
-	// and slower workers, lower values are more stable.
+	// maxMultiple limits the estimates of the time to first response events to between 1/maxMultiple and
+	// maxMultiple times their prior. It also limits samples: to maxMultiple times the estimate, and in a
+	// worker's slowness to between 1/maxMultiple and maxMultiple times the estimate. Range: above 1. Higher
+	// values adapt to faster and slower workers, lower values are more stable.
 	maxMultiple float64
-	// sampleDecay is the factor by which each new sample of a service's first event times multiplies the
-	// weight of the earlier samples. Range: above 0, below 1. Higher values are more stable.
+	// sampleDecay is the factor by which each new sample of a service's times to first response events
+	// multiplies the weight of the earlier samples. Range: above 0, below 1. Higher values are more stable.
 	sampleDecay float64
 	// slownessWeight is the weight of the newest sample in a worker's logarithmic slowness, the logarithm of
-	// its first event times relative to their estimate. slownessDecayRatio is the age at which that logarithm
-	// has decayed to 3/8 (see decayWeight), as a ratio of the recovery time limit. Range of both: above 0, to
-	// 1.
+	// its times to first response events relative to their estimate. slownessDecayRatio is the age at which
+	// that logarithm has decayed to 3/8 (see decayWeight), as a ratio of the recovery time limit. Range of
+	// both: above 0, to 1.
 	slownessWeight, slownessDecayRatio float64
 	// minSlowness is the smallest absolute value of a worker's logarithmic slowness (see slownessWeight) that
 	// isn't rounded to 0: smaller differences between workers are noise. Range: 0 to 0.5.
@@ -342,9 +343,11 @@
 // the total value of the requests that are served under high load. Range: above 0, smallRatio at most
 // mediumRatio.
 type sizeParameters struct {
-	// Fraction of the latency target below which a prompt's prefill time makes the prompt a small one.
+	// Expected prefill time, as a fraction of the latency target, below which a prompt is in the size class
+	// small.
 	smallRatio float64
-	// Fraction of the latency target below which a prompt that isn't small is a medium one.
+	// Expected prefill time, as a fraction of the latency target, below which a prompt that isn't in the size
+	// class small is in the class medium; from this time on it is large.
 	mediumRatio float64
 }
 
