--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -104,7 +104,7 @@
 	served          int
 	faultInjected   bool
 	sentUnsolicited bool // the worker has sent unsolicited bytes in the same write as a response
-	ended           bool
+	ended           bool // whether the worker reads no more requests from this connection
 }
 
 // serve answers the requests of a connection one after another, and injects the planned fault at the planned step.
@@ -239,7 +239,9 @@
 	if c.ended {
 		c.Close()
 	}
-	if c.ended || currentStep == connected { // at other steps, serve closes faultDone once it has sent the rest of the response
+	// Closing faultDone tells the test that the fault was injected. If the worker still has to handle the rest of the
+	// request, serve closes faultDone after that.
+	if c.ended || currentStep == connected {
 		c.adversary.once.Do(func() { close(c.adversary.faultDone) })
 	}
 }
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -118,7 +118,7 @@
 		}
 	case a.conn == nil || a.conn.discard(a):
 		a.outcome, a.reported = notSent, selection.Failed
-		if errs.KindOf(err) == errs.Overloaded { // this node's share of the worker's connections is in use; the worker didn't fail
+		if errs.KindOf(err) == errs.Overloaded { // this edge node already has its share of the worker's connections open; the worker didn't fail
 			a.reported = selection.NoFreeSlot
 		}
 	default:
@@ -167,7 +167,8 @@
 	a.outcome, a.reported = notExecuted, reported
 }
 
-// releaseConn returns the connection to the pool, or closes it if the request has no ID.
+// releaseConn returns the connection to the pool. It closes the connection instead if the client sent no request ID
+// (Headers.ID), because responses can be matched to their request only by that ID.
 func (a *attempt) releaseConn() {
 	_ = a.response.Body.Close()
 	if a.request.selection.ID == "" {
--- a/internal/data/proxy/connpool.go
+++ b/internal/data/proxy/connpool.go
@@ -13,7 +13,7 @@
 
 // Settings of the http.Transport for connections to the workers.
 const (
-	maxIdleConnsPerWorker  = 1 << 10 // more than any edge node may open to a worker, so that only the keep-alive time-out closes idle connections
+	maxIdleConnsPerWorker  = 1 << 10 // limit on idle connections to one worker; more than an edge node may open, so that only the keep-alive time-out closes them
 	maxResponseHeaderBytes = 64 << 10
 	connBufferBytes        = 4 << 10
 )
@@ -61,7 +61,7 @@
 func (p *connPool) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	limits, _ := ctx.Value(dialLimitsKey{}).(dialLimits)
 	if !p.reserve(addr, limits.maxConns) {
-		return nil, errs.New(errs.Overloaded, "dial worker %s: this node already has all %d connections of its share open", addr, limits.maxConns)
+		return nil, errs.New(errs.Overloaded, "dial worker %s: this edge node already has %d connections to the worker open, its share of the worker's connection limit", addr, limits.maxConns)
 	}
 	if limits.timeout > 0 {
 		var cancel context.CancelFunc
--- a/internal/data/proxy/request_test.go
+++ b/internal/data/proxy/request_test.go
@@ -167,7 +167,7 @@
 		h := s.workers[0].requests[0].Header
 		for k, want := range map[string]string{"Go-Version": "7", "Go-Salt": "salt", "Go-Fetch": "10.0.1.9:80", "Go-Save": "10.0.1.8:80", "Go-Urgency": "0", "Go-Left": "4000", "Go-Parts": "p1 p22"} {
 			if h.Get(k) != want {
-				t.Errorf("header field %s of the selector's choice: worker received %q, want %q", k, h.Get(k), want)
+				t.Errorf("header field %s of the request sent to the worker that the selector chose: worker received %q, want %q", k, h.Get(k), want)
 			}
 		}
 		if len(s.selector.loads) != 1 || s.selector.loads[0] != (selection.Load{Running: 3, Waiting: 1, Slots: 8}) || s.selector.outcomes[0] != selection.Completed {
@@ -191,7 +191,7 @@
 	for _, test := range []struct {
 		route, key string
 		proofAge   time.Duration
-		enforced   bool // key revocation is enforced
+		enforced   bool // whether API keys are rejected unless a recent proof shows that the routing plan is the newest
 		want       int
 	}{
 		{"private", "good", bound - time.Millisecond, true, 200}, {"private", "good", bound, true, 503}, {"private", "good", bound + time.Hour, false, 200},
--- a/internal/data/proxy/search_test.go
+++ b/internal/data/proxy/search_test.go
@@ -62,7 +62,7 @@
 			total[status] += n
 		}
 		if t.Failed() {
-			t.Fatalf("seed %d: responses or executions violate the invariants reported above", seed)
+			t.Fatalf("random worker faults with seed %d: a request got a wrong response, was executed too often, or was sent on a connection after unsolicited bytes", seed)
 		}
 	}
 	t.Logf("random worker faults: %d seeds with %d requests each; number of responses by status (0: incomplete or none): %v", seeds, searchClients*searchRequests, total)
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -47,7 +47,7 @@
 	conns             *connPool
 	retryBudgets      *retrybudget.ByService
 	misdirectedBudget *retrybudget.Budget // limits retries after a 421 (Misdirected Request); shared by all services
-	memoryLimit       int64               // maximum of reservedMemory, in bytes
+	memoryLimit       int64               // limit on the memory that requests in flight may reserve, in bytes
 	reservedMemory    atomic.Int64        // bytes reserved by requests in flight
 	inFlight          atomic.Int64        // number of requests in flight
 	retries           atomic.Int64        // attempts sent to workers beyond the first attempt of each request
--- a/internal/data/proxy/shutdown_test.go
+++ b/internal/data/proxy/shutdown_test.go
@@ -110,9 +110,9 @@
 			want int
 		}{
 			{"no worker seen since the start", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 503},
-			{"only a worker of a service without a route", func(snapshot *fleet.Snapshot) { snapshot.Workers = []fleet.Worker{{ID: "x", Service: "other"}} }, 503},
-			{"a worker of a service with a route", func(snapshot *fleet.Snapshot) { snapshot.Workers = workers }, 200},
-			{"all workers have left", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 200},
+			{"only a worker of a service without a route was seen", func(snapshot *fleet.Snapshot) { snapshot.Workers = []fleet.Worker{{ID: "x", Service: "other"}} }, 503},
+			{"a worker of a service with a route was seen", func(snapshot *fleet.Snapshot) { snapshot.Workers = workers }, 200},
+			{"all workers have left after one was seen", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 200},
 			{"proof that the routing plan is the newest is too old", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 5*time.Second }, 503},
 			{"fresh proof that the routing plan is the newest", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 4*time.Second }, 200},
 			{"no proof that the routing plan is the newest", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = 0 }, 503},
@@ -136,7 +136,7 @@
 		bounds := site.process.Settings.Bounds
 		for _, test := range []struct {
 			name     string
-			enforced bool          // key revocation is enforced
+			enforced bool          // whether API keys are rejected unless a recent proof shows that the routing plan is the newest
 			proof    time.Duration // time until the proof comes that the routing plan is the newest
 			minWait  time.Duration
 			maxWait  time.Duration
--- a/internal/data/proxy/stream_test.go
+++ b/internal/data/proxy/stream_test.go
@@ -20,6 +20,7 @@
 
 // streamScript returns a script that streams the events after the request's Last-Event-Id, up to event n. It closes
 // the connection after bytesBeforeClose bytes of them, or ends the stream properly if bytesBeforeClose is negative.
+// seal is the worker's signature in the response field Go-Seal, without which the proxy relays no 2xx response.
 func streamScript(seal string, n, bytesBeforeClose int) workerScript {
 	return func(conn net.Conn, r *http.Request, _ string) bool {
 		from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -105,24 +106,24 @@
 func TestResumedOnlyByWhatFollows(t *testing.T) {
 	two := len(streamedEvent(1) + streamedEvent(2))
 	for name, second := range map[string]workerScript{
-		"second worker restarts at the first event":   respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
-		"second worker repeats the last event":        respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
-		"second worker sends an event without ID":     respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk("data: x\n\n") + "0\r\n\r\n"),
-		"second worker doesn't send an event stream":  respondWith(okResponse),
-		"second worker sends no signature (Go-Seal)":  respondWith(strings.Replace(streamHead, "Go-Seal: SEAL\r\n", "", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
-		"second worker responds to another request":   respondWith(strings.Replace(strings.Replace(streamHead, "SEAL", "s", 1), "ID", "other", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
-		"second worker responds with status 500":      respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"),
-		"second worker rejects: no free slot":         respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
-		"second worker closes before its first event": streamScript("s", 5, 0),
+		"second worker restarts at the first event":            respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(1)) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
+		"second worker repeats the last event":                 respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk(streamedEvent(2)) + "0\r\n\r\n"),
+		"second worker sends an event without ID":              respondWith(strings.Replace(streamHead, "SEAL", "s", 1) + chunk("data: x\n\n") + "0\r\n\r\n"),
+		"second worker doesn't send an event stream":           respondWith(okResponse),
+		"second worker omits the required signature (Go-Seal)": respondWith(strings.Replace(streamHead, "Go-Seal: SEAL\r\n", "", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
+		"second worker responds to another request":            respondWith(strings.Replace(strings.Replace(streamHead, "SEAL", "s", 1), "ID", "other", 1) + chunk(streamedEvent(3)) + "0\r\n\r\n"),
+		"second worker responds with status 500":               respondWith("HTTP/1.1 500 Oh\r\nGo-Id: ID\r\nContent-Length: 0\r\n\r\n"),
+		"second worker rejects: no free slot":                  respondWith("HTTP/1.1 503 Full\r\nGo-Id: ID\r\nGo-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
+		"second worker closes before its first event":          streamScript("s", 5, 0),
 	} {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, []workerScript{streamScript("first", 5, two), second}, func(s *testSite) {
 				response := s.send(postRequest("resume", "a1", "body"))
 				if response.err == nil || response.body != streamedEvent(1)+streamedEvent(2) {
-					t.Errorf("client got error %v, body %q; want an error after the 2 events of the first worker", response.err, response.body)
+					t.Errorf("stream that the second worker does not continue correctly: client got error %v, body %q; want an error after the 2 events of the first worker", response.err, response.body)
 				}
 				if id := s.workers[1].requests[0].Header.Get("Last-Event-Id"); id != "2" {
-					t.Errorf("second worker received Last-Event-Id %q, want \"2\"", id)
+					t.Errorf("request to continue the stream after event 2: second worker received Last-Event-Id %q, want \"2\"", id)
 				}
 			})
 		})
@@ -198,7 +199,7 @@
 				if when == "client disconnects after the first event" {
 					a, err := http.ReadResponse(client.br, nil)
 					if err != nil {
-						t.Fatalf("read response header: %v", err)
+						t.Fatalf("read header of the event stream from which the client will disconnect: %v", err)
 					}
 					_, _ = io.ReadFull(a.Body, make([]byte, len(streamedEvent(1))))
 				} else {
--- a/internal/data/proxy/workerconn_test.go
+++ b/internal/data/proxy/workerconn_test.go
@@ -155,8 +155,8 @@
 	})
 }
 
-// The proxy must not open more connections to a worker than this node's share. If no other worker is left, a request
-// beyond that share must be rejected as not executed.
+// The proxy must not open more connections to a worker than this edge node's share of the worker's connection limit.
+// If no other worker is left, a request beyond that share must be rejected as not executed.
 func TestConnectionsToAWorkerAreBounded(t *testing.T) {
 	silent := func(c net.Conn, _ *http.Request, _ string) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	withSite(t, []workerScript{silent}, func(s *testSite) {
@@ -169,10 +169,10 @@
 			synctest.Wait()
 		}
 		if response := s.send(postRequest("once", "a3", "b")); response.status != 503 || response.header.Get("Retry-After") == "" {
-			t.Errorf("request when all connections of this node's share are in use: got response %+v, want status 503 with Retry-After", response)
+			t.Errorf("request when this edge node's share of the worker's connection limit is in use: got response %+v, want status 503 with Retry-After", response)
 		}
 		if s.workers[0].requestCount() != 2 || s.selector.outcomes[0] != selection.NoFreeSlot {
-			t.Errorf("node's share of 2 connections to the worker: worker received %d requests, selector got outcomes %v; want 2 requests, NoFreeSlot first", s.workers[0].requestCount(), s.selector.outcomes)
+			t.Errorf("edge node that may open 2 connections to the worker: worker received %d requests, selector got outcomes %v; want 2 requests, NoFreeSlot first", s.workers[0].requestCount(), s.selector.outcomes)
 		}
 		for _, client := range clients {
 			client.Close()
@@ -252,7 +252,7 @@
 		do   func(conn *workerConn)
 		want bool
 	}{
-		{"no Write yet", fakeConn{}, func(*workerConn) {}, true},
+		{"nothing was written on the connection yet", fakeConn{}, func(*workerConn) {}, true},
 		{"Write failed and the kernel accepted no byte", fakeConn{n: 0, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("x")) }, true},
 		{"Write failed after the kernel accepted one byte", fakeConn{n: 1, err: bad}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
 		{"Write succeeded and the kernel accepted all bytes", fakeConn{n: 9}, func(conn *workerConn) { _, _ = conn.Write([]byte("xy")) }, false},
--- a/internal/data/proxy/workerresponse_test.go
+++ b/internal/data/proxy/workerresponse_test.go
@@ -67,7 +67,7 @@
 			t.Run(test.name+"/"+kind.route, func(t *testing.T) {
 				want := kind.want
 				if (test.name == "body shorter than Content-Length" || test.name == "chunked body without last chunk") && (kind.route == "stream" || kind.route == "resume") {
-					want = expected{0, 0} // the part before the error is relayed at once, and there is no event to resume after
+					want = expected{0, 0} // the proxy relays the start of a streamed body at once, and no event was relayed after which it could resume
 				}
 				withSite(t, []workerScript{test.first, respondWith(okResponse)}, func(site *testSite) {
 					checkResponse(t, site, kind.route, test.firstRequests, want)
@@ -121,14 +121,14 @@
 			withSite(t, test.scripts, func(s *testSite) {
 				response := s.send(postRequest(test.route, "a1", "body"))
 				if response.err != nil || response.status != test.status || (response.header.Get("Retry-After") != "") != test.retryAfter {
-					t.Errorf("client got status %d, Retry-After %q, error %v; want status %d, Retry-After set: %v", response.status, response.header.Get("Retry-After"), response.err, test.status, test.retryAfter)
+					t.Errorf("request that no worker completes: client got status %d, Retry-After %q, error %v; want status %d, Retry-After set: %v", response.status, response.header.Get("Retry-After"), response.err, test.status, test.retryAfter)
 				}
 				n := 0
 				for _, worker := range s.workers {
 					n += worker.requestCount()
 				}
 				if n > test.maxRequests {
-					t.Errorf("all workers together received the request %d times, want at most %d", n, test.maxRequests)
+					t.Errorf("request that no worker completes: all workers together received it %d times, want at most %d", n, test.maxRequests)
 				}
 			})
 		})
