--- a/internal/control/controlclient/partition_test.go
+++ b/internal/control/controlclient/partition_test.go
@@ -84,11 +84,11 @@
 		want   string // names of the members that should receive the change, in order
 	}{
 		{"member a is the leader", func() { group.leader = "a" }, "[a]"},
-		{"a is partitioned and b becomes the leader", func() { group.partitioned["a"], group.leader = true, "b" }, "[a b]"},
-		{"b is known as the leader, and so tried first", func() {}, "[b]"},
-		{"c becomes the leader, but b names the unresponsive a as the leader", func() { group.leader, group.namedLeader = "c", "a" }, "[b c]"},
-		{"a responds again and becomes the leader", func() { group.partitioned["a"], group.leader = false, "a" }, "[c b a]"},
-		{"a is known as the leader, and so tried first", func() {}, "[a]"},
+		{"member a is partitioned and member b becomes the leader", func() { group.partitioned["a"], group.leader = true, "b" }, "[a b]"},
+		{"member b is known as the leader, and so tried first", func() {}, "[b]"},
+		{"member c becomes the leader, but member b names the unresponsive member a", func() { group.leader, group.namedLeader = "c", "a" }, "[b c]"},
+		{"member a responds again and becomes the leader", func() { group.partitioned["a"], group.leader = false, "a" }, "[c b a]"},
+		{"member a is known as the leader, and so tried first", func() {}, "[a]"},
 	} {
 		tried, err := group.change(client, test.update)
 		if got := fmt.Sprint(tried); err != nil || got != test.want {
--- a/internal/control/controllers/concurrency.go
+++ b/internal/control/controllers/concurrency.go
@@ -31,7 +31,7 @@
 type serviceProgress struct {
 	outdated     int            // number of workers that need a newer version, without those that wait for a retry
 	loading      int            // number of workers that load weights and count toward the limit on concurrent loads
-	finishing    int            // number of loading workers that are expected to finish within the lead time for cordoning a worker
+	finishing    int            // number of loading workers that are expected to finish within the delay between cordoning a worker and ordering it to load
 	cordoned     int            // number of workers that are cordoned and have not been ordered to load weights yet
 	candidates   []fleet.Worker // outdated workers that may be cordoned next
 	model        string         // model whose rollout started first, among those that outdated workers need
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -14,8 +14,8 @@
 
 // Timing and limits of the controller that places prompt prefixes on workers.
 const (
-	placementPollRatio = 0.25 // interval between updates of each service's placement, as a fraction of the recovery time bound Bounds.Heal
-	recomputeRatio     = 1.0  // interval between full computations of a service's placement, as a fraction of the recovery time bound Bounds.Heal
+	placementPollRatio = 0.25 // interval between updates of the assignment of a service's cached prompt prefixes to workers, as a fraction of the recovery time bound Bounds.Heal
+	recomputeRatio     = 1.0  // interval between full computations of the assignment of a service's cached prompt prefixes to workers, as a fraction of the recovery time bound Bounds.Heal
 
 	hotEntriesLimit = 1000 // maximum number of prompt prefixes requested from each index node, the most frequently used first
 )
@@ -28,14 +28,15 @@
 // HotEntriesFunc queries the prompt index for the most frequently used prompt prefixes of a service.
 type HotEntriesFunc func(ctx context.Context, service string) []*wire.HotPrefix
 
-// servicePlacement tracks the newest placement of one service and what of it has been written to the control state.
+// servicePlacement tracks the newest placement of one service's prompt prefixes on workers, and what of it has been
+// written to the control state.
 type servicePlacement struct {
-	desired           *placement.Placement // newest placement of the service, whether written or still to be written; nil before the first one
+	desired           *placement.Placement // newest placement of the service's prompt prefixes, whether written or still to be written; nil before the first one
 	publishedCordoned []string             // IDs of the workers that the last written placement cordons
 	recomputedAt      time.Duration        // time of the last full computation of the placement in this session; zero before the first one
 }
 
-// runPlacement periodically updates the placement of every service until the session ends.
+// runPlacement periodically updates the placement of every service's prompt prefixes on workers until the session ends.
 func (s *session) runPlacement() {
 	for s.ctx.Err() == nil {
 		if snapshot := s.latestSnapshot(); snapshot != nil && snapshot.Plan != nil {
@@ -76,9 +77,9 @@
 	}
 }
 
-// nextPlacement returns the next placement of a service, and whether it differs enough from the current one to be
-// published. Between full computations, it only replaces the least used replicated prefixes by ones that have become
-// hot in a burst of requests.
+// nextPlacement returns the next placement of a service's prompt prefixes, and whether it differs enough from the
+// current one to be published. Between full computations, it only replaces the least used replicated prefixes by ones
+// that have become hot in a burst of requests.
 func nextPlacement(p *servicePlacement, service routingconfig.Service, hot []*wire.HotPrefix, workers []string,
 	now, recomputeInterval time.Duration) (*placement.Placement, bool) {
 	old := p.desired
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -64,7 +64,7 @@
 			}
 			for k, x := range want {
 				if got[k] != x || len(got) != len(want) {
-					t.Errorf("query of the index nodes with indexes %v of a, b, c: hotness by prefix %v, want %v", pair, got, want)
+					t.Errorf("query of the prompt index nodes with indexes %v in the list a, b, c: hotness by prefix %v, want %v", pair, got, want)
 				}
 			}
 		}
--- a/internal/control/controllers/rollout.go
+++ b/internal/control/controllers/rollout.go
@@ -336,7 +336,8 @@
 	case report.Busy:
 		load.stage = stageLoading
 	case load.reportRequestedAt-load.startedAt >= r.bounds.Leave(maxReportAgeRatio):
-		// The report is recent enough to show a load that the order had started, so the worker did not accept it.
+		// The report shows a worker that is not loading weights. It is recent enough that it would show a load started
+		// by the order, so the worker did not accept the order.
 		delete(r.possiblyOrdered, id)
 		load.stage = stageCordoned
 	}
--- a/internal/control/controllers/rollout_test.go
+++ b/internal/control/controllers/rollout_test.go
@@ -127,7 +127,7 @@
 		}
 		s.worker.Weights = newWeights
 	case response.name == "old" && s.now-s.orderedAt >= bounds().Leave(maxReportAgeRatio):
-		s.mayBeLoading = false // the report is recent enough to show a load that the last order had started
+		s.mayBeLoading = false // the report shows no load, and is recent enough to show one that the last order had started
 	}
 }
 
--- a/internal/control/controllers/sequence_test.go
+++ b/internal/control/controllers/sequence_test.go
@@ -64,7 +64,7 @@
 				}
 				second := single.retryOrder(sequence)
 				if second == nil || second.Sequence == nil || *second.Sequence != sequence {
-					t.Fatalf("retry of an order without a response: %+v, want an order with Sequence %d, the number in the worker's reports", second, sequence)
+					t.Fatalf("retry of an order without a response: %+v, want an order with Sequence %d, the number of accepted orders in the worker's reports", second, sequence)
 				}
 				worker := sequencedWorker{t: t, sequence: sequence}
 				if firstArrives {
--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -39,7 +39,7 @@
 	workers       *WorkerList
 	listKnown     bool // whether a worker list is stored in the control state or was read from the platform
 	rollout       *Rollout
-	placements    map[string]*servicePlacement // newest placement of each service, by service name
+	placements    map[string]*servicePlacement // newest placement of each service's prompt prefixes, by service name
 	pending       map[string][]byte            // document bodies to write to the control state, by document key
 	targets       *targetVersions
 }
@@ -141,7 +141,7 @@
 	for _, document := range documents {
 		stored, err := placement.Read(document.Body, document.Version)
 		if err != nil {
-			s.logWarning("decoding a stored placement failed; the placement is ignored")(err)
+			s.logWarning("decoding a stored placement of prompt prefixes failed; the placement is ignored")(err)
 			continue
 		}
 		byService[stored.Service] = &servicePlacement{desired: stored, publishedCordoned: stored.Cordoned}
@@ -166,7 +166,7 @@
 	desired.FencingToken, desired.Version = s.fencingToken, 0
 	body, err := json.Marshal(desired)
 	if err != nil {
-		s.logWarning("encoding a placement for the control state failed")(err)
+		s.logWarning("encoding a placement of prompt prefixes for the control state failed")(err)
 		return
 	}
 	service.desired = desired
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -70,8 +70,8 @@
 	listUnavailable bool                       // whether reads of the platform's worker list fail
 
 	effects         int         // number of document writes, orders and report requests that have arrived so far
-	failAtEffect    int         // value of the field effects at which the lease holder fails; 0 for never
-	failureKind     failureKind // how the lease holder fails at failAtEffect
+	failAtEffect    int         // number of the document write, order or report request at which the lease holder fails, counted as in effects; 0 for never
+	failureKind     failureKind // whether the lease holder crashes before or after the call numbered failAtEffect, or shuts down at that call
 	lossProbability float64     // probability that the response to a call is lost
 	random          *rand.Rand
 	failedMachine   string // name of the core machine that crashed or was shut down; empty if none
@@ -103,7 +103,7 @@
 
 // workerState is the state of a testWorker from a certain time on.
 type workerState struct {
-	since    time.Duration // time at which this state begins
+	since    time.Duration // time from which the worker is in this state
 	busy     bool          // whether the worker is executing an order
 	version  uint64        // version of the weights that the worker serves
 	sequence uint64        // number of orders that the worker has accepted
--- a/internal/control/controllers/workerlist_test.go
+++ b/internal/control/controllers/workerlist_test.go
@@ -78,10 +78,10 @@
 			events[i](list)
 			highest = max(highest, []uint64{2, 3, 1, 2, 1}[i])
 			if document := list.Document(); len(document.Workers) != 1 || document.Workers[0].Weights["daka"] != highest {
-				t.Fatalf("worker list after the events with indexes %v: %+v, want one worker with version %d", done, document, highest)
+				t.Fatalf("worker list after the reports and list reads numbered %v in the test's list: %+v, want one worker with version %d", done, document, highest)
 			}
 			if !reflect.DeepEqual(before, copied) {
-				t.Fatalf("after the events with indexes %v: the worker list returned before the last event is now %+v, want it unchanged: %+v", done, before, copied)
+				t.Fatalf("after the reports and list reads numbered %v in the test's list: the worker list returned before the last event is now %+v, want it unchanged: %+v", done, before, copied)
 			}
 		}
 		if len(done) == 4 {
