--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -70,7 +70,7 @@
 	mu                       sync.Mutex
 	once                     sync.Once
 	runs                     map[string]int // number of executions by request ID
-	requestsAfterUnsolicited int            // requests received on connections on which unsolicited bytes had been sent
+	requestsAfterUnsolicited int            // number of requests received on connections on which unsolicited bytes had been sent
 }
 
 func newAdversary(t *testing.T, id string, plan func(string, int) (step, fault, bool)) *adversary {
@@ -103,7 +103,7 @@
 	br              *bufio.Reader
 	served          int
 	faultInjected   bool
-	sentUnsolicited bool // the worker has sent unsolicited bytes in the same write as a response
+	sentUnsolicited bool // whether the worker has sent unsolicited bytes in the same write as a response
 	ended           bool // whether the worker reads no more requests from this connection
 }
 
@@ -239,7 +239,7 @@
 	if c.ended {
 		c.Close()
 	}
-	// Closing faultDone tells the test that the fault was injected. If the worker still has to handle the rest of the
+	// Closing faultDone signals to the test that the fault was injected. If the worker still has to handle the rest of the
 	// request, serve closes faultDone after that.
 	if c.ended || currentStep == connected {
 		c.adversary.once.Do(func() { close(c.adversary.faultDone) })
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -29,17 +29,17 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 
-	conn      *workerConn   // nil: no connection was acquired yet, or it was already released
-	reused    bool          // conn has carried an earlier request
+	conn      *workerConn   // connection that carries this attempt; nil: none was acquired yet, or it was already released
+	reused    bool          // whether conn has carried an earlier request
 	idleTime  time.Duration // how long conn was idle before this attempt
-	staleConn bool          // conn was closed before anything was sent, because it wasn't safe to reuse
+	staleConn bool          // whether conn was closed before anything was sent, because it wasn't safe to reuse
 
 	response       *http.Response
 	startedAt      time.Duration
 	firstByteAfter time.Duration // time from startedAt to the first byte of the response body; 0: no byte received
 	outcome        outcome
 	reported       selection.Outcome // the outcome that is reported to the selector of workers
-	definitive     bool              // a retry is pointless: any worker would respond the same
+	definitive     bool              // whether a retry is pointless because any worker would respond the same
 	load           *selection.Load   // the load that the worker reported in its response; nil: it reported none
 }
 
--- a/internal/data/proxy/client_test.go
+++ b/internal/data/proxy/client_test.go
@@ -15,8 +15,8 @@
 	status     int
 	header     http.Header
 	body       string
-	err        error // not nil if no response came or its body is incomplete
-	closesConn bool  // the response has the header field "Connection: close"
+	err        error // error if no response came or its body is incomplete, else nil
+	closesConn bool  // whether the response has the header field "Connection: close"
 }
 
 // clientConn is a connection of a test client.
--- a/internal/data/proxy/eventsplitter.go
+++ b/internal/data/proxy/eventsplitter.go
@@ -15,15 +15,15 @@
 // with a complete event. It records the ID of that event, after which another worker can continue the stream.
 type eventSplitter struct {
 	lastID      string // ID of the last relayed event, or the client's Last-Event-ID before the first one
-	canResume   bool   // the relayed bytes end with the event lastID, so a resumed stream would lose nothing
-	resuming    bool   // the stream continues another worker's stream, so its event IDs must increase from lastID
-	passthrough bool   // the stream has no increasing event IDs or isn't parseable, and is relayed unsplit
+	canResume   bool   // whether the relayed bytes end with the event lastID, so that a resumed stream would lose nothing
+	resuming    bool   // whether the stream continues another worker's stream, so that its event IDs must increase from lastID
+	passthrough bool   // whether the stream is relayed unsplit, because it has no increasing event IDs or isn't parseable
 
 	buffer    []byte // backing storage of pending, reused between calls
 	pending   []byte // bytes received after the last complete event
 	scanned   int    // length of the complete lines at the start of pending, which are scanned already
 	currentID string // ID of the incomplete event in pending; empty: no ID received yet
-	hasData   bool   // a data field of the incomplete event in pending was received
+	hasData   bool   // whether a data field of the incomplete event in pending was received
 }
 
 // reset prepares the splitter for another worker's stream, and drops bytes of the previous worker's stream that were
--- a/internal/data/proxy/faults_test.go
+++ b/internal/data/proxy/faults_test.go
@@ -35,7 +35,7 @@
 	step   step
 	fault  fault
 	route  string
-	reused bool // the request is sent on a connection that has carried an earlier request
+	reused bool // whether the request is sent on a connection that has carried an earlier request
 }
 
 // Tests every worker fault at every step of a request, for each kind of route, on a new and on a reused
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -28,17 +28,17 @@
 	selection      selection.Request
 	maxConns       int // maximum number of connections from this edge node to one worker; 0: no limit
 	body           []byte
-	chunked        bool            // the body came with chunked transfer encoding and is forwarded that way
+	chunked        bool            // whether the body came with chunked transfer encoding, and so is forwarded that way
 	reservedMemory int64           // bytes of server.reservedMemory that this request has reserved
 	tried          map[string]bool // IDs of the workers that were selected for an attempt of this request
 
-	attemptsSent       int               // attempts of which some bytes may have been sent to a worker
-	attemptsNotSent    int               // attempts of which provably no byte was sent to a worker
-	retriesGranted     int               // attempts beyond the first that the service's retry budget has permitted
-	mayHaveExecuted    bool              // some worker may have executed the request
+	attemptsSent       int               // number of attempts of which some bytes may have been sent to a worker
+	attemptsNotSent    int               // number of attempts of which provably no byte was sent to a worker
+	retriesGranted     int               // number of attempts beyond the first that the service's retry budget has permitted
+	mayHaveExecuted    bool              // whether some worker may have executed the request
 	capacityExpectedIn time.Duration     // estimated time until a worker has a free slot; 0: unknown
 	fallback           *bufferedResponse // error response of a worker, relayed if no attempt completes; nil: none received
-	responseStarted    bool              // the response header was written to the client
+	responseStarted    bool              // whether the response header was written to the client
 	events             *eventSplitter    // splits a resumable event stream; nil: the response can't be resumed
 }
 
--- a/internal/data/proxy/response.go
+++ b/internal/data/proxy/response.go
@@ -16,7 +16,7 @@
 	status   int
 	header   http.Header
 	body     []byte
-	executed bool // the worker executed the request; false: it reported that it didn't
+	executed bool // whether the worker executed the request; false: it reported that it didn't
 }
 
 // startResponse writes the header of a worker's response to the client. From then on, writes to the client fail once
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -50,10 +50,10 @@
 	memoryLimit       int64               // limit on the memory that requests in flight may reserve, in bytes
 	reservedMemory    atomic.Int64        // bytes reserved by requests in flight
 	inFlight          atomic.Int64        // number of requests in flight
-	retries           atomic.Int64        // attempts sent to workers beyond the first attempt of each request
-	resumedStreams    atomic.Int64        // event streams that were continued by another worker
-	draining          atomic.Bool         // set when the shutdown begins, never reset
-	wasReady          atomic.Bool         // set once a worker of a service with a route was seen, never reset
+	retries           atomic.Int64        // number of attempts sent to workers beyond the first attempt of each request
+	resumedStreams    atomic.Int64        // number of event streams that were continued by another worker
+	draining          atomic.Bool         // whether the shutdown has begun; never reset
+	wasReady          atomic.Bool         // whether a worker of a service with a route was seen since the start; never reset
 	bufferPool        sync.Pool           // buffers for relaying response bodies: *[]byte with a length of relayBufferBytes
 }
 
--- a/internal/data/proxy/workerconn.go
+++ b/internal/data/proxy/workerconn.go
@@ -21,14 +21,14 @@
 type workerConn struct {
 	net.Conn
 	raw     syscall.RawConn // raw access to the socket; nil if Conn isn't a socket
-	onClose func()          // called once, at the first Close
+	onClose func()          // function that is called once, at the first Close
 
 	mu            sync.Mutex
 	changed       sync.Cond // signaled when closed or reading is set
 	closed        bool
-	reading       bool // a Read is in progress; all bytes received before it have been consumed
+	reading       bool // whether a Read is in progress; if so, all bytes received before it have been consumed
 	pendingWrites int  // number of Write calls in progress
-	wroteBytes    bool // the kernel has accepted bytes of the request of the attempt in holder
+	wroteBytes    bool // whether the kernel has accepted bytes of the request of the attempt in holder
 	holder        any  // the *attempt that uses the connection; nil: idle
 	idleTimer     *time.Timer
 	keepAlive     time.Duration // how long the worker keeps the connection open while idle
--- a/internal/data/proxy/workerresponse_test.go
+++ b/internal/data/proxy/workerresponse_test.go
@@ -106,7 +106,7 @@
 		scripts     []workerScript
 		route       string
 		status      int
-		retryAfter  bool // a Retry-After field is expected
+		retryAfter  bool // whether the response to the client should have a Retry-After field
 		maxRequests int  // maximum number of requests that all workers together receive
 	}{
 		{"no worker", nil, "once", 503, true, 0},
