--- a/internal/control/controllers/listsync.go
+++ b/internal/control/controllers/listsync.go
@@ -60,7 +60,7 @@
 	return time.Duration(float64(pages) / (site.WorkerListRate * listRateRatio) * float64(time.Second))
 }
 
-// mergeWorkerList merges a worker list that was read from the platform into the published one, on the actor's
+// mergeWorkerList merges a worker list that was read from the platform into the published one, on the session's actor
 // goroutine. It reports whether a worker was missing but must be missing once more before it is removed; the list
 // should then be read again soon.
 func (s *session) mergeWorkerList(list []fleet.Worker, complete bool) (unconfirmed bool) {
--- a/internal/control/controllers/orders.go
+++ b/internal/control/controllers/orders.go
@@ -34,7 +34,7 @@
 }
 
 // stepRollout advances the rollout by one step, starts the calls to workers that it requests, and queues placements
-// that cordon workers. It runs on the actor's goroutine.
+// that cordon workers. It runs on the session's actor goroutine.
 func (s *session) stepRollout() {
 	snapshot := s.latestSnapshot()
 	if _, ok := s.currentToken(); !ok || snapshot == nil || snapshot.Plan == nil || s.ordersStopped {
@@ -170,7 +170,7 @@
 }
 
 // recordVersion records in the worker list that a worker serves a version of a model's weights, and publishes the list
-// if it changed. Version zero means unknown and is ignored. It runs on the actor's goroutine.
+// if it changed. Version zero means unknown and is ignored. It runs on the session's actor goroutine.
 func (s *session) recordVersion(worker, model string, version uint64) {
 	if version > 0 && s.workers.SetWeights(worker, model, version) {
 		s.queueWorkerList()
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -57,7 +57,7 @@
 }
 
 // updatePlacement computes a service's placement from its most frequently used prompt prefixes, and queues the
-// placement for writing if it changed. It runs on the actor's goroutine.
+// placement for writing if it changed. It runs on the session's actor goroutine.
 func (s *session) updatePlacement(service routingconfig.Service, hot []*wire.HotPrefix) {
 	if len(hot) == 0 {
 		return // no index node responded, or the service has had no requests yet
--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -34,7 +34,7 @@
 	wake           chan struct{} // signals the document writer that documents are pending
 	ordersInFlight sync.WaitGroup
 
-	// The fields below are accessed only on the actor's goroutine.
+	// The fields below are accessed only on the session's actor goroutine.
 	ordersStopped bool // whether no further orders may be sent to workers
 	workers       *WorkerList
 	listKnown     bool // whether a worker list is stored in the control state or was read from the platform
@@ -150,7 +150,7 @@
 	return byService, cordoned
 }
 
-// queueWorkerList queues the worker list for writing to the control state. It runs on the actor's goroutine.
+// queueWorkerList queues the worker list for writing to the control state. It runs on the session's actor goroutine.
 func (s *session) queueWorkerList() {
 	body, err := json.Marshal(s.workers.Document())
 	if err != nil {
@@ -197,7 +197,7 @@
 
 // documentWritten records that the body of a document was written to the control state. The document is no longer
 // pending unless a newer body was queued. If it is a placement, its cordoned workers become publishedCordoned of its
-// service. It runs on the actor's goroutine.
+// service. It runs on the session's actor goroutine.
 func (s *session) documentWritten(key string, body []byte) {
 	if string(s.pending[key]) == string(body) {
 		delete(s.pending, key)
