--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -70,8 +70,8 @@
 	listUnavailable bool                       // whether reads of the platform's worker list fail
 
 	effects         int         // number of document writes, orders and report requests that have arrived so far
-	failAtEffect    int         // number of the document write, order or report request at which the lease holder fails, counted as in effects; 0 for never
-	failureKind     failureKind // whether the lease holder crashes before or after the call numbered failAtEffect, or shuts down at that call
+	failAtEffect    int         // number of the document write, order or report request at which the lease holder fails, counted from the creation of the site; 0 for never
+	failureKind     failureKind // whether the lease holder crashes before or after the chosen document write, order or report request, or shuts down during it
 	lossProbability float64     // probability that the response to a call is lost
 	random          *rand.Rand
 	failedMachine   string // name of the core machine that crashed or was shut down; empty if none
--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -63,7 +63,7 @@
 type adversary struct {
 	fleet.Worker
 	t                *testing.T
-	plan             func(id string, served int) (step, fault, bool) // returns the step and the fault to inject, given the request's ID ("" before a request has come) and the number of requests served on the connection
+	plan             func(id string, served int) (step, fault, bool) // function that returns the step and the fault to inject, given the request's ID ("" before a request has come) and the number of requests served on the connection
 	faultDone        chan struct{}                                   // closed once the worker has injected a fault
 	responseReceived chan struct{}                                   // closed by the test once the client has its response
 
--- a/internal/data/proxy/request.go
+++ b/internal/data/proxy/request.go
@@ -21,7 +21,7 @@
 
 	ctx               context.Context // done a short time after the deadline (see transitRatio), or when the client disconnects
 	cancel            context.CancelFunc
-	stopWriteDeadline func() bool // cancels the write deadline that is set when ctx is done; false: it was set already
+	stopWriteDeadline func() bool // function that cancels the write deadline set when ctx is done; it returns false if that deadline was set already
 
 	receivedAt     time.Duration // when the request header was read, by the process clock
 	deadline       time.Duration // the earlier of the client's and the route's deadline, by the process clock
@@ -39,7 +39,7 @@
 	capacityExpectedIn time.Duration     // estimated time until a worker has a free slot; 0: unknown
 	fallback           *bufferedResponse // error response of a worker, relayed if no attempt completes; nil: none received
 	responseStarted    bool              // whether the response header was written to the client
-	events             *eventSplitter    // splits a resumable event stream; nil: the response can't be resumed
+	events             *eventSplitter    // splitter of a resumable event stream; nil: the response can't be resumed
 }
 
 // pastTime is an I/O deadline in the past: setting it makes pending reads or writes fail at once.
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -35,7 +35,7 @@
 type Config struct {
 	Headers   Headers
 	ReadyPath string                 // URL path of the readiness check
-	Snapshot  func() *fleet.Snapshot // returns the newest routing plan and workers; nil before the first update
+	Snapshot  func() *fleet.Snapshot // function that returns the newest routing plan and workers; nil before the first update
 	Selector  selection.Selector
 }
 
@@ -46,7 +46,7 @@
 	siteSettings      *settings.Site
 	conns             *connPool
 	retryBudgets      *retrybudget.ByService
-	misdirectedBudget *retrybudget.Budget // limits retries after a 421 (Misdirected Request); shared by all services
+	misdirectedBudget *retrybudget.Budget // budget of retries after a 421 (Misdirected Request); shared by all services
 	memoryLimit       int64               // limit on the memory that requests in flight may reserve, in bytes
 	reservedMemory    atomic.Int64        // bytes reserved by requests in flight
 	inFlight          atomic.Int64        // number of requests in flight
