--- a/internal/control/controllers/session.go
+++ b/internal/control/controllers/session.go
@@ -34,12 +34,12 @@
 	wake           chan struct{} // signals the document writer that documents are pending
 	ordersInFlight sync.WaitGroup
 
-	// The fields below are accessed only on the actor's goroutine.
+	// The fields below are accessed only on the session's actor goroutine.
 	ordersStopped bool // whether no further orders may be sent to workers
 	workers       *WorkerList
 	listKnown     bool // whether a worker list is stored in the control state or was read from the platform
 	rollout       *Rollout
-	placements    map[string]*servicePlacement // newest placement of each service, by service name
+	placements    map[string]*servicePlacement // newest placement of each service's prompt prefixes, by service name
 	pending       map[string][]byte            // document bodies to write to the control state, by document key
 	targets       *targetVersions
 }
@@ -141,7 +141,7 @@
 	for _, document := range documents {
 		stored, err := placement.Read(document.Body, document.Version)
 		if err != nil {
-			s.logWarning("decoding a stored placement failed; the placement is ignored")(err)
+			s.logWarning("decoding a stored placement of prompt prefixes failed; the placement is ignored")(err)
 			continue
 		}
 		byService[stored.Service] = &servicePlacement{desired: stored, publishedCordoned: stored.Cordoned}
@@ -150,7 +150,7 @@
 	return byService, cordoned
 }
 
-// queueWorkerList queues the worker list for writing to the control state. It runs on the actor's goroutine.
+// queueWorkerList queues the worker list for writing to the control state. It runs on the session's actor goroutine.
 func (s *session) queueWorkerList() {
 	body, err := json.Marshal(s.workers.Document())
 	if err != nil {
@@ -166,7 +166,7 @@
 	desired.FencingToken, desired.Version = s.fencingToken, 0
 	body, err := json.Marshal(desired)
 	if err != nil {
-		s.logWarning("encoding a placement for the control state failed")(err)
+		s.logWarning("encoding a placement of prompt prefixes for the control state failed")(err)
 		return
 	}
 	service.desired = desired
@@ -197,7 +197,7 @@
 
 // documentWritten records that the body of a document was written to the control state. The document is no longer
 // pending unless a newer body was queued. If it is a placement, its cordoned workers become publishedCordoned of its
-// service. It runs on the actor's goroutine.
+// service. It runs on the session's actor goroutine.
 func (s *session) documentWritten(key string, body []byte) {
 	if string(s.pending[key]) == string(body) {
 		delete(s.pending, key)
--- a/internal/data/proxy/adversary_test.go
+++ b/internal/data/proxy/adversary_test.go
@@ -63,14 +63,14 @@
 type adversary struct {
 	fleet.Worker
 	t                *testing.T
-	plan             func(id string, served int) (step, fault, bool) // returns the step and the fault to inject, given the request's ID ("" before a request has come) and the number of requests served on the connection
+	plan             func(id string, served int) (step, fault, bool) // function that returns the step and the fault to inject, given the request's ID ("" before a request has come) and the number of requests served on the connection
 	faultDone        chan struct{}                                   // closed once the worker has injected a fault
 	responseReceived chan struct{}                                   // closed by the test once the client has its response
 
 	mu                       sync.Mutex
 	once                     sync.Once
 	runs                     map[string]int // number of executions by request ID
-	requestsAfterUnsolicited int            // requests received on connections on which unsolicited bytes had been sent
+	requestsAfterUnsolicited int            // number of requests received on connections on which unsolicited bytes had been sent
 }
 
 func newAdversary(t *testing.T, id string, plan func(string, int) (step, fault, bool)) *adversary {
@@ -103,8 +103,8 @@
 	br              *bufio.Reader
 	served          int
 	faultInjected   bool
-	sentUnsolicited bool // the worker has sent unsolicited bytes in the same write as a response
-	ended           bool
+	sentUnsolicited bool // whether the worker has sent unsolicited bytes in the same write as a response
+	ended           bool // whether the worker reads no more requests from this connection
 }
 
 // serve answers the requests of a connection one after another, and injects the planned fault at the planned step.
@@ -239,7 +239,9 @@
 	if c.ended {
 		c.Close()
 	}
-	if c.ended || currentStep == connected { // at other steps, serve closes faultDone once it has sent the rest of the response
+	// Closing faultDone signals to the test that the fault was injected. If the worker still has to handle the rest of the
+	// request, serve closes faultDone after that.
+	if c.ended || currentStep == connected {
 		c.adversary.once.Do(func() { close(c.adversary.faultDone) })
 	}
 }
--- a/internal/data/proxy/attempt.go
+++ b/internal/data/proxy/attempt.go
@@ -29,17 +29,17 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 
-	conn      *workerConn   // nil: no connection was acquired yet, or it was already released
-	reused    bool          // conn has carried an earlier request
+	conn      *workerConn   // connection that carries this attempt; nil: none was acquired yet, or it was already released
+	reused    bool          // whether conn has carried an earlier request
 	idleTime  time.Duration // how long conn was idle before this attempt
-	staleConn bool          // conn was closed before anything was sent, because it wasn't safe to reuse
+	staleConn bool          // whether conn was closed before anything was sent, because it wasn't safe to reuse
 
 	response       *http.Response
 	startedAt      time.Duration
 	firstByteAfter time.Duration // time from startedAt to the first byte of the response body; 0: no byte received
 	outcome        outcome
 	reported       selection.Outcome // the outcome that is reported to the selector of workers
-	definitive     bool              // a retry is pointless: any worker would respond the same
+	definitive     bool              // whether a retry is pointless because any worker would respond the same
 	load           *selection.Load   // the load that the worker reported in its response; nil: it reported none
 }
 
@@ -118,7 +118,7 @@
 		}
 	case a.conn == nil || a.conn.discard(a):
 		a.outcome, a.reported = notSent, selection.Failed
-		if errs.KindOf(err) == errs.Overloaded { // this node's share of the worker's connections is in use; the worker didn't fail
+		if errs.KindOf(err) == errs.Overloaded { // this edge node already has its share of the worker's connections open; the worker didn't fail
 			a.reported = selection.NoFreeSlot
 		}
 	default:
@@ -167,7 +167,8 @@
 	a.outcome, a.reported = notExecuted, reported
 }
 
-// releaseConn returns the connection to the pool, or closes it if the request has no ID.
+// releaseConn returns the connection to the pool. It closes the connection instead if the client sent no request ID
+// (Headers.ID), because responses can be matched to their request only by that ID.
 func (a *attempt) releaseConn() {
 	_ = a.response.Body.Close()
 	if a.request.selection.ID == "" {
