--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -19,7 +19,7 @@
 func (bootTime) Now() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		// Linux has this clock since 2.6.39. Without it, pebbleloom can't guarantee any time limit.
+		// Linux has CLOCK_BOOTTIME since version 2.6.39. Without that clock, pebbleloom can't guarantee any time limit.
 		panic("clock: CLOCK_BOOTTIME can't be read: " + err.Error())
 	}
 	return time.Duration(now.Nano())
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -24,7 +24,7 @@
 		start := clk.Now()
 		Sleep(context.Background(), time.Minute)
 		if slept := clk.Now() - start; slept != time.Minute {
-			t.Errorf("Sleep of one minute took %v", slept)
+			t.Errorf("Sleep of one minute took %v, want exactly one minute", slept)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
--- a/internal/daemon/clients.go
+++ b/internal/daemon/clients.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Limits for the connections that a process holds to each address.
+// Limits for the HTTP connections that a process keeps open to each address of another pebbleloom process.
 const (
 	maxIdleConnections = 8
 	maxConnections     = 64
@@ -19,8 +19,8 @@
 	http *http.Client
 }
 
-// NewClients returns a Clients that connects with the dialer of the process. Idle connections are closed when the
-// process stops.
+// NewClients returns a Clients that opens connections with process.Dial. If process.Settings.Site is set, connection
+// attempts without an answer are repeated. Idle connections are closed when the process stops.
 //
 // Example: clients := daemon.NewClients(process)
 func NewClients(process *Process) *Clients {
--- a/internal/daemon/dial.go
+++ b/internal/daemon/dial.go
@@ -9,10 +9,10 @@
 )
 
 // The kernel retransmits a lost SYN (because of a power failure, a partition or a full accept queue) only after a second
-// or more. Connections to other pebbleloom processes are therefore attempted again before that.
+// or more. Further attempts to connect to another pebbleloom process therefore start before the kernel retransmits.
 const (
-	secondDialRatio   = 1.0 / 60 // delay of the second dial, as a ratio of Bounds.LeaveMs
-	dialBackoffFactor = 1.5      // factor by which the delay grows from dial to dial
+	secondDialRatio   = 1.0 / 60 // time between the first and the second connection attempt, as a ratio of Bounds.LeaveMs
+	dialBackoffFactor = 1.5      // factor by which the time between connection attempts grows with each attempt
 	maxDials          = 6
 )
 
@@ -23,8 +23,9 @@
 	err  error
 }
 
-// hedgedDial returns a dial function that starts further dials as long as none has returned. It returns the first
-// result, even if that is an error, and closes connections that are established later.
+// hedgedDial returns a dial function that calls dial up to maxDials times, concurrently and at growing intervals, until
+// one of the calls returns. It returns the result of that call, even if it is an error, and closes the connections that
+// the other calls establish later.
 func hedgedDial(dial dialFunc, bounds settings.Bounds) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithCancel(ctx)
@@ -60,7 +61,7 @@
 	}
 }
 
-// closeLate waits for the dials that are still pending and closes their connections.
+// closeLate waits for the results of the connection attempts that are still pending and closes their connections.
 func closeLate(results <-chan dialResult, pending int) {
 	for range pending {
 		if late := <-results; late.conn != nil {
--- a/internal/daemon/dial_test.go
+++ b/internal/daemon/dial_test.go
@@ -12,8 +12,9 @@
 	"pebbleloom/internal/settings"
 )
 
-// fakePeer returns a dial function for a peer that becomes reachable after a while. Dials that start earlier block until
-// their context ends; later ones return after latency: a connection, or the error refusal if that is set.
+// fakePeer returns a dial function for a simulated peer that becomes reachable after the duration reachableAfter. Calls
+// that start earlier block until their context ends. Later calls return after the duration latency: the error refusal if
+// it is not nil, else a connection. The function counts its calls in dials and the open connections in open.
 func fakePeer(reachableAfter, latency time.Duration, refusal error, dials, open *atomic.Int64) dialFunc {
 	startedAt := time.Now()
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -45,8 +46,9 @@
 func (c countedConn) SetReadDeadline(time.Time) error  { return nil }
 func (c countedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// A peer that becomes reachable must be connected shortly afterwards, and not only when the kernel retransmits the lost
-// SYN. A refused connection ends the attempts, and of several connections to a slow peer only one stays open.
+// If a peer becomes reachable during a dial, the connection must be established shortly afterwards, and not only when the
+// kernel retransmits the lost SYN. A refused connection ends the dial. If several connections to a slow peer are
+// established, only one stays open.
 func TestHedgedDialRepeatsUnansweredDials(t *testing.T) {
 	refused := errors.New("connection refused")
 	bounds := settings.DefaultBounds()
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -21,12 +21,12 @@
 // Environment contains everything through which a program interacts with the operating system. Simulations run the
 // unmodified programs with a different Environment.
 type Environment struct {
-	Clock     clock.Clock      // monotonic clock; the only one that decisions depend on
+	Clock     clock.Clock      // monotonic clock; the only clock that decisions depend on
 	WallClock func() time.Time // wall clock time for people to read; no decision depends on it
 	Listen    func(addr string) (net.Listener, error)
 	Dial      func(ctx context.Context, network, addr string) (net.Conn, error)
 	Disk      func(folder string) storage.Disk
-	Journal   func(file string) (io.Writer, error) // opens a file for records of a simulator that must outlive its process
+	Journal   func(file string) (io.Writer, error) // opens a file for appending records that a simulator keeps across restarts
 	Seed      func() uint64                        // returns seeds for random number generators
 }
 
@@ -35,7 +35,7 @@
 // Example: environment := daemon.RealEnvironment(processSettings)
 func RealEnvironment(processSettings settings.Process) Environment {
 	wallClock := time.Now
-	if file := processSettings.Option("wall", ""); file != "" { // fault tests shift the wall clock through this file
+	if file := processSettings.Option("wall", ""); file != "" { // the option names a file with an offset that fault tests add to the wall clock
 		wallClock = func() time.Time { return time.Now().Add(wallClockOffset(file)) }
 	}
 	dial := processSettings.Dialer().DialContext
@@ -51,11 +51,13 @@
 	return os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 }
 
-// unacknowledgedRatio is the longest time that sent bytes may stay unacknowledged, as a ratio of Bounds.LeaveMs.
+// unacknowledgedRatio is the longest time that bytes sent over a TCP connection may stay unacknowledged before the
+// kernel closes the connection, as a ratio of Bounds.LeaveMs.
 const unacknowledgedRatio = 0.4
 
-// siteDialer returns a dialer that is not bound to a local address. A peer that loses power sends no reset, so the
-// dialer sets TCP_USER_TIMEOUT: the kernel then closes connections whose data stays unacknowledged for too long.
+// siteDialer returns a dialer for TCP connections that is not bound to a local address. A peer that loses power sends no
+// reset, so the dialer sets TCP_USER_TIMEOUT: the kernel then closes a connection if sent bytes stay unacknowledged for
+// longer than unacknowledgedRatio allows.
 func siteDialer(processSettings settings.Process) *net.Dialer {
 	timeout := processSettings.Bounds.Leave(unacknowledgedRatio)
 	return &net.Dialer{Timeout: processSettings.DialTimeout(), KeepAlive: -1, Control: func(_, _ string, conn syscall.RawConn) error {
@@ -70,8 +72,8 @@
 	}}
 }
 
-// wallClockOffset reads the shift of the wall clock in milliseconds from a file; it is zero if the file is missing or
-// invalid.
+// wallClockOffset reads from a file the number of milliseconds that is added to the wall clock. It returns zero if the
+// file is missing or invalid.
 func wallClockOffset(file string) time.Duration {
 	raw, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -20,7 +20,7 @@
 func newMeter() *Meter {
 	m := &Meter{registry: prometheus.NewRegistry()}
 	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.rejected = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pebbleloom_denied_total", Help: "requests rejected, by kind"}, []string{"kind"})
+	m.rejected = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pebbleloom_denied_total", Help: "requests rejected, by kind of error"}, []string{"kind"})
 	m.registry.MustRegister(m.rejected)
 	return m
 }
@@ -39,7 +39,7 @@
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, read))
 }
 
-// Rejected counts a request that was rejected with an error of a kind.
+// Rejected increments the counter of rejected requests for a kind of error.
 //
 // Example: process.Meter.Rejected(errs.NotExecuted)
 func (m *Meter) Rejected(kind *errs.Kind) { m.rejected.WithLabelValues(kind.Name).Inc() }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -23,26 +23,29 @@
 	Settings settings.Process
 	Ready    atomic.Bool // whether the program reports itself as ready at /readyz
 	Meter    *Meter
-	// Draining is closed when a shutdown begins: requests in progress are completed, new ones rejected.
+	// Draining is closed when a shutdown of the process begins. From then on, servers complete the requests in progress
+	// and reject new ones.
 	Draining chan struct{}
 
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu                sync.Mutex // guards the fields below
+	mu                sync.Mutex // guards servers, settingsListeners and shutdownHooks
 	servers           []*http.Server
 	settingsListeners []func(settings.Process)
 	shutdownHooks     []func(context.Context)
 }
 
-// New returns a process in the real environment. It does not handle signals.
+// New returns a process that uses the network, disks and clocks of its machine. It does not handle signals; Main and Run
+// do.
 //
 // Example: process := daemon.New("runner", processSettings)
 func New(program string, processSettings settings.Process) *Process {
 	return NewIn(RealEnvironment(processSettings), program, processSettings)
 }
 
-// NewIn returns a process in an environment. It does not handle signals. The option "log" sets the log level.
+// NewIn returns a process that uses the network, disks and clocks of an environment. It does not handle signals. The
+// option "log" of the settings sets the log level.
 //
 // Example: process := daemon.NewIn(environment, "runner", processSettings)
 func NewIn(environment Environment, program string, processSettings settings.Process) *Process {
@@ -62,7 +65,8 @@
 	p.settingsListeners = append(p.settingsListeners, callback)
 }
 
-// ApplySettings passes changed settings to all registered callbacks. The field Settings is not updated.
+// ApplySettings passes changed settings to all registered callbacks. Process.Settings keeps the settings that the
+// process was started with.
 //
 // Example: process.ApplySettings(changed)
 func (p *Process) ApplySettings(changed settings.Process) {
@@ -75,7 +79,7 @@
 }
 
 // OnShutdown registers a hook that runs at the start of a shutdown, after Draining has been closed and while servers
-// and goroutines still run. The context of the hook ends with the grace period.
+// and goroutines still run. The context that the hook receives ends when the grace period of the shutdown has passed.
 //
 // Example: process.OnShutdown(func(ctx context.Context) { finish(ctx) })
 func (p *Process) OnShutdown(hook func(context.Context)) {
@@ -84,7 +88,7 @@
 	p.shutdownHooks = append(p.shutdownHooks, hook)
 }
 
-// OnStop registers a function that is called when Ctx is canceled, to release a resource like a connection pool.
+// OnStop registers a function that is called when Process.Ctx is canceled, to release a resource like a connection pool.
 //
 // Example: process.OnStop(actor.Stop)
 func (p *Process) OnStop(stop func()) { context.AfterFunc(p.Ctx, stop) }
@@ -103,7 +107,7 @@
 	servers, hooks := p.servers, p.shutdownHooks
 	p.mu.Unlock()
 	runAll(ctx, hooks)
-	// The server for clients was started first, so it is drained first.
+	// The server for clients was started first and is shut down first, while the servers for other processes still run.
 	for _, server := range servers {
 		if err := server.Shutdown(ctx); err != nil {
 			server.Close()
@@ -114,7 +118,7 @@
 	p.Log.Info("stopped")
 }
 
-// runAll runs hooks concurrently and waits for all of them.
+// runAll runs shutdown hooks concurrently and waits until all of them have returned.
 func runAll(ctx context.Context, hooks []func(context.Context)) {
 	var running sync.WaitGroup
 	for _, hook := range hooks {
@@ -131,7 +135,7 @@
 	go func() { defer p.goroutines.Done(); run() }()
 }
 
-// Every runs a function periodically until the program stops. Intervals below a millisecond are raised to one.
+// Every runs a function periodically until Process.Ctx is canceled. An interval below 1 ms is raised to 1 ms.
 //
 // Example: process.Every(time.Second, sendHeartbeat)
 func (p *Process) Every(interval time.Duration, run func()) {
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -19,8 +19,8 @@
 	return NewIn(environment, "test", settings.Process{Name: "m", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}})
 }
 
-// Stop must mark the process unready and close Draining before it runs the shutdown hooks, cancel Ctx only after the
-// hooks have returned, and return after the last goroutine has ended.
+// Process.Stop must mark the process unready and close Draining before it runs the shutdown hooks, cancel Ctx only after
+// the hooks have returned, and return after the last goroutine has ended.
 func TestStopEndsInOrder(t *testing.T) {
 	process := newTestProcess()
 	process.Ready.Store(true)
@@ -76,7 +76,7 @@
 			process.Ready.Store(test.ready)
 			response, err := http.Get("http://" + listener.Addr().String() + test.path)
 			if err != nil {
-				t.Fatalf("GET %s: %v", test.path, err)
+				t.Fatalf("GET %s from the server of the process: %v", test.path, err)
 			}
 			defer response.Body.Close()
 			body, err := io.ReadAll(response.Body)
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	softMemoryRatio   = 0.7 // soft memory limit, as a ratio of the memory limit: above it the garbage collector runs more often
-	stopRatio         = 0.9 // longest shutdown, as a ratio of the grace period, after which the process is killed
-	settingsPollRatio = 0.5 // interval of checks of the settings file, as a ratio of Bounds.ConfigMs
+	softMemoryRatio   = 0.7 // memory use above which the garbage collector runs more often, as a ratio of Site.MemoryLimitMB
+	stopRatio         = 0.9 // longest duration of a shutdown, as a ratio of Site.GraceMs, after which the process is killed
+	settingsPollRatio = 0.5 // interval of checks for a changed settings file, as a ratio of Bounds.ConfigMs
 
 	maxPendingSignals = 8
 )
@@ -36,7 +36,8 @@
 }
 
 // Run runs a program with settings from a file until SIGTERM or SIGINT. It reloads the file at SIGHUP and whenever a
-// periodic check finds it changed. Invalid settings are logged, and the current ones stay in use.
+// periodic check finds it changed. If the reloaded settings are invalid, the error is logged and the current settings
+// stay in use.
 //
 // Example: daemon.Run("edge", file, func() (settings.Process, error) { return read(file) }, start)
 func Run(program, file string, read func() (settings.Process, error), start func(*Process) error) {
@@ -85,7 +86,7 @@
 	}
 }
 
-// notify returns a channel that receives the signals from the time of the call on.
+// notify returns a channel that receives the given signals that the process gets after the call.
 func notify(signals ...os.Signal) <-chan os.Signal {
 	received := make(chan os.Signal, maxPendingSignals)
 	signal.Notify(received, signals...)
@@ -102,7 +103,7 @@
 	return process
 }
 
-// fileVersion identifies the contents of a file by size and modification time. It is zero if the file can't be read.
+// fileVersion distinguishes versions of a file by size and modification time. It is zero if the file can't be accessed.
 type fileVersion struct {
 	size     int64
 	modified time.Time
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -8,9 +8,9 @@
 	"pebbleloom/internal/errs"
 )
 
-// Limits that apply to each server in addition to those of its handler.
+// Limits that each HTTP server applies to the header of a request before it calls the handler.
 const (
-	headerTimeoutRatio = 0.5 // timeout for reading the header of a request, as a ratio of the recovery time limit
+	headerTimeoutRatio = 0.5 // timeout for reading the header of a request, as a ratio of Bounds.HealMs
 	maxHeaderBytes     = 16 << 10
 )
 
