--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -12,7 +12,7 @@
 
 // Kind is a class of errors that have the same remedy, HTTP status and exit code.
 type Kind struct {
-	Name       string // name that clients and scripts depend on; it must not change
+	Name       string // name of the kind; must not change, because clients and scripts depend on it
 	Remedy     string // what the user or operator should do about the error
 	HTTPStatus int    // HTTP status of the response to a client or operator
 	ExitCode   int    // exit code of a program that ends with the error
@@ -24,12 +24,12 @@
 	BadKey           = &Kind{"bad-key", "use an API key that the current configuration lists for the tenant", 401, 3}
 	BadOperatorKey   = &Kind{"bad-operator-key", "provide this site's operator key with --operator-key FILE or in PEBBLELOOM_KEY", 401, 3}
 	NoSuchModel      = &Kind{"no-such-model", "use a model that the current configuration has a route for", 404, 4}
-	NotFound         = &Kind{"not-found", "check the name against the output of the matching list command", 404, 4}
-	Conflict         = &Kind{"epoch-conflict", "read the current version, redo the change on top of it and apply it again", 409, 5}
-	TooLarge         = &Kind{"too-big", "reduce the size: the message states the limit", 413, 2}
+	NotFound         = &Kind{"not-found", "check the name against those that the list command for this type of object prints", 404, 4}
+	Conflict         = &Kind{"epoch-conflict", "read the current version, make the change to it again and send the result", 409, 5}
+	TooLarge         = &Kind{"too-big", "reduce the size of what was sent to the limit that the message states", 413, 2}
 	RateLimited      = &Kind{"over-budget", "retry after the time in Retry-After, or raise the tenant's budget", 429, 6}
 	Overloaded       = &Kind{"overloaded", "retry after the time in Retry-After", 503, 6}
-	DeadlineExceeded = &Kind{"expired", "retry with a longer deadline, or when the load is lower", 504, 6}
+	DeadlineExceeded = &Kind{"expired", "retry the request with a longer deadline, or when the load is lower", 504, 6}
 	NotExecuted      = &Kind{"not-run", "the request was not executed: retry after the time in Retry-After", 503, 6}
 	MayHaveExecuted  = &Kind{"may-have-run", "check whether the request took effect before retrying", 502, 7}
 	OutcomeUnknown   = &Kind{"cant-say", "no majority of the members of the shard responds: check the core machines with `pebblectl nodes`", 503, 8}
@@ -39,7 +39,7 @@
 	Internal         = &Kind{"inside", "search the log of the failing process for this error", 500, 9}
 )
 
-// Kinds returns every kind.
+// Kinds returns all kinds of errors.
 //
 // Example: for _, kind := range errs.Kinds() { fmt.Println(kind.Name, kind.ExitCode) }
 func Kinds() []*Kind {
@@ -62,7 +62,7 @@
 // kindKey is the key under which the merry package stores the kind of an error.
 type kindKey struct{}
 
-// New returns an error of a kind, with a formatted message.
+// New returns an error of the given kind, with a message formatted as by fmt.Sprintf.
 //
 // Example: errs.New(errs.BadInput, "parts: %d given, at most %d allowed", n, max)
 func New(kind *Kind, format string, args ...any) error {
@@ -109,7 +109,7 @@
 // Batch collects errors, to be returned as one. The zero value is an empty batch.
 type Batch struct{ errors []error }
 
-// Add adds an error with the step that failed prepended to its message. A nil error is ignored.
+// Add prepends the step that failed to the message of an error and adds the error to the batch. A nil error is ignored.
 //
 // Example: faults.Add("listen", err)
 func (b *Batch) Add(step string, err error) {
@@ -118,7 +118,7 @@
 	}
 }
 
-// Addf adds a new error of a kind, with a formatted message.
+// Addf adds a new error of the given kind, with a message formatted as by fmt.Sprintf.
 //
 // Example: faults.Addf(errs.BadInput, "%s: unknown zone", path)
 func (b *Batch) Addf(kind *Kind, format string, args ...any) {
@@ -139,7 +139,7 @@
 	return WrapAs(errors.New(strings.Join(b.Lines(), "; ")), KindOf(b.errors[0]), fmt.Sprintf("%d faults", len(b.errors)))
 }
 
-// Lines returns the messages of the errors, in the order in which they were added.
+// Lines returns the messages of the errors in the batch, in the order in which they were added.
 //
 // Example: for _, line := range faults.Lines() { fmt.Println(line) }
 func (b *Batch) Lines() []string {
--- a/internal/errs/errs_test.go
+++ b/internal/errs/errs_test.go
@@ -40,16 +40,16 @@
 		want *Kind
 		text string
 	}{
-		{"without a kind", io.EOF, Internal, "EOF"},
-		{"new", New(Conflict, "version %d", 3), Conflict, "version 3"},
-		{"wrapped", Wrap(New(Conflict, "version 3"), "apply"), Conflict, "apply: version 3"},
-		{"wrapped as", WrapAs(io.EOF, DiskFailure, "sync log"), DiskFailure, "sync log: EOF"},
-		{"wrapped as another kind", WrapAs(New(Conflict, "x"), BadInput, "y"), BadInput, "y: x"},
-		{"wrapped by fmt", fmt.Errorf("z: %w", New(Conflict, "x")), Conflict, "z: x"},
+		{"error without a kind", io.EOF, Internal, "EOF"},
+		{"error created by New", New(Conflict, "version %d", 3), Conflict, "version 3"},
+		{"error wrapped by Wrap", Wrap(New(Conflict, "version 3"), "apply"), Conflict, "apply: version 3"},
+		{"error wrapped by WrapAs", WrapAs(io.EOF, DiskFailure, "sync log"), DiskFailure, "sync log: EOF"},
+		{"error wrapped by WrapAs with another kind", WrapAs(New(Conflict, "x"), BadInput, "y"), BadInput, "y: x"},
+		{"error wrapped by fmt.Errorf", fmt.Errorf("z: %w", New(Conflict, "x")), Conflict, "z: x"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if KindOf(test.err) != test.want || test.err.Error() != test.text {
-				t.Errorf("error %q of kind %s, want %q of kind %s", test.err, KindOf(test.err).Name, test.text, test.want.Name)
+				t.Errorf("error has message %q and kind %s, want message %q and kind %s", test.err, KindOf(test.err).Name, test.text, test.want.Name)
 			}
 		})
 	}
--- a/internal/fleet/compression.go
+++ b/internal/fleet/compression.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	// minCompressBytes is the smallest body that is compressed; shorter ones hardly become smaller.
+	// minCompressBytes is the size of the smallest document body that is compressed; compression hardly reduces the size
+	// of shorter ones.
 	minCompressBytes = 512
 
-	// maxDecompressedBytes limits a decompressed body, so that a corrupt document can't use up the memory.
+	// maxDecompressedBytes limits the size of a decompressed document body, so that a corrupt document can't use up the
+	// memory.
 	maxDecompressedBytes = 64 << 20
 )
 
 // flateWriters is a pool of writers for reuse, because the buffers of each are larger than most documents.
 var flateWriters = sync.Pool{New: func() any {
-	writer, _ := flate.NewWriter(io.Discard, flate.BestSpeed) // fails only for an invalid compression level
+	writer, _ := flate.NewWriter(io.Discard, flate.BestSpeed) // NewWriter fails only if the compression level is invalid
 	return writer
 }}
 
--- a/internal/fleet/compression_test.go
+++ b/internal/fleet/compression_test.go
@@ -55,7 +55,7 @@
 func TestCorruptDocumentIsAnError(t *testing.T) {
 	for _, body := range [][]byte{nil, {1}, []byte("no deflated bytes")} {
 		if _, err := Decompress(&wire.Document{Key: "k", Body: body, Compressed: true}); err == nil {
-			t.Errorf("Decompress of the corrupt body %q returned no error", body)
+			t.Errorf("Decompress of the corrupt body %q returned no error, want one", body)
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -23,7 +23,7 @@
 
 // Worker is a running instance of a worker, as it appears in the platform's worker list.
 type Worker struct {
-	ID       string            `json:"id"` // of this instance: a restarted worker has a new ID
+	ID       string            `json:"id"` // ID of the running instance; a restarted worker has a new one
 	Service  string            `json:"service"`
 	Addr     string            `json:"addr"` // address of the worker as host:port
 	Zone     string            `json:"district"`
@@ -37,27 +37,29 @@
 	Workers []Worker `json:"workers"`
 }
 
-// Weights is the document of the target versions of weights, by model: those that operators named last.
+// Weights is the document that holds, by model, the version of the weights that workers should load: the version that an
+// operator set last.
 type Weights struct {
 	Versions map[string]uint64 `json:"named"`
 }
 
-// NamedVersion is a target version of a model's weights, and when this process first received it.
+// NamedVersion is a version of a model's weights that workers should load, and the time at which this process first
+// received it.
 type NamedVersion struct {
 	Version uint64
-	At      time.Duration // when this process first received the version, on its own clock
+	At      time.Duration // time at which this process first received Version, on its own clock
 }
 
 // Snapshot is the state that requests are routed by. It must not be changed once it is shared between goroutines.
 type Snapshot struct {
 	Plan    *routingconfig.Plan
-	ProofAt time.Duration // when Plan was last verified as the newest, on the clock of this process; 0: never
+	ProofAt time.Duration // time at which Plan was last verified to be the newest, on the clock of this process; 0: never
 
 	Workers    []Worker
 	Placements map[string]*placement.Placement // placement of prompt prefixes, by service
 
-	NamedVersions map[string]uint64        // target version of the weights, by model
-	NamedAt       map[string]time.Duration // when this process first received that target version, by model
+	NamedVersions map[string]uint64        // version of the weights that workers should load, by model
+	NamedAt       map[string]time.Duration // time at which this process first received each target version, by model
 	// EarlierVersions lists by model, oldest first, earlier target versions that still limit how long even older
 	// versions may be used. A new target version must not extend these limits.
 	EarlierVersions map[string][]NamedVersion
--- a/internal/programs/programs.go
+++ b/internal/programs/programs.go
@@ -26,8 +26,9 @@
 // Renamed is the current and the former name of a program, command or flag.
 type Renamed struct{ Name, First string }
 
-// Programs lists every program with its former name, which the Makefile links to it in bin/. Roles in the cluster
-// membership still have the former names on the wire: see the Role constants of internal/control/clustermembership.
+// Programs lists every program with its former name. The Makefile adds a link with the former name in bin/. Messages of
+// the cluster membership still use former names for the roles of nodes: see the Role constants of
+// internal/control/clustermembership.
 //
 // Example: for _, p := range programs.Programs() { fmt.Println(p.First, "is now", p.Name) }
 func Programs() []Renamed {
