--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -10,8 +10,8 @@
 	LeaveMs               int `json:"leave_ms"`    // longest time that a worker still gets requests after it has left the site
 	WeightsMs             int `json:"weights_ms"`  // longest time that requests still start on superseded weights
 	HealMs                int `json:"heal_ms"`     // longest time until service is restored after a fault
-	RetryPercent          int `json:"try_share"`   // retries that are allowed, as a percentage of the traffic
-	RetryWindowMs         int `json:"try_span_ms"` // interval over which retries are counted; only the test bed's checks use it
+	RetryPercent          int `json:"try_share"`   // retries that are allowed, as a percentage of the requests
+	RetryWindowMs         int `json:"try_span_ms"` // interval over which retries are counted; used only by checks of the test bed
 	RetryAllowance        int `json:"try_allow"`   // retries per service in the entire site that are allowed in addition to RetryPercent
 	RequestIDRetentionMs  int `json:"once_ms"`     // shortest time that the ID of an at-most-once request is remembered
 	MaxBodyKB             int `json:"body_kb"`     // largest request body that is accepted
@@ -28,17 +28,17 @@
 		MaxBodyKB: 512, MaxConcurrentRequests: 256, MaxIndexEntries: 60000}
 }
 
-// These ratios ensure that the last order of one lease holder arrives before the first order of the next. A holder
-// stops sending LeaseMarginRatio of a lease before its lease ends, the next one starts LeaseMarginRatio of a lease
-// after that end, and an order takes at most OrderTimeoutRatio.
+// These ratios ensure that the last order (a command to a worker to load weights) of one lease holder arrives before the
+// first order of the next holder. A holder stops sending orders LeaseMarginRatio of a lease before its lease ends, the
+// next holder starts LeaseMarginRatio of a lease after that end, and an order times out after OrderTimeoutRatio.
 const (
-	LeaseRatio        = 1.0 / 4  // duration of a lease, as a ratio of the recovery time limit
-	LeaseMarginRatio  = 1.0 / 8  // safety margin before and after the end of a lease, as a ratio of its duration
-	OrderTimeoutRatio = 1.0 / 24 // timeout of an order, as a ratio of the recovery time limit
+	LeaseRatio        = 1.0 / 4  // duration of a lease, as a ratio of Bounds.HealMs
+	LeaseMarginRatio  = 1.0 / 8  // safety margin before and after the end of a lease, as a ratio of the lease's duration
+	OrderTimeoutRatio = 1.0 / 24 // timeout of an order to a worker, as a ratio of Bounds.HealMs
 )
 
-// handoverGap returns the time between the latest arrival of a lease holder's last order and the earliest order of the
-// next holder.
+// handoverGap returns the shortest time between the arrival of a lease holder's last order at a worker and the first
+// order that the next holder sends.
 func (b Bounds) handoverGap() time.Duration {
 	return b.Heal(2*LeaseMarginRatio*LeaseRatio) - b.Heal(OrderTimeoutRatio)
 }
@@ -50,27 +50,30 @@
 	return time.Duration(float64(milliseconds) * ratio * float64(time.Millisecond))
 }
 
-// Config returns the longest time that a superseded configuration stays in use, multiplied by a ratio.
+// Config returns Bounds.ConfigMs, the longest time that a superseded configuration stays in use, multiplied by a ratio.
 //
 // Example: maxProofAge := bounds.Config(0.8)
 func (b Bounds) Config(ratio float64) time.Duration { return Fraction(b.ConfigMs, ratio) }
 
-// Weights returns the longest time that requests still start on superseded weights, multiplied by a ratio.
+// Weights returns Bounds.WeightsMs, the longest time that requests still start on superseded weights, multiplied by a
+// ratio.
 //
 // Example: selectableFor := bounds.Weights(0.85)
 func (b Bounds) Weights(ratio float64) time.Duration { return Fraction(b.WeightsMs, ratio) }
 
-// Leave returns the longest time that a worker still gets requests after it has left, multiplied by a ratio.
+// Leave returns Bounds.LeaveMs, the longest time that a worker still gets requests after it has left the site,
+// multiplied by a ratio.
 //
 // Example: heartbeatInterval := bounds.Leave(0.1)
 func (b Bounds) Leave(ratio float64) time.Duration { return Fraction(b.LeaveMs, ratio) }
 
-// Heal returns the longest time until service is restored after a fault, multiplied by a ratio.
+// Heal returns Bounds.HealMs, the longest time until service is restored after a fault, multiplied by a ratio.
 //
 // Example: lease := bounds.Heal(settings.LeaseRatio)
 func (b Bounds) Heal(ratio float64) time.Duration { return Fraction(b.HealMs, ratio) }
 
-// RequestIDRetention returns the time that IDs of at-most-once requests are remembered, multiplied by a ratio.
+// RequestIDRetention returns Bounds.RequestIDRetentionMs, the shortest time that the IDs of at-most-once requests are
+// remembered, multiplied by a ratio.
 //
 // Example: retention := bounds.RequestIDRetention(1)
 func (b Bounds) RequestIDRetention(ratio float64) time.Duration {
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -11,11 +11,11 @@
 	"pebbleloom/internal/programs"
 )
 
-// flagValues are the values of the flags on a command line; empty for flags that weren't given.
+// flagValues holds the values of the flags on a command line. The values of flags that weren't given are empty.
 type flagValues struct {
 	Process
 	file                 string
-	seeds, core, options string // values of the flags for comma-separated lists
+	seeds, core, options string // values of the flags --seeds, --core and --options, each a comma-separated list
 }
 
 func (f *flagValues) register(parser *flaggy.Parser) {
--- a/internal/settings/flags_test.go
+++ b/internal/settings/flags_test.go
@@ -36,6 +36,6 @@
 		t.Errorf("current flag names set zone %q, node agent %q, worker list %q, options %q; want the values of the flags", a.Zone, a.NodeAgent, a.WorkerList, a.Options)
 	}
 	if b.Zone != a.Zone || b.NodeAgent != a.NodeAgent || b.WorkerList != a.WorkerList || strings.Join(b.Options, ",") != strings.Join(a.Options, ",") {
-		t.Errorf("former flag names set %+v; current ones set %+v", b, a)
+		t.Errorf("former flag names set %+v; current names set %+v, want the same settings", b, a)
 	}
 }
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -15,8 +15,8 @@
 	Name        string   `json:"name"`         // name of the machine or worker; stays the same after a restart
 	Zone        string   `json:"district"`     // zone of the site that the machine or worker is in
 	Listen      string   `json:"listen"`       // address (IP:port) to listen at for other pebbleloom processes
-	Advertise   string   `json:"tell"`         // address at which other processes reach this one; empty: Listen
-	Public      string   `json:"public"`       // address to listen at for clients; a simulator serves only this one
+	Advertise   string   `json:"tell"`         // address at which other processes reach this one; empty: same as Listen
+	Public      string   `json:"public"`       // address to listen at for clients; the only address that a simulator listens at
 	Operator    string   `json:"operator"`     // address to listen at for operators
 	OperatorKey string   `json:"operator_key"` // key that operators must present; empty: no key is required
 	Seeds       []string `json:"seeds"`        // addresses of three other processes, to join the cluster through
@@ -29,7 +29,7 @@
 	Site        *Site    `json:"-"` // settings of a site without a fixed list of core machines; nil if Core lists them
 }
 
-// Required selects which of the settings that may be empty a program requires.
+// Required selects the settings that a program can't run without, among those that other programs may leave empty.
 type Required struct {
 	Seeds, Core, Data, NodeAgent, WorkerList, Public, Operator bool
 }
@@ -44,10 +44,10 @@
 	return p.Listen
 }
 
-// dialTimeoutRatio is the timeout for opening a connection, as a ratio of Bounds.LeaveMs.
+// dialTimeoutRatio is the timeout for opening a TCP connection, as a ratio of Bounds.LeaveMs.
 const dialTimeoutRatio = 1.0 / 3
 
-// DialTimeout returns the timeout for opening a connection.
+// DialTimeout returns the timeout for opening a TCP connection to another process.
 //
 // Example: dialer := net.Dialer{Timeout: process.DialTimeout()}
 func (p Process) DialTimeout() time.Duration { return p.Bounds.Leave(dialTimeoutRatio) }
--- a/internal/settings/process_test.go
+++ b/internal/settings/process_test.go
@@ -16,11 +16,11 @@
 	for _, want := range []string{"x.json: name", "x.json: district", "x.json: listen", "x.json: seeds: 1 given", "x.json: colour: unknown field", "x.json: bounds.setup_ms",
 		"x.json: bounds.leave: unknown field", "x.json: core: wrong type", "x.json: core: 0 given", "x.json: data"} {
 		if !strings.Contains(all, want) {
-			t.Errorf("no error contains %q; errors:\n%s", want, all)
+			t.Errorf("no error for the invalid settings file contains %q; errors:\n%s", want, all)
 		}
 	}
 	if errs.KindOf(faults.Err()) != errs.BadInput {
-		t.Errorf("the combined error is of kind %s, want %s", errs.KindOf(faults.Err()).Name, errs.BadInput.Name)
+		t.Errorf("the combined error for the invalid settings file is of kind %s, want %s", errs.KindOf(faults.Err()).Name, errs.BadInput.Name)
 	}
 }
 
@@ -39,7 +39,7 @@
 	want := Bounds{ConfigMs: 2001, KeyRevocationMs: 5001, LeaveMs: 3001, WeightsMs: 20001, HealMs: 12001, RetryPercent: 21, RetryWindowMs: 10001,
 		RetryAllowance: 11, RequestIDRetentionMs: 1800001, MaxBodyKB: 513, MaxConcurrentRequests: 257, MaxIndexEntries: 60001}
 	if process.Bounds != want {
-		t.Errorf("decoded bounds %+v, want %+v", process.Bounds, want)
+		t.Errorf("bounds decoded from the settings file: %+v, want %+v", process.Bounds, want)
 	}
 }
 
@@ -49,11 +49,11 @@
 		t.Fatalf("read valid flags: %v", err)
 	}
 	if len(process.Seeds) != 3 || process.Option("kv", "") != "9" || process.Option("none", "x") != "x" || process.Bounds.ConfigMs != 2000 {
-		t.Errorf("settings from flags: %+v; want 3 seeds, the option kv=9 and the default bounds", process)
+		t.Errorf("settings read from flags: %+v; want 3 seeds, the option kv=9 and the default bounds", process)
 	}
 	for _, args := range [][]string{{"--nmae", "edge-1"}, {"--name"}, {"start"}, {"--name", "x", "y"}} {
 		if _, err := Read("runner", "", args, Required{}); errs.KindOf(err) != errs.BadInput || !strings.Contains(err.Error(), "flags") {
-			t.Errorf("arguments %q: error %v, want one of kind %s about the flags", args, err, errs.BadInput.Name)
+			t.Errorf("command-line arguments %q: error %v, want one of kind %s that mentions the flags", args, err, errs.BadInput.Name)
 		}
 	}
 	if _, err := Read("runner", "", []string{"--settings", "/nowhere"}, Required{}); errs.KindOf(err) != errs.BadInput {
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -9,21 +9,21 @@
 // being listed in Process.Core. Process.Seeds then holds three addresses at which core machines listen for other
 // pebbleloom processes.
 type Site struct {
-	FirstStart         bool    // set when the entire system starts for the first time, so that empty disks do not count as data loss
+	FirstStart         bool    // true when the entire site starts for the first time, so that empty disks do not count as data loss
 	ToleratedFailures  int     // number of machines that may fail at the same time
-	ControlPlaneListen string  // address to listen at for operator requests in the platform's format; empty: not served
-	ReadinessListen    string  // address to listen at for readiness checks
+	ControlPlaneListen string  // address to listen at for operator requests in the platform's format; empty: none are served
+	ReadinessListen    string  // address to listen at for the platform's readiness checks
 	PortRange          [2]int  // first and last port for calls between pebbleloom processes; the same on every machine
 	IP                 string  // IP address of this machine
 	MemoryLimitMB      int     // memory use above which the process is killed
-	HeartbeatMs        int     // interval of the cluster membership's heartbeats
+	HeartbeatMs        int     // interval between the heartbeats of each member of the cluster
 	WorkerListRate     float64 // rate limit of the platform's worker list, in calls per second
-	EnforceRevocation  bool    // Bounds.KeyRevocationMs applies even while the control state is unreachable
+	EnforceRevocation  bool    // whether Bounds.KeyRevocationMs applies even while the control state is unreachable
 	GraceMs            int     // time from SIGTERM until the process is killed
-	LeaseMs            int     // duration of a lease
+	LeaseMs            int     // duration of the lease under which the controllers of the site work
 	AckTimeoutMs       int     // longest time until an operator's change is acknowledged or rejected
 	ContactWindowMs    int     // time that a process must have been connected to the site before the bounds apply to it
-	TransitMs          int     // longest time that the forwarding of an event of a stream may take
+	TransitMs          int     // longest time that a proxy may take to forward one event of a streamed response
 }
 
 // Offsets of the internal ports from the first port of Site.PortRange.
--- a/internal/settings/strict.go
+++ b/internal/settings/strict.go
@@ -35,7 +35,7 @@
 				faults.Addf(errs.BadInput, "--%s: %q is not a Boolean value: give true or false", name, value)
 			}
 		case !hasValue && i+1 >= len(args):
-			faults.Addf(errs.BadInput, "--%s: missing value", name)
+			faults.Addf(errs.BadInput, "--%s: the flag requires a value, but none is given", name)
 		case !hasValue:
 			i++ // skips the next argument, which is the value of the flag
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-// isFlag reports whether an argument is a flag; "-" and negative numbers are not.
+// isFlag reports whether a command-line argument is a flag. "-" and negative numbers are not flags.
 func isFlag(argument string) bool {
 	_, notNumber := strconv.ParseFloat(argument, 64)
 	return strings.HasPrefix(argument, "-") && argument != "-" && notNumber != nil
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -14,7 +14,8 @@
 	maxOperatorKeyLength = 128
 )
 
-// validator collects the errors in settings, each prefixed with the source of the settings: a file, or "flags".
+// validator collects the errors in settings. The message of each begins with the source of the settings: the name of a
+// file, or "flags".
 type validator struct {
 	source string
 	faults *errs.Batch
@@ -86,7 +87,7 @@
 	v.inRange("try_allow", b.RetryAllowance, 0, 10000)
 	v.inRange("once_ms", b.RequestIDRetentionMs, 600000, 86400000) // the minimum of 10 min is longer than any request takes
 	if b.HealMs > 0 && b.handoverGap() < b.Heal(OrderTimeoutRatio)/4 {
-		v.invalid("bounds.heal_ms", "%d ms is too short: the last order of a lease holder could arrive after the first order of the next holder", b.HealMs)
+		v.invalid("bounds.heal_ms", "recovery time limit of %d ms is too short: the last order of a lease holder could arrive after the first order of the next holder", b.HealMs)
 	}
 	v.inRange("body_kb", b.MaxBodyKB, 1, 16384)
 	v.inRange("waiting", b.MaxConcurrentRequests, 1, 65536)
