--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,5 @@
-// Command proxy runs the edge proxy, which forwards each request to a worker and streams the sealed response back.
+// Command proxy runs the edge proxy, which forwards each request to a worker and streams the response back, sealed with a
+// checksum.
 package main
 
 import (
@@ -9,5 +10,5 @@
 )
 
 func main() {
-	daemon.Main(programs.Proxy, "the edge proxy: forwards each request to a worker and streams the sealed response back", settings.Required{Public: true, NodeAgent: true, Core: true}, callerproxy.Start)
+	daemon.Main(programs.Proxy, "the edge proxy: forwards each request to a worker and streams the response back, sealed with a checksum", settings.Required{Public: true, NodeAgent: true, Core: true}, callerproxy.Start)
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -15,7 +15,7 @@
 
 type bootTime struct{}
 
-// Now implements Clock.
+// Now returns the time since the machine booted, including time in suspend.
 func (bootTime) Now() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
@@ -40,7 +40,7 @@
 
 type synctestClock struct{ start time.Time }
 
-// Now implements Clock.
+// Now returns the fake time of the testing/synctest bubble since the clock was created, plus one hour.
 func (c synctestClock) Now() time.Duration { return time.Hour + time.Since(c.start) }
 
 // Synctest returns a clock that follows the fake time of a testing/synctest bubble. It starts at one hour, so that the
--- a/internal/daemon/dial_test.go
+++ b/internal/daemon/dial_test.go
@@ -75,13 +75,13 @@
 			conn, err := hedgedDial(fakePeer(c.reachableAfter, c.latency, c.refusal, &dials, &open), bounds)(ctx, "tcp", "far:1")
 			duration := time.Since(startedAt)
 			if !errors.Is(err, c.refusal) || duration > c.maxDuration || dials.Load() != c.dials {
-				t.Errorf("%s: error %v after %v and %d dials; want error %v within %v and %d dials", c.name, err, duration, dials.Load(), c.refusal, c.maxDuration, c.dials)
+				t.Errorf("hedged dial (%s): error %v after %v and %d dials; want error %v within %v and %d dials", c.name, err, duration, dials.Load(), c.refusal, c.maxDuration, c.dials)
 			}
 			later := time.NewTimer(time.Minute)
 			<-later.C
 			synctest.Wait()
 			if want := map[bool]int64{true: 1}[conn != nil]; open.Load() != want {
-				t.Errorf("%s: %d connections are still open after one minute, want %d", c.name, open.Load(), want)
+				t.Errorf("hedged dial (%s): %d connections are still open after one minute, want %d", c.name, open.Load(), want)
 			}
 		})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -60,8 +60,9 @@
 
 	NamedVersions map[string]uint64        // version of the weights that workers should load, by model
 	NamedAt       map[string]time.Duration // time at which this process first received each target version, by model
-	// EarlierVersions lists by model, oldest first, earlier target versions that still limit how long even older
-	// versions may be used. A new target version must not extend these limits.
+	// EarlierVersions lists, by model and oldest first, superseded target versions of the weights. Within
+	// Bounds.WeightsMs after one of them was received, requests stop starting on versions before it, even if another
+	// target version has been set in the meantime.
 	EarlierVersions map[string][]NamedVersion
 
 	Nodes     []*wire.Node // members of the cluster, as the cluster membership reports them
--- a/internal/programs/programs.go
+++ b/internal/programs/programs.go
@@ -23,7 +23,7 @@
 	TestBed             = "testbed"
 )
 
-// Renamed is the current and the former name of a program, command or flag.
+// Renamed holds the current name (Name) and the former name (First) of a program, command or flag.
 type Renamed struct{ Name, First string }
 
 // Programs lists every program with its former name. The Makefile adds a link with the former name in bin/. Messages of
--- a/internal/programs/programs_test.go
+++ b/internal/programs/programs_test.go
@@ -55,7 +55,7 @@
 				t.Errorf("Find in a directory with only the former name: got %s, want %s", got, filepath.Join(earlier, p.First))
 			}
 			if got := Find(both, p.Name); got != filepath.Join(both, p.Name) {
-				t.Errorf("Find in a directory with both names: got %s, want %s", got, filepath.Join(both, p.Name))
+				t.Errorf("Find in a directory with the former and the current name: got %s, want %s", got, filepath.Join(both, p.Name))
 			}
 			if got := Find(t.TempDir(), p.Name); filepath.Base(got) != p.Name {
 				t.Errorf("Find in an empty directory: got %s, want the current name %s", got, p.Name)
--- a/internal/settings/badinput_test.go
+++ b/internal/settings/badinput_test.go
@@ -46,7 +46,7 @@
 	"bounds.entries":     {`"x"`, `99`, `10000001`},
 }
 
-// fieldNames returns the JSON names of a struct's fields, each with the prefix.
+// fieldNames returns the JSON names of a struct's fields, each with prefix prepended.
 func fieldNames(structType reflect.Type, prefix string) (names []string) {
 	for i := range structType.NumField() {
 		if name, _, _ := strings.Cut(structType.Field(i).Tag.Get("json"), ","); name != "" && name != "-" {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -85,7 +85,7 @@
 	v.inRange("try_share", b.RetryPercent, 0, 100)
 	v.inRange("try_span_ms", b.RetryWindowMs, 1000, 600000)
 	v.inRange("try_allow", b.RetryAllowance, 0, 10000)
-	v.inRange("once_ms", b.RequestIDRetentionMs, 600000, 86400000) // the minimum of 10 min is longer than any request takes
+	v.inRange("once_ms", b.RequestIDRetentionMs, 600000, 86400000) // the minimum retention of request IDs, 10 min, is longer than any request takes
 	if b.HealMs > 0 && b.handoverGap() < b.Heal(OrderTimeoutRatio)/4 {
 		v.invalid("bounds.heal_ms", "recovery time limit of %d ms is too short: the last order of a lease holder could arrive after the first order of the next holder", b.HealMs)
 	}
