--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -20,7 +20,7 @@
 func newMeter() *Meter {
 	m := &Meter{registry: prometheus.NewRegistry()}
 	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.rejected = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pebbleloom_denied_total", Help: "requests rejected, by kind of error"}, []string{"kind"})
+	m.rejected = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "pebbleloom_denied_total", Help: "requests rejected, by kind"}, []string{"kind"})
 	m.registry.MustRegister(m.rejected)
 	return m
 }
