--- a/internal/control/calendar/entry.go
+++ b/internal/control/calendar/entry.go
@@ -13,21 +13,21 @@
 	"pebbleloom/internal/errs"
 )
 
-// Kind is the kind of change that an entry makes.
+// Kind is the kind of change that a calendar entry makes.
 type Kind string
 
-// Kinds of entries.
+// Kinds of calendar entries.
 const (
 	KindWeights  Kind = "weights"  // sets a newer version of a model's weights and waits until every worker serves it
 	KindRelease  Kind = "release"  // drains workers in batches and waits until each has been replaced
 	KindHandover Kind = "handover" // moves a route's requests to another service in steps of rising percentage
 )
 
-// State is the state of an entry, as stored in its document.
+// State is the state of a calendar entry, as stored in its document.
 type State string
 
-// States of an entry. Done, cancelled and undone are final, except that a completed handover can still be
-// undone.
+// States of a calendar entry. Done, cancelled and undone are final, except that a completed handover can still
+// be undone.
 const (
 	StatePlanned   State = "planned"
 	StateRunning   State = "running"
@@ -45,15 +45,15 @@
 	Service         string   `json:"service"`
 	Kind            Kind     `json:"kind"`
 	NotBefore       string   `json:"at,omitempty"`      // earliest start, in RFC 3339 format; empty: immediately
-	Model           string   `json:"model,omitempty"`   // for weights: the model to update; for a handover: the model that the route is named after
-	Weights         uint64   `json:"weights,omitempty"` // for weights: the new version of the model's weights
-	ToService       string   `json:"to,omitempty"`      // for a handover: the service that takes over the route
-	Percents        []int    `json:"shares,omitempty"`  // for a handover: percent of requests moved at each step, rising to 100; empty: 10, 50, 100
-	SoakSeconds     int      `json:"soak_s,omitempty"`  // for a handover: seconds to wait after each step
-	Workers         []string `json:"workers,omitempty"` // for a release: workers in the order of their replacement; empty: all of the service
-	BatchSize       int      `json:"at_once,omitempty"` // for a release: workers to drain at the same time; 0: 1
-	MinUpRatio      float64  `json:"keep,omitempty"`    // for a release: ratio of the service's workers that must keep accepting requests
-	MaxFailureRatio float64  `json:"stop_at,omitempty"` // ratio of failed recent attempts above which the entry is paused; 0: 0.2
+	Model           string   `json:"model,omitempty"`   // for KindWeights: the model whose weights are updated; for KindHandover: the model that the route is named after
+	Weights         uint64   `json:"weights,omitempty"` // for KindWeights: the new version of the model's weights
+	ToService       string   `json:"to,omitempty"`      // for KindHandover: the service that takes over the route
+	Percents        []int    `json:"shares,omitempty"`  // for KindHandover: percentages of the route's requests to move, one per step, rising to 100; empty means 10, 50, 100
+	SoakSeconds     int      `json:"soak_s,omitempty"`  // for KindHandover: seconds to wait after each change of the percentage
+	Workers         []string `json:"workers,omitempty"` // for KindRelease: names of the workers to replace, in order; empty means all workers of the service
+	BatchSize       int      `json:"at_once,omitempty"` // for KindRelease: number of workers to drain at the same time; 0 means 1
+	MinUpRatio      float64  `json:"keep,omitempty"`    // for KindRelease: minimum ratio of the service's workers that keep accepting requests
+	MaxFailureRatio float64  `json:"stop_at,omitempty"` // ratio of failed to all recent request attempts above which the entry is paused; 0 means 0.2
 
 	State       State  `json:"state"`
 	Reason      string `json:"why,omitempty"` // why the entry is in its state, or what the current step waits for
@@ -61,15 +61,16 @@
 	CurrentStep int    `json:"step"` // index in Steps of the first step that is not done
 }
 
-// KeyPrefix begins the key of every document that stores an entry.
+// KeyPrefix begins the key of every document that stores a calendar entry.
 const KeyPrefix = "calendar/"
 
-// Key returns the key of the document that stores an entry.
+// Key returns the key of the document that stores a calendar entry.
 //
 // Example: calendar.Key("lector-main", "spring") == "calendar/lector-main/spring"
 func Key(service, name string) string { return KeyPrefix + service + "/" + name }
 
-// Decode decodes an entry from JSON. Invalid JSON and unknown fields are errors of the kind errs.BadInput.
+// Decode decodes a calendar entry from JSON. Invalid JSON and unknown fields are errors of the kind
+// errs.BadInput.
 //
 // Example: entry, err := calendar.Decode(doc.Body)
 func Decode(body []byte) (*Entry, error) {
@@ -82,7 +83,7 @@
 	return entry, nil
 }
 
-// Encode encodes the entry as JSON.
+// Encode encodes the calendar entry as JSON.
 //
 // Example: body, err := entry.Encode()
 func (e *Entry) Encode() ([]byte, error) {
@@ -90,7 +91,8 @@
 	return body, errs.Wrap(err, "encode calendar entry as JSON")
 }
 
-// Active reports whether the entry is planned, running, paused or being undone, and not in a final state.
+// Active reports whether the calendar entry is planned, running, paused or being undone, and not in a final
+// state.
 //
 // Example: if entry.Active() { … }
 func (e *Entry) Active() bool {
--- a/internal/control/calendar/entry_test.go
+++ b/internal/control/calendar/entry_test.go
@@ -9,26 +9,26 @@
 	"pebbleloom/internal/errs"
 )
 
-// Two active entries of one service conflict, and the error names both. An entry that is done conflicts with
-// none.
+// Two active calendar entries of one service conflict, and the error names both. An entry that is done
+// conflicts with none.
 func TestConflictNamesBothEntries(t *testing.T) {
 	release, weights := newEntry(Entry{Kind: KindRelease}), newEntry(Entry{Kind: KindWeights, Model: "m", Weights: 3})
 	weights.Name = "other"
 	err := release.CheckConflicts([]*Entry{weights})
 	if err == nil || !strings.Contains(err.Error(), `"e"`) || !strings.Contains(err.Error(), `"other"`) {
-		t.Errorf("two active entries of one service: error %v, want one that names both entries", err)
+		t.Errorf("two active calendar entries of one service: error %v, want one that names both entries", err)
 	}
 	if weights.State = StateDone; release.CheckConflicts([]*Entry{weights}) != nil {
-		t.Error("CheckConflicts reports a conflict with an entry that is done")
+		t.Error("CheckConflicts reports a conflict with a calendar entry that is done")
 	}
 }
 
-// An entry with five faults gets an error for each of them, not only for the first.
+// A calendar entry with five faults gets an error for each of them, not only for the first.
 func TestValidateReportsEveryFault(t *testing.T) {
 	var faults errs.Batch
 	(&Entry{Kind: "x", MaxFailureRatio: 2, NotBefore: "noon"}).Validate(&faults)
 	if n := len(faults.Lines()); n != 5 {
-		t.Errorf("Validate reported %d faults, want 5: %v", n, faults.Lines())
+		t.Errorf("Entry.Validate reported %d faults, want 5: %v", n, faults.Lines())
 	}
 }
 
@@ -38,11 +38,11 @@
 		t.Fatal(err)
 	}
 	if entry, err := Decode(raw); err != nil || entry.Kind != KindRelease {
-		t.Errorf("decode an encoded release: entry %v, error %v, want the same kind and no error", entry, err)
+		t.Errorf("decode an encoded calendar entry of kind release: entry %v, error %v, want the same kind and no error", entry, err)
 	}
 }
 
-// Each field of an entry rejects a JSON value of the wrong type, and the error names the field.
+// Each field of a calendar entry rejects a JSON value of the wrong type, and the error names the field.
 func TestEveryFieldRejectsOtherTypes(t *testing.T) {
 	fields := reflect.TypeFor[Entry]()
 	for i := range fields.NumField() {
@@ -53,7 +53,7 @@
 		}
 		_, err := Decode([]byte(`{"` + name + `": ` + value + `}`))
 		if err == nil || errs.KindOf(err) != errs.BadInput || !strings.Contains(err.Error(), "Entry."+name) {
-			t.Errorf("field %s with the value %s: error %v, want the kind BadInput with the field's name", name, value, err)
+			t.Errorf("calendar entry field %s with the value %s: error %v, want the kind BadInput with the field's name", name, value, err)
 		}
 	}
 }
--- a/internal/control/calendar/planner.go
+++ b/internal/control/calendar/planner.go
@@ -11,8 +11,8 @@
 
 // Limits above which a running entry is paused because recent request attempts of its services fail.
 const (
-	defaultMaxFailureRatio = 0.2 // ratio of failed to all attempts; Entry.MaxFailureRatio overrides it
-	minAttemptsToJudge     = 20  // with fewer recent attempts the failure ratio says nothing, and the entry is not paused
+	defaultMaxFailureRatio = 0.2 // maximum ratio of failed to all recent request attempts; Entry.MaxFailureRatio overrides it
+	minAttemptsToJudge     = 20  // minimum number of recent request attempts; with fewer the failure ratio is not meaningful and the entry is not paused
 )
 
 // Worker is the observed state of one of the service's workers.
@@ -26,9 +26,9 @@
 // Observation is the input of Planner.Next.
 type Observation struct {
 	WallTime          time.Time     // median of the control nodes' wall clocks; zero if no majority responded
-	Now               time.Duration // monotonic clock of this process
+	Now               time.Duration // reading of this process's monotonic clock, by which soaks are timed
 	ConfigVersion     uint64
-	EntryVersion      uint64 // version of the entry's document
+	EntryVersion      uint64 // version of the document that stores the entry
 	Config            *serviceconfig.Config
 	Workers           []Worker
 	Succeeded, Failed float64 // recent request attempts of the entry's services, by outcome
@@ -40,10 +40,11 @@
 	Token string // idempotency token: the change is applied once, even if several holders make it
 }
 
-// Planner decides the steps of a service's entries. Its only state between calls is when a soak began, by
-// the clock of this process; a new lease holder starts the soak again.
+// Planner decides the steps of a service's calendar entries. Its only state between calls is when each soak,
+// the wait after a change of a handover's percentage, began by the clock of this process; a new lease holder
+// starts the soak again.
 type Planner struct {
-	soakStarted map[string]time.Duration // when a soak began, by entry name and step index
+	soakStarted map[string]time.Duration // time at which each soak step began, by entry name and step index
 }
 
 // NewPlanner returns a planner without any state.
@@ -51,11 +52,11 @@
 // Example: p := calendar.NewPlanner()
 func NewPlanner() *Planner { return &Planner{map[string]time.Duration{}} }
 
-// Next computes what an entry does now. It returns the entry to be written next, the action that the entry
-// already stored allows, and whether the entry has changed.
+// Next computes the next transition of a calendar entry. It returns the entry to be written next, the action
+// that the stored entry allows, and whether the entry has changed.
 //
-// A step that changes the configuration is first written as StepDoing; then its action is performed under
-// the step's own token; then it is written as StepDone, as RecordAction returns it. If a holder loses the
+// A step that changes the configuration is first written as StepDoing; then its action is performed under the
+// step's idempotency token; then it is written as StepDone, as RecordAction returns it. If a holder loses the
 // lease in between, the next holder performs the same action under the same token, on the version of the
 // configuration that is then in force. The control state acknowledges a token that it has already applied
 // without applying it again.
@@ -94,7 +95,7 @@
 		return Action{}, true
 	}
 	if patch := entry.patch(step); patch != nil {
-		return Action{marshalPatch(patch), actionToken(entry, observed, "")}, false // RecordAction completes the step
+		return Action{marshalPatch(patch), actionToken(entry, observed, "")}, false // RecordAction completes the step once this action is acknowledged
 	}
 	if reason := p.unmetCompletion(entry, step, observed); reason != "" {
 		return Action{}, entry.setReason(reason)
@@ -104,7 +105,8 @@
 	return Action{}, true
 }
 
-// RecordAction returns the entry to be written after the action that Next returned was acknowledged.
+// RecordAction returns the calendar entry to be written after the action that Planner.Next returned was
+// acknowledged.
 //
 // Example: next := calendar.RecordAction(entry)
 func RecordAction(old *Entry) *Entry {
@@ -127,8 +129,8 @@
 	return &c
 }
 
-// start plans the steps and enters StateRunning once the start time is reached by the median wall clock. It
-// reports whether it did.
+// start plans the steps of a planned entry and enters StateRunning once the median wall clock of the control
+// nodes reaches the entry's start time. It reports whether the entry was started.
 func (e *Entry) start(observed Observation) bool {
 	if e.NotBefore != "" {
 		notBefore, err := time.Parse(time.RFC3339, e.NotBefore)
@@ -145,7 +147,7 @@
 	return true
 }
 
-// stopReason returns why a running entry must be paused, or "" if it may continue.
+// stopReason returns why a running calendar entry must be paused, or "" if it may continue.
 func (e *Entry) stopReason(observed Observation) string {
 	limit := e.MaxFailureRatio
 	if limit == 0 {
@@ -158,7 +160,7 @@
 	return ""
 }
 
-// revert undoes the configuration changes of all steps in one action.
+// revert undoes the configuration changes of all steps of a calendar entry in one action.
 func (e *Entry) revert(observed Observation) (action Action, changed bool) {
 	if patch := e.revertPatch(); patch != nil {
 		return Action{marshalPatch(patch), actionToken(e, observed, "undo")}, false
@@ -167,7 +169,8 @@
 	return Action{}, true
 }
 
-// revertPatch returns the patch that undoes the configuration changes of all steps, or nil if there are none.
+// revertPatch returns the patch that undoes the configuration changes of all steps of a calendar entry, or nil
+// if there are none.
 func (e *Entry) revertPatch() object {
 	switch e.Kind {
 	case KindRelease:
@@ -198,7 +201,7 @@
 	return object{"ways": object{model: fields}}
 }
 
-// marshalPatch encodes a patch as JSON.
+// marshalPatch encodes a patch of the service configuration as JSON.
 func marshalPatch(patch object) []byte {
 	body, err := json.Marshal(patch)
 	if err != nil {
@@ -207,9 +210,9 @@
 	return body
 }
 
-// actionToken returns the idempotency token of the current step's action. Every lease holder computes the
-// same token, because the entry is not written while the step is in StepDoing. The version of the entry's
-// document distinguishes the token from those of a later entry of the same name, whose actions would
+// actionToken returns the idempotency token of the current step's action. Every lease holder computes the same
+// token, because the entry is not written while the step is in StepDoing. The version of the document that
+// stores the entry distinguishes the token from those of a later entry of the same name, whose actions would
 // otherwise count as already applied. A step that is resumed after a pause gets a new token and patches the
 // configuration again, with the same values.
 func actionToken(e *Entry, observed Observation, suffix string) string {
--- a/internal/control/calendar/planner_test.go
+++ b/internal/control/calendar/planner_test.go
@@ -25,7 +25,7 @@
 	now      time.Duration
 	wallTime time.Time
 	failed   float64 // failed attempts among 100 recent request attempts
-	restarts int     // workers that were replaced
+	restarts int     // number of worker replacements so far
 }
 
 // firstIncarnation is the incarnation of every worker before it is replaced.
@@ -130,12 +130,13 @@
 type crashRun struct {
 	random   *rand.Rand
 	site     *testSite
-	entry    *Entry // stored entry
-	version  int    // version of the entry's document
+	entry    *Entry // calendar entry as stored in the control state
+	version  int    // version of the document that stores the entry
 	planners [2]*Planner
 }
 
-// step runs one pass of a random holder. Sometimes the other holder completes a pass while this one stalls.
+// step runs one pass of the control loop of a randomly chosen lease holder. Sometimes the other holder
+// completes a pass while this one stalls.
 func (c *crashRun) step(t *testing.T) {
 	t.Helper()
 	holder := c.random.IntN(2)
@@ -158,7 +159,7 @@
 	c.site.advance(t)
 }
 
-// stepUndisturbed runs one pass of a holder without a crash or a stall.
+// stepUndisturbed runs one pass of a lease holder's control loop without a crash or a stall.
 func (c *crashRun) stepUndisturbed(t *testing.T, planner *Planner) {
 	t.Helper()
 	observed := c.observe(t)
@@ -171,7 +172,8 @@
 	}
 }
 
-// observe returns the site's observation with the version of the stored entry.
+// observe returns the site's observation with the version of the calendar entry as stored in the control
+// state.
 func (c *crashRun) observe(t *testing.T) Observation {
 	t.Helper()
 	observed := c.site.observe(t)
@@ -189,16 +191,16 @@
 				run.step(t)
 			}
 			if run.entry.State != StateDone {
-				t.Fatalf("entry of kind %s, seed %d: state %s at step %d with reason %q after 400 passes, want done", entry.Kind, seed, run.entry.State, run.entry.CurrentStep, run.entry.Reason)
+				t.Fatalf("calendar entry of kind %s, seed %d: state %s at step %d with reason %q after 400 passes, want done", entry.Kind, seed, run.entry.State, run.entry.CurrentStep, run.entry.Reason)
 			}
 			if got, want := strings.Join(run.site.applied, "\n"), strings.Join(expectedPatches(entry), "\n"); got != want {
-				t.Fatalf("entry of kind %s, seed %d: applied configuration patches\n%s\nwant\n%s", entry.Kind, seed, got, want)
+				t.Fatalf("calendar entry of kind %s, seed %d: applied configuration patches\n%s\nwant\n%s", entry.Kind, seed, got, want)
 			}
 		}
 	}
 }
 
-// The simulated site forgets its idempotency tokens, so that a repeated action is applied again. The recorded
+// If the simulated site forgets its idempotency tokens, a repeated action is applied again. The recorded
 // patches must show this, or TestEveryStepRunsOnceDespiteHolderCrashes could not detect a duplicate.
 func TestDuplicatedActionsAreDetected(t *testing.T) {
 	site, entry, planner := newTestSite(), entriesByKind[0], NewPlanner()
@@ -219,7 +221,8 @@
 	}
 }
 
-// advanceEntry runs a number of passes of a lease holder without faults and returns the resulting entry.
+// advanceEntry runs the given number of passes of a lease holder's control loop without faults and returns the
+// resulting entry.
 func advanceEntry(t *testing.T, site *testSite, planner *Planner, entry *Entry, steps int) *Entry {
 	t.Helper()
 	for range steps {
@@ -236,26 +239,26 @@
 	return entry
 }
 
-// An entry starts once the median wall clock reaches its start time. It does not start while no majority
-// reports a clock, and a clock that is set back after the start changes nothing.
+// A calendar entry starts once the median wall clock of the control nodes reaches its start time. It does not
+// start while no majority reports a clock, and a clock that is set back after the start changes nothing.
 func TestStartWaitsForMajorityClock(t *testing.T) {
 	site, planner := newTestSite(), NewPlanner()
 	entry := newEntry(Entry{Kind: KindWeights, Model: "m", Weights: 2, NotBefore: time.Unix(1e9+100, 0).UTC().Format(time.RFC3339)})
 	if entry = advanceEntry(t, site, planner, entry, 50); entry.State != StatePlanned {
-		t.Fatalf("50 s before its start time the entry is in state %s, want planned", entry.State)
+		t.Fatalf("50 s before its start time the calendar entry is in state %s, want planned", entry.State)
 	}
 	wallTime := site.wallTime
 	site.wallTime = time.Time{}
 	if next, _, changed := planner.Next(entry, site.observe(t)); changed || next.State != StatePlanned {
-		t.Fatal("the entry changed although no majority of control nodes reported a clock")
+		t.Fatal("the calendar entry changed although no majority of control nodes reported a clock")
 	}
 	site.wallTime = wallTime.Add(51 * time.Second)
 	if entry = advanceEntry(t, site, planner, entry, 1); entry.State != StateRunning {
-		t.Fatalf("the start time is reached, but the entry is in state %s, want running", entry.State)
+		t.Fatalf("the start time is reached, but the calendar entry is in state %s, want running", entry.State)
 	}
 	site.wallTime = site.wallTime.Add(-time.Hour)
 	if entry = advanceEntry(t, site, planner, entry, 20); entry.State != StateDone || len(site.applied) != 1 {
-		t.Fatalf("the clock was set back by an hour after the start: state %s, applied patches %v, want done and one patch", entry.State, site.applied)
+		t.Fatalf("the clock was set back by an hour after the calendar entry started: state %s, applied patches %v, want done and one patch", entry.State, site.applied)
 	}
 }
 
@@ -269,7 +272,7 @@
 	}
 	site.failed = 30
 	if entry = advanceEntry(t, site, planner, entry, 1); entry.State != StatePaused || !strings.Contains(entry.Reason, "30 of 100") {
-		t.Fatalf("30 of 100 attempts fail: state %s, reason %q, want paused with these figures as reason", entry.State, entry.Reason)
+		t.Fatalf("handover while 30 of 100 request attempts fail: state %s, reason %q, want paused with these figures as reason", entry.State, entry.Reason)
 	}
 	applied := len(site.applied)
 	if entry = advanceEntry(t, site, planner, entry, 20); len(site.applied) != applied {
@@ -335,10 +338,10 @@
 		observed.EntryVersion, observed.ConfigVersion = test.entryVersion, test.configVersion
 		_, action, _ := NewPlanner().Next(doing, observed)
 		if tokens[test.holder] = action.Token; action.Patch == nil || action.Token == "" {
-			t.Fatalf("holder %q: got no action with a token for the entry %+v", test.holder, doing)
+			t.Fatalf("lease holder %q: got no action with an idempotency token for the calendar entry %+v", test.holder, doing)
 		}
 	}
 	if tokens["first"] != tokens["second"] || tokens["first"] == tokens["of a later entry"] {
-		t.Errorf("action tokens by holder %v: want equal ones for the same entry and another for the later entry", tokens)
+		t.Errorf("action tokens by lease holder %v: want equal tokens for the same entry and another for the later entry", tokens)
 	}
 }
--- a/internal/control/calendar/steps.go
+++ b/internal/control/calendar/steps.go
@@ -9,21 +9,21 @@
 // StepKind is the change of the service configuration that a step makes, or the condition that it waits for.
 type StepKind string
 
-// Kinds of steps.
+// Kinds of steps of a calendar entry.
 const (
 	StepNameWeights   StepKind = "name"     // sets the new version of the model's weights in the configuration
 	StepAwaitWeights  StepKind = "see"      // waits until every worker serves the new weights
 	StepDrain         StepKind = "drain"    // marks a batch of workers as draining in the configuration
 	StepAwaitReplaced StepKind = "replaced" // waits until each worker of the batch is reachable as a new incarnation
 	StepUndrain       StepKind = "back"     // removes the draining marks of the batch, so that its workers get requests again
-	StepSetPercent    StepKind = "share"    // sends a percentage of the route's requests to the other service
-	StepSoak          StepKind = "soak"     // waits for the entry's soak time
+	StepSetPercent    StepKind = "share"    // sends a percentage of the route's requests to the service that takes the route over
+	StepSoak          StepKind = "soak"     // waits for Entry.SoakSeconds before the handover continues
 )
 
-// StepState is the state of a step, as stored in the entry's document.
+// StepState is the state of a step of a calendar entry, as stored in the entry's document.
 type StepState string
 
-// States of a step.
+// States of a step of a calendar entry.
 const (
 	StepPending StepState = "todo"
 	StepDoing   StepState = "doing" // the step has begun, and its configuration change may already be applied
@@ -33,8 +33,8 @@
 // Step is one step of an entry with its progress.
 type Step struct {
 	Kind         StepKind          `json:"do"`
-	Workers      []string          `json:"on,omitempty"`    // for a release: workers of the batch
-	Percent      int               `json:"share,omitempty"` // for a handover: percent of requests moved
+	Workers      []string          `json:"on,omitempty"`    // for KindRelease: names of the workers in the step's batch
+	Percent      int               `json:"share,omitempty"` // for KindHandover: percentage of the route's requests that the other service receives
 	Incarnations map[string]string `json:"lives,omitempty"` // for StepDrain: incarnation of each worker before it was drained
 	State        StepState         `json:"state"`
 }
@@ -42,13 +42,14 @@
 // allRequests is the percentage at which a handover is complete.
 const allRequests = 100
 
-// defaultPercents returns the percentages of a handover that sets none.
+// defaultPercents returns the percentages of requests that a handover moves at each step if its entry sets
+// none.
 func defaultPercents() []int { return []int{10, 50, allRequests} }
 
-// pendingStep returns a step of a kind in StepPending.
+// pendingStep returns a step of the given kind in StepPending.
 func pendingStep(kind StepKind) Step { return Step{Kind: kind, State: StepPending} }
 
-// planSteps returns the steps of an entry that starts now.
+// planSteps returns the steps of a calendar entry that starts now.
 func (e *Entry) planSteps(observed Observation) []Step {
 	switch e.Kind {
 	case KindWeights:
@@ -81,7 +82,8 @@
 	return steps
 }
 
-// planHandover returns two steps for each percentage: set it, then soak.
+// planHandover returns two steps for each percentage of a handover: set it in the configuration, then wait for
+// the soak time.
 func (e *Entry) planHandover() []Step {
 	percents := e.Percents
 	if len(percents) == 0 {
@@ -98,7 +100,7 @@
 	return steps
 }
 
-// unmetPrecondition returns why a step cannot begin yet, or "" if it can.
+// unmetPrecondition returns why a step of a calendar entry cannot begin yet, or "" if it can.
 func (e *Entry) unmetPrecondition(step *Step, observed Observation) string {
 	config := observed.Config
 	if config == nil {
@@ -123,7 +125,8 @@
 	return ""
 }
 
-// missingCapacity returns why a batch cannot be drained yet, or "" if enough other workers accept requests.
+// missingCapacity returns why a batch of workers cannot be drained yet, or "" if enough other workers accept
+// requests.
 func (e *Entry) missingCapacity(step *Step, observed Observation) string {
 	remaining := 0
 	for _, worker := range observed.Workers {
@@ -152,7 +155,7 @@
 	}
 }
 
-// patch returns the configuration patch of a step, or nil for a step that waits.
+// patch returns the patch that a step makes to the service configuration, or nil for a step that waits.
 func (e *Entry) patch(step *Step) object {
 	switch step.Kind {
 	case StepNameWeights:
@@ -205,15 +208,15 @@
 	return ""
 }
 
-// isReplaced reports whether a worker is reachable under an incarnation other than the previous one.
+// isReplaced reports whether a worker is reachable under an incarnation other than the one that was drained.
 func isReplaced(name, previous string, observed Observation) bool {
 	return slices.ContainsFunc(observed.Workers, func(w Worker) bool {
 		return w.Name == name && w.Reachable && w.Incarnation != "" && w.Incarnation != previous
 	})
 }
 
-// remainingSoak returns why a soak is not over, or "" if it is. The soak begins when this planner first
-// evaluates the step.
+// remainingSoak returns why a step of the kind StepSoak is not complete, or "" if Entry.SoakSeconds have passed
+// since the step began. It begins when this planner first evaluates it.
 func (p *Planner) remainingSoak(entry *Entry, step *Step, observed Observation) string {
 	key := fmt.Sprintf("%s/%d", entry.Name, entry.CurrentStep)
 	started, ok := p.soakStarted[key]
--- a/internal/control/calendar/validate.go
+++ b/internal/control/calendar/validate.go
@@ -8,16 +8,17 @@
 	"pebbleloom/internal/errs"
 )
 
-// Limits of an entry's fields.
+// Limits of the fields of a calendar entry.
 const (
 	maxNameBytes   = 64
-	maxSoakSeconds = 86400 // one day, in seconds
+	maxSoakSeconds = 86400 // maximum of Entry.SoakSeconds: one day
 )
 
 // faultFunc reports a validation fault of a field, which is named by its JSON key.
 type faultFunc func(field, format string, args ...any)
 
-// Validate adds every fault of a new entry to a batch. All faults are of the kind errs.BadInput.
+// Validate adds every fault of a new calendar entry to a batch of errors. All faults are of the kind
+// errs.BadInput.
 //
 // Example: entry.Validate(&faults)
 func (e *Entry) Validate(faults *errs.Batch) {
@@ -79,8 +80,8 @@
 	}
 }
 
-// CheckConflicts returns an error of the kind errs.Conflict if another active entry changes the same service.
-// The error names both entries.
+// CheckConflicts returns an error of the kind errs.Conflict if another active calendar entry changes the same
+// service. The error names both entries.
 //
 // Example: if err := entry.CheckConflicts(others); err != nil { return err }
 func (e *Entry) CheckConflicts(others []*Entry) error {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// services returns the services that the entry changes.
+// services returns the names of the services that the calendar entry changes.
 func (e *Entry) services() []string {
 	if e.Kind == KindHandover {
 		return []string{e.Service, e.ToService}
--- a/internal/control/calendar/verbs.go
+++ b/internal/control/calendar/verbs.go
@@ -2,23 +2,23 @@
 
 import "pebbleloom/internal/errs"
 
-// Verb is an operator's request to control an entry.
+// Verb is an operator's request to control a calendar entry.
 type Verb string
 
-// Verbs that operators may apply to an entry.
+// Verbs that operators may apply to a calendar entry.
 const (
 	VerbPause  Verb = "pause"
 	VerbResume Verb = "resume"
-	VerbCancel Verb = "cancel" // ends an entry that has not started
+	VerbCancel Verb = "cancel" // cancels an entry that has not started
 	VerbUndo   Verb = "undo"   // reverts the configuration changes of an entry that has started
 )
 
-// byOperator is the Entry.Reason of a state that an operator requested.
+// byOperator is the Entry.Reason after a change of state that an operator requested.
 const byOperator = "by an operator"
 
-// ApplyVerb applies an operator's request to the entry. Only the state and its reason change; the lease
-// holder performs the resulting actions. The error is of the kind errs.Conflict if the current state does
-// not allow the verb, and errs.BadInput if the verb is unknown.
+// ApplyVerb applies an operator's request to the calendar entry. Only the state and its reason change; the
+// lease holder performs the resulting actions. The error is of the kind errs.Conflict if the current state
+// does not allow the verb, and errs.BadInput if the verb is unknown.
 //
 // Example: err := entry.ApplyVerb(calendar.VerbPause)
 func (e *Entry) ApplyVerb(verb Verb) error {
