--- a/internal/control/placementcontroller/actions.go
+++ b/internal/control/placementcontroller/actions.go
@@ -13,7 +13,7 @@
 type actionBatch struct {
 	*Controller
 	svc           *serviceController
-	retirement    *retire.Retirement // retirement that records acknowledged actions; nil for a repair
+	retirement    *retire.Retirement // retirement in which acknowledged actions are recorded; nil for a repair
 	configVersion uint64             // version of the service configuration that patches apply to
 	addrs         map[string]string  // addresses of the nodes, by name
 }
--- a/internal/control/placementcontroller/compute.go
+++ b/internal/control/placementcontroller/compute.go
@@ -12,16 +12,17 @@
 // Hysteresis and limits of the set of replicated entries, which every worker caches. With a wider hysteresis
 // the set changes less often, but follows the access frequencies less closely.
 const (
-	retainRatio             = 0.7 // a replicated entry leaves the set only if its frequency is below this ratio of the threshold
-	swapInRatio             = 1.3 // between full computations, an entry swaps in only above this multiple of the coldest entry's frequency
-	replicatedCapacityRatio = 0.5 // part of a worker's cache capacity that the replicated set may use
-	sharedHotness           = 1.5 // an entry at least this hot had more than one recent access, and counts as shared by requests
+	retainRatio             = 0.7 // a replicated entry is removed only if its access frequency falls below this ratio of the threshold for being added
+	swapInRatio             = 1.3 // between full computations, an entry is added only if its hotness exceeds this multiple of the coldest replicated entry's
+	replicatedCapacityRatio = 0.5 // ratio of the smallest worker's cache capacity that the replicated entries may use
+	sharedHotness           = 1.5 // minimum hotness of an entry that counts as shared by requests: it had more than one recent access
 )
 
-// Initial estimate of the fetch bandwidth, which measured fetches gradually outweigh.
+// Initial estimate of the bandwidth of cache fetches between workers, which measured fetches gradually
+// outweigh.
 const (
-	initialBandwidth        = 50000.0 // tokens per second
-	initialBandwidthSeconds = 0.02    // weight of the initial estimate, as seconds of fetching
+	initialBandwidth        = 50000.0 // initial estimate, in tokens per second
+	initialBandwidthSeconds = 0.02    // weight of initialBandwidth against measured fetches, in seconds of fetch time
 )
 
 // storeLinkClass is the class of links to cache stores. They do not count for the bandwidth between workers.
@@ -163,7 +164,7 @@
 }
 
 // fetchBandwidth returns the bandwidth of fetches from other workers in tokens per second: the measured
-// fetches combined with the initial estimate.
+// fetches combined with initialBandwidth.
 func fetchBandwidth(links []*wire.LinkThroughput) float64 {
 	tokens, elapsedNs := initialBandwidth*initialBandwidthSeconds, initialBandwidthSeconds*float64(time.Second)
 	for _, link := range links {
--- a/internal/control/placementcontroller/compute_test.go
+++ b/internal/control/placementcontroller/compute_test.go
@@ -41,12 +41,12 @@
 	inputs := testInputs(50, 30, 20)
 	inputs.Links = []*wire.LinkThroughput{{Class: "near", Tokens: 1e6, ElapsedNs: 1e12}, {Class: "store", Tokens: 1e12, ElapsedNs: 1}}
 	if next = Compute(inputs, nil); next.RMax > 0.05 || len(next.Replicated) != 3 {
-		t.Errorf("slow links between workers and a fast link to the store: R_max %v with %d entries replicated, want at most 0.05 with 3", next.RMax, len(next.Replicated))
+		t.Errorf("placement with slow links between workers and a fast link to the store: R_max %v with %d entries replicated, want at most 0.05 with 3", next.RMax, len(next.Replicated))
 	}
 	inputs = testInputs(50, 30, 20)
 	inputs.FetchTolerance, inputs.CapacityTokens = 0.01, 4500
 	if next = Compute(inputs, nil); len(next.Replicated) != 2 {
-		t.Errorf("capacity of 4500 tokens: %d entries of 1000 tokens replicated, want 2, which fit into half of it", len(next.Replicated))
+		t.Errorf("placement for workers with a cache capacity of 4500 tokens: %d entries of 1000 tokens replicated, want 2, which fit into half of the capacity", len(next.Replicated))
 	}
 	inputs.Workers = []string{"a"}
 	if next = Compute(inputs, nil); next.RMax != 0 {
@@ -61,10 +61,10 @@
 // keeps the set stable.
 func TestReplicatedSetDoesntFlap(t *testing.T) {
 	inputs := testInputs(40, 30, 16, 14)
-	inputs.FetchTolerance = 0.15 // gives R_max 0.225, so that three of four entries are replicated
+	inputs.FetchTolerance = 0.15 // this tolerance gives a replication ratio R_max of 0.225, so that three of four entries are replicated
 	current := Compute(inputs, nil)
 	if len(current.Replicated) != 3 {
-		t.Fatalf("initial placement %+v, want three entries replicated", current)
+		t.Fatalf("placement with fetch tolerance 0.15: %+v, want three entries replicated", current)
 	}
 	changes := 0
 	for i := range 50 {
@@ -88,7 +88,8 @@
 	}
 }
 
-// An entry that becomes hot replaces the coldest replicated one, once.
+// An entry that becomes hot between full computations replaces the coldest replicated entry. A second call
+// with the same input changes nothing.
 func TestSwapInBurst(t *testing.T) {
 	current := Compute(testInputs(40, 30, 16, 14), nil)
 	next, changed := SwapInBurst(current, hotEntries(40, 30, 16, 90))
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -55,7 +55,7 @@
 	holder       string // identity under which this process holds leases: MACHINE/INCARNATION
 	services     map[string]*serviceController
 	updates      *updatestream.Follower
-	blockedNodes sync.Map // service -> number of nodes that block its retirement
+	blockedNodes sync.Map // service name -> number of nodes that block the retirement of its base model
 }
 
 // serviceController reconciles one service while this process holds the service's lease. The fields below
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// countBlockedNodes returns how many nodes block a retirement that this controller carries out.
+// countBlockedNodes returns how many nodes block the base model retirements that this controller carries out.
 func (c *Controller) countBlockedNodes() (total float64) {
 	c.blockedNodes.Range(func(_, nodes any) bool { total += float64(nodes.(int)); return true })
 	return total
@@ -151,7 +151,7 @@
 	}
 	for name, svc := range c.services {
 		if _, ok := snapshot.Config.Services[name]; !ok {
-			svc.cancel() // the lease is no longer renewed and expires
+			svc.cancel() // this ends the renewal of the service's lease, which then expires
 			delete(c.services, name)
 		}
 	}
--- a/internal/control/placementcontroller/orders.go
+++ b/internal/control/placementcontroller/orders.go
@@ -14,16 +14,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// loadWeightsOrder is the contract.Order.Kind of an order to load other weights of the base model.
+// loadWeightsOrder is the contract.Order.Kind of an order to load another version of the base model's weights.
 const loadWeightsOrder = "weights"
 
 // stepRollout advances the rollout of the configured weights to the service's workers by one step.
 func (c *Controller) stepRollout(svc *serviceController, snapshot *updatestream.Snapshot, config serviceconfig.Service) error {
 	if svc.document == nil || svc.placement == nil {
-		return nil // the stored placement must first be read, as after the lease was acquired or a write failed
+		return nil // the stored placement must be read first, for example after the lease was acquired or a write failed
 	}
 	workers := slices.DeleteFunc(languageModelWorkers(snapshot, svc.name), func(worker *wire.Worker) bool {
-		return worker.Model != config.Model && worker.Model != "" // the worker has another base model than the service
+		return worker.Model != config.Model && worker.Model != "" // the worker reports another base model than the service configures
 	})
 	history := snapshot.Weights[config.Model]
 	now := c.clock.Now()
--- a/internal/control/placementcontroller/placement.go
+++ b/internal/control/placementcontroller/placement.go
@@ -38,8 +38,8 @@
 	return c.publishPlacement(svc, next)
 }
 
-// resumePlacement reads the stored placement and resumes the rollout whose batch it cordons, so that a new
-// lease holder continues where the previous one stopped.
+// resumePlacement reads the stored placement and resumes the rollout whose current batch of workers the
+// placement cordons, so that a new lease holder continues where the previous one stopped.
 func (c *Controller) resumePlacement(svc *serviceController, now time.Duration) error {
 	stored, err := c.store.Read(c.process.Ctx, &wire.ReadRequest{Shard: controlclient.ShardOf(svc.name), Key: placementKey(svc.name)})
 	if err != nil {
@@ -119,7 +119,7 @@
 	return placement.Mode(config.Placement)
 }
 
-// workerNames returns the names of workers in their order.
+// workerNames returns the names of the given workers, in the same order.
 func workerNames(workers []*wire.Worker) []string {
 	names := make([]string, 0, len(workers))
 	for _, worker := range workers {
--- a/internal/control/placementcontroller/queries.go
+++ b/internal/control/placementcontroller/queries.go
@@ -13,14 +13,14 @@
 
 // Limits of the queries to other nodes.
 const (
-	maxConcurrentQueries = 16   // calls in flight at the same time in one round of queries
-	hotEntriesLimit      = 1000 // hot entries requested from each node of the prompt index
+	maxConcurrentQueries = 16   // maximum number of calls in flight at the same time in one round of queries
+	hotEntriesLimit      = 1000 // maximum number of hot entries requested from each node of the prompt index
 )
 
 // usage is the sum of the recent measurements of all proxies.
 type usage struct {
-	links             []*wire.LinkThroughput // throughput by class of links
-	succeeded, failed map[string]float64     // request attempts by worker
+	links             []*wire.LinkThroughput // fetch throughput, by class of links
+	succeeded, failed map[string]float64     // numbers of recent request attempts, by worker name
 }
 
 // queryRole calls all nodes of a role concurrently, with a common timeout, and passes their responses to
--- a/internal/control/placementcontroller/rollout.go
+++ b/internal/control/placementcontroller/rollout.go
@@ -12,19 +12,19 @@
 // Timing and concurrency of a rollout. With larger batches a rollout ends sooner, but fewer workers stay in
 // service.
 const (
-	// Ratios of the heal bound.
+	// Durations as ratios of the heal bound (settings.Bounds.HealMs).
 	cordonRatio       = 0.125 // time between cordoning a batch and ordering it, in which proxies learn of the cordon
-	batchTimeoutRatio = 0.25  // time after which a cordoned batch is given up and the next one begins
+	batchTimeoutRatio = 0.25  // time after which a cordoned batch is abandoned and the next one begins
 
-	rolloutSpanRatio    = 0.6       // part of the weights bound within which all batches must be done
-	maxConcurrencyRatio = 1.0 / 3.0 // part of the workers that may be out of service at the same time
+	rolloutSpanRatio    = 0.6       // ratio of the weights bound (settings.Bounds.WeightsMs) within which all batches must have loaded the new weights
+	maxConcurrencyRatio = 1.0 / 3.0 // maximum ratio of a service's workers that are out of service at the same time
 )
 
 // Rollout loads new weights on the workers of a service batch by batch. Each batch is first cordoned in the
 // placement, so that proxies send it no new requests, and then ordered to load the weights. A new lease holder
 // resumes the rollout from the stored placement.
 type Rollout struct {
-	Batch      []string      // names of the cordoned workers
+	Batch      []string      // names of the workers in the current batch, which are cordoned
 	CordonedAt time.Duration // when the batch was cordoned, by the clock of this process
 	AllAtOnce  bool          // put all workers into one batch, for comparison with rollouts in batches
 }
--- a/internal/control/placementcontroller/rollout_test.go
+++ b/internal/control/placementcontroller/rollout_test.go
@@ -54,7 +54,7 @@
 			}
 		}
 		if limit := time.Duration(bound) * time.Millisecond * 8 / 10; done == 0 || done > limit {
-			t.Errorf("rollout with a weights bound of %d ms: done after %v (zero: never), want at most %v", bound, done, limit)
+			t.Errorf("rollout with a weights bound of %d ms: done after %v (0 means never), want at most %v", bound, done, limit)
 		}
 		if largest > 6 || len(rollout.Batch) > 0 {
 			t.Errorf("%d workers were cordoned at the same time and %v remain cordoned, want at most 6 of 18 and none at the end", largest, rollout.Batch)
