--- a/internal/control/retire/catchup.go
+++ b/internal/control/retire/catchup.go
@@ -20,10 +20,11 @@
 	return slices.ContainsFunc(node.Loaded, func(loaded contract.LoadedModel) bool { return loaded.Model == base })
 }
 
-// catchUp brings every node to the required readiness for a weight set. Proofs count only if they were
-// made in the given pass or a later one. Each node that is not ready yet is added as a blocker.
+// catchUp brings every node to the required readiness for a weight set. Proofs count only if they were made in
+// the given stage of the retirement (proofPass) or a later one. Each node that is not ready yet is added as a
+// blocker.
 func (e *evaluation) catchUp(set WeightSet, required readiness, pass proofPass) {
-	busy := 0 // nodes that are loading weights or answering a proof request
+	busy := 0 // number of nodes that are loading weights or answering a proof request
 	for _, node := range e.observed.Nodes {
 		if node.Loading != "" {
 			busy++
@@ -87,7 +88,7 @@
 }
 
 // requestProof adds a proof request to a node unless its current incarnation already has a proof for this
-// weight set from the given pass or a later one.
+// weight set from the given stage of the retirement (proofPass) or a later one.
 func (e *evaluation) requestProof(node Node, set WeightSet, pass proofPass, busy *int) {
 	if proof, ok := e.retirement.Proofs[node.Name]; ok && proof.Incarnation == node.Incarnation && proof.Set == e.newFingerprint && proof.Pass >= pass {
 		return
--- a/internal/control/retire/fleet_test.go
+++ b/internal/control/retire/fleet_test.go
@@ -14,8 +14,8 @@
 
 const (
 	tick           = 100 * time.Millisecond
-	maxConfigLag   = 10 // ticks for which a proxy may use an outdated configuration
-	requestTimeout = 40 // ticks after which a request is no longer retried
+	maxConfigLag   = 10 // number of ticks for which a proxy may use an outdated configuration
+	requestTimeout = 40 // number of ticks after which a request is no longer retried
 )
 
 // initialConfig has a service s on base model old with two adapters, and base model new with the builds
@@ -36,12 +36,12 @@
 type invariant int
 
 const (
-	neverEnds        invariant = iota // the retirement ends
-	earlyUnload                       // the old base model is unloaded only after the barrier
-	falseBarrier                      // the barrier is passed only when every node has answered the proof requests
-	lostRequest                       // a request has one answer, and its model is not unloaded while it runs
-	delayedRequests                   // no more requests stay unanswered than without a retirement
-	incompleteRevert                  // an abort restores the routes and unloads the new base model
+	neverEnds        invariant = iota // rule: every retirement ends
+	earlyUnload                       // rule: the old base model is unloaded only after the barrier
+	falseBarrier                      // rule: the barrier is passed only when every node has answered the proof requests
+	lostRequest                       // rule: a request gets at most one answer, and its model is not unloaded while it runs
+	delayedRequests                   // rule: a retirement leaves no more requests unanswered than a run without one
+	incompleteRevert                  // rule: an abort restores the routes and unloads the new base model
 )
 
 // noFault is the value of testFleet.plantedFault for a simulation without a planted fault.
@@ -55,7 +55,7 @@
 	loaded            map[string]contract.LoadedModel
 	loading           string
 	fencingToken      uint64
-	lastSteps         map[string]uint64 // step of the last order that the node obeyed, by the order's plan
+	lastSteps         map[string]uint64 // contract.Order.Step of the last order that the node obeyed, by contract.Order.Plan
 	falseReports      bool              // whether the node reports adapters as loaded that it did not load
 	falselyReported   map[string]bool   // adapters that the node reports as loaded but did not load
 	answered          map[string]bool   // answered proof requests, by incarnation, set fingerprint and adapter
@@ -117,9 +117,9 @@
 type testRequest struct {
 	id       string
 	route    string
-	deadline int // tick at which the request is given up
-	answers  int // answers that the client received
-	retries  int // resends after an answer, which the planted fault lostRequest makes
+	deadline int // tick at which the client gives up the request
+	answers  int // number of answers that the client received
+	retries  int // number of times that the planted fault lostRequest sent the request again after an answer
 }
 
 // testFleet simulates a service with its workers, clients, lease holders and stored documents. Time passes
@@ -127,24 +127,24 @@
 type testFleet struct {
 	t               testing.TB
 	random          *rand.Rand
-	now             int              // current tick
-	inbox           map[int][]func() // events by the tick at which they happen
+	now             int              // current time of the simulation, in ticks
+	inbox           map[int][]func() // scheduled events, by the tick at which they happen
 	config          []byte           // service configuration in force
 	configVersion   uint64
-	configHistory   [][]byte    // configuration at each tick, for proxies with an outdated one
-	retirement      *Retirement // stored retirement
-	documentVersion uint64      // version of the stored retirement
+	configHistory   [][]byte    // service configuration at each tick so far, for proxies that use an outdated one
+	retirement      *Retirement // retirement as stored in the control state
+	documentVersion uint64      // version of the document that stores the retirement
 	fencingToken    uint64      // fencing token of the current lease
 	holder          int         // machine that holds the lease or held it last
 	leasedUntil     int         // tick at which the lease expires
-	planners        []*Planner  // planners by machine
+	planners        []*Planner  // planner of each machine, by machine index
 	nodes           []*testNode
 	requests        []*testRequest
-	violations      []string // the first violations of invariants
+	violations      []string // descriptions of the first violations of invariants
 	plantedFault    invariant
 	faultsEnded     bool // whether the time of random faults is over
 	injecting       bool // whether random faults are injected
-	unanswered      int  // requests that got no answer
+	unanswered      int  // number of requests that got no answer
 	abortedAt       int  // tick at which the retirement was aborted; zero if it was not
 }
 
--- a/internal/control/retire/holder_test.go
+++ b/internal/control/retire/holder_test.go
@@ -16,11 +16,11 @@
 	token           uint64
 	config          *serviceconfig.Config
 	configVersion   uint64
-	retirement      *Retirement          // retirement as it was read
-	documentVersion uint64               // version at which the retirement was read
-	next            *Retirement          // retirement to be written
-	nodes           map[string]*testNode // listed nodes by name
-	acked           bool                 // whether an action was acknowledged
+	retirement      *Retirement          // retirement as this pass read it
+	documentVersion uint64               // version of the retirement's document that this pass read
+	next            *Retirement          // retirement that this pass is to write
+	nodes           map[string]*testNode // nodes on the platform's list, by name
+	acked           bool                 // whether any action of this pass was acknowledged
 }
 
 // startHolderPass starts a pass of a machine's control loop if the machine holds the lease.
--- a/internal/control/retire/phases.go
+++ b/internal/control/retire/phases.go
@@ -14,8 +14,8 @@
 // field.
 type jsonObject = map[string]any
 
-// requirements returns the readiness that the current phase requires of every node, and the earliest pass
-// whose proofs count.
+// requirements returns the readiness that the current phase requires of every node, and the earliest stage
+// (proofPass) whose proofs count.
 func (r *Retirement) requirements() (readiness, proofPass) {
 	switch r.Phase {
 	case PhaseLoadBase:
@@ -57,10 +57,10 @@
 	}
 }
 
-// applyConfigChange patches the service configuration for the current phase. The change is recorded as
-// started, applied, and recorded as acknowledged; then next runs. Applying the patch again is harmless, and
-// it raises the configuration's version, so that a patch which a previous lease holder still has in flight
-// is rejected.
+// applyConfigChange patches the service configuration for the current phase. The change is recorded as started
+// in the retirement's document, then applied, then recorded as acknowledged; after that, next is called.
+// Applying the patch again is harmless, and it raises the configuration's version, so that a patch which a
+// previous lease holder still has in flight is rejected.
 func (e *evaluation) applyConfigChange(ready bool, patch jsonObject, next func()) {
 	switch {
 	case e.retirement.ChangeAcked:
@@ -78,7 +78,7 @@
 }
 
 // moveRoutes shifts requests to the new base model in steps of rising percentage. Each step lasts at least
-// for the soak time.
+// Retirement.SoakSeconds.
 func (e *evaluation) moveRoutes(ready bool) {
 	steps := e.retirement.trafficSteps()
 	if e.retirement.TrafficStep >= len(steps) {
@@ -131,8 +131,8 @@
 	}
 }
 
-// hasUnrecordedRoute reports whether any route to be moved has no recorded previous target, as a newly
-// added route. The target must be recorded before the route is changed.
+// hasUnrecordedRoute reports whether any route to be moved has no recorded previous target, for example
+// because the route was added recently. The target must be recorded before the route is changed.
 func (e *evaluation) hasUnrecordedRoute(moves map[string]string) bool {
 	for route := range moves {
 		if _, ok := e.retirement.PreviousTargets[route]; !ok {
--- a/internal/control/retire/planner.go
+++ b/internal/control/retire/planner.go
@@ -16,7 +16,7 @@
 // Limits of the automatic abort, which watches the service's recent request attempts.
 const (
 	defaultAbortRatio = 0.2 // ratio of failed to all attempts above which a retirement is aborted; AbortFailureRatio overrides it
-	minAttempts       = 20  // with fewer recent attempts the failure ratio says nothing, and the retirement is not aborted
+	minAttempts       = 20  // minimum number of recent request attempts; with fewer the failure ratio is not meaningful and the retirement is not aborted
 )
 
 // Values of contract.Order.Kind, as they are sent to nodes.
@@ -50,7 +50,7 @@
 // before the retirement, and the nodes after it. With this order, an action that a lease holder performs
 // late meets a newer version and is rejected.
 type Observation struct {
-	Now           time.Duration // monotonic clock of this process
+	Now           time.Duration // reading of this process's monotonic clock
 	Version       uint64        // version of the retirement's document
 	Config        *serviceconfig.Config
 	WorkersListed bool // whether the platform's list of workers could be read for this observation
@@ -69,10 +69,11 @@
 	Incarnation string          // incarnation of the node to which the proof requests are addressed
 }
 
-// Planner advances one retirement. Its only state between calls is when each timed condition began, by
-// the clock of this process, and why proofs failed. A new lease holder starts with neither.
+// Planner advances one retirement. Between calls it keeps only since when each condition that must last for
+// some time has held, by the clock of this process, and why proofs failed. A new lease holder starts with
+// neither.
 type Planner struct {
-	conditionSince map[string]time.Duration // when each timed condition began, by condition
+	conditionSince map[string]time.Duration // time since which a condition that must last for some time has held, by condition
 	failedProofs   map[string]string        // why the last proof of a node failed, by node
 }
 
@@ -88,10 +89,10 @@
 // Example: planner.RecordFailedProof("worker-3", err.Error())
 func (p *Planner) RecordFailedProof(node, reason string) { p.failedProofs[node] = reason }
 
-// Next computes one step of a retirement. It returns the document to be written next, the actions that the
-// document already stored allows, and whether the document has changed. Every action is idempotent: a
-// patch states the target values, an order names what must be loaded, and a proof is a plain request. A
-// lease holder may therefore crash between any two effects, and its successor can resume.
+// Next computes one step of a retirement. It returns the document to be written next, the actions that
+// the document already stored allows, and whether the document has changed. Every action is idempotent: a
+// patch states the target values, an order names what must be loaded, and a proof is a plain request. A lease
+// holder may therefore crash between any two effects, and its successor can resume.
 //
 // Example: next, actions, changed := planner.Next(retirement, observation)
 func (p *Planner) Next(old *Retirement, observed Observation) (next *Retirement, actions []Action, changed bool) {
@@ -117,7 +118,7 @@
 	if next.Phase == old.Phase && next.State == old.State {
 		e.recordBlockers()
 	} else {
-		e.actions = nil // they become allowed only once the new state or phase is stored
+		e.actions = nil // actions of the new state or phase are allowed only once it is stored in the document
 	}
 	return next, e.actions, e.changed || !slices.Equal(old.Blockers, next.Blockers) || old.Ready != next.Ready || old.Nodes != next.Nodes
 }
@@ -176,10 +177,10 @@
 // evaluation is the working state of one call of Planner.Next for a running or aborting retirement.
 type evaluation struct {
 	*Planner
-	retirement     *Retirement // the document to be written next
+	retirement     *Retirement // retirement document to be written next
 	observed       Observation
 	oldSet, newSet WeightSet
-	newFingerprint string // fingerprint of newSet
+	newFingerprint string // WeightSet.Fingerprint of newSet
 	actions        []Action
 	blockers       []Blocker
 	changed        bool // whether the retirement differs from the stored one in more than its blockers
@@ -220,7 +221,7 @@
 	})
 }
 
-// blockedNodes returns the names of the nodes that block the retirement so far.
+// blockedNodes returns the names of the nodes for which this evaluation has added a blocker so far.
 func (e *evaluation) blockedNodes() map[string]bool {
 	blocked := map[string]bool{}
 	for _, blocker := range e.blockers {
--- a/internal/control/retire/planner_test.go
+++ b/internal/control/retire/planner_test.go
@@ -93,11 +93,11 @@
 			fleet.checkRevertedIf(abort)
 			want := map[bool]State{false: StateDone, true: StateAborted}[abort]
 			if fleet.retirement.State != want || len(fleet.violations) > 0 {
-				t.Fatalf("abort %v, holder crash after effect %d: the retirement ended in state %s, phase %s, with violations %v, history:\n%s", abort, crashAfter, fleet.retirement.State, fleet.retirement.Phase, fleet.violations, strings.Join(fleet.retirement.History, "\n"))
+				t.Fatalf("retirement with an abort: %v; holder crash after effect %d: the retirement ended in state %s, phase %s, with violations %v, history:\n%s", abort, crashAfter, fleet.retirement.State, fleet.retirement.Phase, fleet.violations, strings.Join(fleet.retirement.History, "\n"))
 			}
 			for _, node := range fleet.nodes {
 				if _, old := node.loaded["old"]; old != abort {
-					t.Fatalf("abort %v, holder crash after effect %d: node %s has models %v loaded, want the old one only after an abort", abort, crashAfter, node.name, node.loaded)
+					t.Fatalf("retirement with an abort: %v; holder crash after effect %d: node %s has models %v loaded, want the old one only after an abort", abort, crashAfter, node.name, node.loaded)
 				}
 			}
 			if total = done; crashAfter > total {
@@ -105,7 +105,7 @@
 			}
 		}
 		if total < 60 {
-			t.Errorf("the retirement had only %d effects, want at least 60 possible crash points", total)
+			t.Errorf("a complete retirement had only %d effects (actions and writes), want at least 60 to crash after", total)
 		}
 	}
 }
--- a/internal/control/retire/repair.go
+++ b/internal/control/retire/repair.go
@@ -39,8 +39,8 @@
 	return repair.actions
 }
 
-// anyRouteTo reports whether any route that a service serves or takes over targets a base model, or is
-// being moved to one of its targets.
+// anyRouteTo reports whether any route that a service serves or takes over targets a base model or an adapter
+// on it, or is being moved to such a target.
 func anyRouteTo(config *serviceconfig.Config, service, base string) bool {
 	for name, route := range config.Routes {
 		if route.Service != service && route.HandoverTo != service {
--- a/internal/control/retire/repair_test.go
+++ b/internal/control/retire/repair_test.go
@@ -23,23 +23,23 @@
 		got += fmt.Sprintf("%s %s%s@%d ", action.Node, action.Order.Model, action.Order.Adapter, action.Order.Build)
 	}
 	if got != "b old@0 c oldfare@4 " {
-		t.Errorf("orders %q, want b to load the base model and c to load adapter fare", got)
+		t.Errorf("repair orders %q, want node b to load the base model and node c to load adapter fare", got)
 	}
 	restarted := Node{Name: "f", Reachable: true, Loaded: []contract.LoadedModel{{Model: "older", Weights: 9}, complete}}
 	if actions := Repair(config, "s", []Node{restarted}, []string{"older"}); len(actions) != 1 || actions[0].Order.Kind != OrderUnload || actions[0].Order.Model != "older" {
-		t.Errorf("worker with the configured and a retired base model: actions %+v, want one order to unload the retired one", actions)
+		t.Errorf("repair of a worker with the configured and a retired base model: actions %+v, want one order to unload the retired one", actions)
 	}
 	restarted.Loaded = restarted.Loaded[:1]
 	if actions := Repair(config, "s", []Node{restarted}, []string{"older"}); len(actions) != 1 || actions[0].Order.Kind != OrderLoad {
-		t.Errorf("worker with only a retired base model: actions %+v, want one order to load the configured one", actions)
+		t.Errorf("repair of a worker with only a retired base model: actions %+v, want one order to load the configured one", actions)
 	}
 	config.Models["older"], config.Routes["older"] = serviceconfig.Model{Weights: 9}, serviceconfig.Route{Service: "s"}
 	restarted.Loaded = append(restarted.Loaded, complete)
 	if actions := Repair(config, "s", []Node{restarted}, []string{"older"}); len(actions) != 0 {
-		t.Errorf("a route targets the retired base model again: actions %+v, want none", actions)
+		t.Errorf("repair while a route targets the retired base model again: actions %+v, want none", actions)
 	}
 	config.Adapters = nil
 	if actions := Repair(config, "s", nodes, nil); actions != nil {
-		t.Errorf("a service without adapters: actions %v, want none", actions)
+		t.Errorf("repair of a service without adapters: actions %v, want none", actions)
 	}
 }
--- a/internal/control/retire/retirement.go
+++ b/internal/control/retire/retirement.go
@@ -64,8 +64,8 @@
 )
 
 const (
-	maxHistory  = 64 // transitions that Retirement.History keeps
-	maxBlockers = 16 // blockers that Retirement.Blockers lists; all blocked nodes are counted by Nodes minus Ready
+	maxHistory  = 64 // maximum number of transitions that Retirement.History keeps
+	maxBlockers = 16 // maximum number of blockers that Retirement.Blockers lists; Nodes minus Ready counts all blocked nodes
 )
 
 // Retirement is the replacement of one base model by another: the operator's plan and its progress. It is
@@ -78,26 +78,26 @@
 	OldBase           string            `json:"from"`
 	NewBase           string            `json:"to"`
 	Replacements      map[string]string `json:"replace"`            // adapter on the old base model -> its replacement, built for the new one
-	TrafficPercents   []int             `json:"shares,omitempty"`   // percent of requests moved at each traffic step, rising to 100; empty: 10, 50, 100
+	TrafficPercents   []int             `json:"shares,omitempty"`   // percentage of requests moved at each traffic step, rising to 100; empty means 10, 50, 100
 	SoakSeconds       int               `json:"soak_s,omitempty"`   // minimum duration of each traffic step, in seconds
-	MaxConcurrent     int               `json:"at_once,omitempty"`  // nodes that may load, prove or unload at the same time; 0: 1
-	AbortFailureRatio float64           `json:"abort_at,omitempty"` // ratio of failed attempts above which the retirement is aborted, or paused after the barrier; 0: defaultAbortRatio
+	MaxConcurrent     int               `json:"at_once,omitempty"`  // number of nodes that may load, prove or unload at the same time; 0 means 1
+	AbortFailureRatio float64           `json:"abort_at,omitempty"` // ratio of failed to all request attempts above which the retirement is aborted, or paused after the barrier; 0 means defaultAbortRatio
 
 	// Progress, as written by the lease holder.
 	State           State             `json:"state"`
 	Phase           Phase             `json:"phase,omitempty"`
-	Reason          string            `json:"why,omitempty"`    // reason of the latest transition
+	Reason          string            `json:"why,omitempty"`    // reason of the latest change of state or phase
 	TrafficStep     int               `json:"share"`            // index of the current step in TrafficPercents
 	ChangeStarted   bool              `json:"doing,omitempty"`  // the current phase has started its change of the service configuration
 	ChangeAcked     bool              `json:"made,omitempty"`   // the current phase's change of the service configuration was acknowledged
-	PreviousTargets map[string]string `json:"before,omitempty"` // route -> model or adapter that served it before the move; "": the one that the route is named after
-	Proofs          map[string]Proof  `json:"proofs,omitempty"` // latest valid proof of each node
+	PreviousTargets map[string]string `json:"before,omitempty"` // route -> model or adapter that served it before the move; "" means the one that the route is named after
+	Proofs          map[string]Proof  `json:"proofs,omitempty"` // latest valid proof of each node, by node name
 	Unloaded        map[string]string `json:"clean,omitempty"`  // node -> incarnation that confirmed unloading the new base model during an abort
-	Dropping        []string          `json:"going,omitempty"`  // nodes that are unloading the old base model
-	Nodes           int               `json:"nodes,omitempty"`  // listed nodes of the service
-	Ready           int               `json:"ready,omitempty"`  // nodes without a blocker
+	Dropping        []string          `json:"going,omitempty"`  // names of the nodes that are unloading the old base model
+	Nodes           int               `json:"nodes,omitempty"`  // number of the service's nodes on the platform's list
+	Ready           int               `json:"ready,omitempty"`  // number of listed nodes without a blocker
 	Blockers        []Blocker         `json:"holds,omitempty"`
-	History         []string          `json:"log,omitempty"` // latest transitions, oldest first
+	History         []string          `json:"log,omitempty"` // latest changes of state or phase, oldest first
 }
 
 // Proof records that one incarnation of a node answered a real request under the base model of a weight
@@ -113,7 +113,7 @@
 type proofPass int
 
 const (
-	passNone       proofPass = iota // no proof is required
+	passNone       proofPass = iota // the phase requires no proof
 	passBeforeMove                  // made before the barrier; required before any route is moved
 	passBarrier                     // made in PhaseBarrier or later; required before the old base model is unloaded
 )
--- a/internal/control/retire/retirement_test.go
+++ b/internal/control/retire/retirement_test.go
@@ -12,7 +12,7 @@
 // In every sequence of up to five steps, each a verb or passing the barrier, repeating a verb changes nothing, no retirement is aborted after
 // the barrier, and a retirement that is done, aborting or aborted keeps that state.
 func TestVerbsAreIdempotentInEverySequence(t *testing.T) {
-	const barrier = "barrier" // not a verb: stands for passing the barrier
+	const barrier = "barrier" // element of a sequence that is not a verb: the retirement passes its barrier
 	verbs := []string{verbStart, verbPause, verbResume, verbAbort, barrier}
 	var sequences [][]string
 	var appendSequences func([]string)
@@ -37,19 +37,19 @@
 			before := retirement.clone()
 			err := retirement.ApplyVerb(verb)
 			if err != nil && (retirement.State != before.State || retirement.Phase != before.Phase) {
-				t.Fatalf("sequence %v: the last verb was rejected, but the state changed from %s to %s", sequence, before.State, retirement.State)
+				t.Fatalf("verb sequence %v: the last verb was rejected, but the state changed from %s to %s", sequence, before.State, retirement.State)
 			}
 			once := retirement.clone()
 			if err == nil {
 				if err := retirement.ApplyVerb(verb); err != nil || retirement.State != once.State || retirement.Phase != once.Phase || len(retirement.History) != len(once.History) {
-					t.Fatalf("sequence %v: repeating %s gave error %v and state %s, want no error and state %s", sequence, verb, err, retirement.State, once.State)
+					t.Fatalf("verb sequence %v: repeating %s gave error %v and state %s, want no error and state %s", sequence, verb, err, retirement.State, once.State)
 				}
 			}
 			if pastBarrier && (retirement.State == StateAborting || retirement.State == StateAborted) {
-				t.Fatalf("sequence %v: the retirement was aborted after the barrier", sequence)
+				t.Fatalf("verb sequence %v: the retirement was aborted after the barrier", sequence)
 			}
 			if ended != "" && retirement.State != ended {
-				t.Fatalf("sequence %v: state %s after the retirement had reached %s, which is final", sequence, retirement.State, ended)
+				t.Fatalf("verb sequence %v: state %s after the retirement had reached %s, which is final", sequence, retirement.State, ended)
 			}
 			if !retirement.Active() || retirement.State == StateAborting {
 				ended = retirement.State
@@ -57,7 +57,7 @@
 		}
 	}
 	if len(sequences) != 3906 {
-		t.Errorf("%d sequences tried, want 3906, which is all of up to five steps", len(sequences))
+		t.Errorf("%d verb sequences tried, want 3906, which is all of up to five steps", len(sequences))
 	}
 }
 
@@ -75,6 +75,6 @@
 		t.Errorf("retirement after decoding and encoding again: %s, error %v, want no change", encoded, err)
 	}
 	if _, err := Read([]byte(`{"pace":3}`)); errs.KindOf(err) != errs.BadInput {
-		t.Errorf("document with an unknown field: error %v, want the kind BadInput", err)
+		t.Errorf("retirement document with an unknown field: error %v, want the kind BadInput", err)
 	}
 }
--- a/internal/control/retire/simulation_test.go
+++ b/internal/control/retire/simulation_test.go
@@ -46,7 +46,7 @@
 func simulate(t testing.TB, seed uint64, plantedFault invariant, retiring bool) *testFleet {
 	t.Helper()
 	fleet := newFleet(t, seed, plantedFault)
-	random := rand.New(rand.NewPCG(seed, 9)) // for faults and requests, so that they are the same with and without a retirement
+	random := rand.New(rand.NewPCG(seed, 9)) // source of faults and requests only, so that they are the same with and without a retirement
 	operators := rand.New(rand.NewPCG(seed, 11))
 	abortAt := 0
 	if random.IntN(3) == 0 || plantedFault == incompleteRevert {
@@ -121,7 +121,7 @@
 	f.sendRequest(request)
 }
 
-// checkRequests counts the requests that got no answer and checks that none got more than one.
+// checkRequests counts the requests that got no answer and checks that no request got more than one answer.
 func (f *testFleet) checkRequests() {
 	for _, request := range f.requests {
 		if request.answers == 0 {
@@ -264,9 +264,9 @@
 			t.Fatalf("seed %d: invariants violated:\n%s\nhistory of the retirement:\n%s", seed, strings.Join(fleet.violations, "\n"), strings.Join(fleet.retirement.History, "\n"))
 		}
 	}
-	t.Logf("final states %v; %d requests unanswered with a retirement and %d without, of %d", ends, unansweredWith, unansweredWithout, total)
+	t.Logf("final states of the retirements %v; %d requests unanswered with a retirement and %d without, of %d", ends, unansweredWith, unansweredWithout, total)
 	if ends[StateDone] == 0 || ends[StateAborted] == 0 {
-		t.Errorf("final states %v: want some retirements done and some aborted", ends)
+		t.Errorf("final states of the simulated retirements %v: want some retirements done and some aborted", ends)
 	}
 	if float64(unansweredWith) > float64(unansweredWithout)*1.1+0.001*float64(total) {
 		t.Errorf("invariant delayedRequests violated: %d of %d requests unanswered with a retirement, %d without, want at most 10 percent more plus 0.1 percent of all", unansweredWith, total, unansweredWithout)
--- a/internal/control/retire/size_test.go
+++ b/internal/control/retire/size_test.go
@@ -9,8 +9,8 @@
 	"pebbleloom/internal/control/serviceconfig"
 )
 
-// largeService returns a retirement in PhaseProve and an observation of a service with so many nodes and
-// adapters. Every node has both weight sets loaded and lacks only its proof.
+// largeService returns a retirement in PhaseProve and an observation of a service with the given numbers of
+// nodes and adapters. Every node has both weight sets loaded and lacks only its proof.
 func largeService(nodes, adapters int) (*Retirement, Observation) {
 	config := &serviceconfig.Config{Models: map[string]serviceconfig.Model{"old": {Weights: 1, MemoryMB: 50}, "new": {Weights: 1, MemoryMB: 50}}, Adapters: map[string]serviceconfig.Adapter{},
 		Services: map[string]serviceconfig.Service{"s": {Model: "old", WorkerMemoryMB: 1000}}, Routes: map[string]serviceconfig.Route{"old": {Service: "s"}}}
@@ -46,7 +46,7 @@
 	}
 	body, err := retirement.Write()
 	if err != nil || len(body) > 256<<10 || len(retirement.History) > maxHistory {
-		t.Errorf("document of %d bytes with %d history entries, error %v, want at most 256 KiB and maxHistory entries", len(body), len(retirement.History), err)
+		t.Errorf("retirement document of %d bytes with %d history entries, error %v, want at most 256 KiB and maxHistory entries", len(body), len(retirement.History), err)
 	}
 }
 
@@ -68,7 +68,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					if _, actions, _ := NewPlanner().Next(retirement, observation); len(actions) != 1 {
-						b.Fatalf("Next returned %d actions, want 1 proof request", len(actions))
+						b.Fatalf("Planner.Next returned %d actions in phase prove, want 1 proof request", len(actions))
 					}
 				}
 				b.ReportMetric(float64(len(body)), "document-bytes")
--- a/internal/control/retire/validate_test.go
+++ b/internal/control/retire/validate_test.go
@@ -53,7 +53,7 @@
 			retirement.ValidateConfig(config, &batch)
 			err = batch.Err()
 			if (err == nil) != (test.want == "") || err != nil && (!strings.Contains(err.Error(), test.want) || errs.KindOf(err) != errs.BadInput) {
-				t.Errorf("validation error:\n%v\nwant an error of the kind BadInput that contains %q; empty: none", err, test.want)
+				t.Errorf("validation error:\n%v\nwant an error of the kind BadInput that contains %q (empty: no error)", err, test.want)
 			}
 		})
 	}
@@ -65,7 +65,7 @@
 	retirement := &Retirement{Name: "a b", Service: "s", OldBase: "x", NewBase: "x", TrafficPercents: []int{5, 4}, SoakSeconds: -1, MaxConcurrent: -1, AbortFailureRatio: 2}
 	retirement.Validate(&batch)
 	if n := len(batch.Lines()); n != 7 {
-		t.Errorf("Validate recorded %d faults, want 7: %v", n, batch.Lines())
+		t.Errorf("Retirement.Validate recorded %d faults, want 7: %v", n, batch.Lines())
 	}
 }
 
--- a/internal/control/retire/weightset.go
+++ b/internal/control/retire/weightset.go
@@ -24,8 +24,8 @@
 type WeightSet struct {
 	Base     string
 	Weights  uint64         // version of the base model's weights
-	MemoryMB int            // memory of the base model alone, without adapters
-	Adapters []AdapterBuild // sorted by name
+	MemoryMB int            // memory of the base model alone, without adapters, in MB
+	Adapters []AdapterBuild // adapters of the set, sorted by name
 }
 
 // NewWeightSet returns the weight set of a base model and the named adapters. Versions, builds and memory
