--- a/internal/control/calendar/validate.go
+++ b/internal/control/calendar/validate.go
@@ -35,7 +35,7 @@
 	switch e.Kind {
 	case KindWeights:
 		if e.Model == "" || e.Weights == 0 {
-			report("model, weights", "model or weights version is missing: set both")
+			report("model, weights", "an entry of kind weights needs both the model and the new version of its weights")
 		}
 	case KindRelease:
 		if e.BatchSize < 0 || e.MinUpRatio < 0 || e.MinUpRatio >= 1 {
@@ -47,7 +47,7 @@
 		report("kind", "unknown kind of calendar entry %q: use weights, release or handover", e.Kind)
 	}
 	if e.MaxFailureRatio < 0 || e.MaxFailureRatio > 1 {
-		report("stop_at", "failure ratio %g is out of range: use 0 to 1", e.MaxFailureRatio)
+		report("stop_at", "ratio of failed request attempts that pauses the entry, %g, is out of range: use 0 to 1", e.MaxFailureRatio)
 	}
 }
 
@@ -67,16 +67,16 @@
 	last := 0
 	for _, percent := range e.Percents {
 		if percent <= last || percent > allRequests {
-			report("shares", "percentages %v must rise from step to step and not exceed 100", e.Percents)
+			report("shares", "handover percentages %v must rise from step to step and not exceed 100", e.Percents)
 			break
 		}
 		last = percent
 	}
 	if len(e.Percents) > 0 && last != allRequests {
-		report("shares", "percentages %v must end with 100", e.Percents)
+		report("shares", "handover percentages %v must end with 100", e.Percents)
 	}
 	if e.SoakSeconds < 0 || e.SoakSeconds > maxSoakSeconds {
-		report("soak_s", "soak time of %d s is out of range: use 0 to 86400", e.SoakSeconds)
+		report("soak_s", "soak time of %d s after each handover step is out of range: use 0 to 86400", e.SoakSeconds)
 	}
 }
 
--- a/internal/control/placementcontroller/actions.go
+++ b/internal/control/placementcontroller/actions.go
@@ -47,8 +47,8 @@
 	return recorded, failures.Err()
 }
 
-// executeAction performs one action: it patches the service configuration, sends an order under the fencing
-// token, or requests a proof.
+// executeAction performs one action: it patches the service configuration, sends an order under the lease's
+// fencing token, or sends the node proof requests.
 func (b *actionBatch) executeAction(ctx context.Context, action retire.Action, token uint64) error {
 	switch {
 	case action.Patch != nil:
@@ -61,8 +61,8 @@
 	}
 }
 
-// recordFailure records a failed action. A failed proof is passed to the planner, which names it as the reason
-// of a blocker; any other failure is added to the errors of the step.
+// recordFailure records a failed action. A failed proof is passed to the planner, which states it as the
+// reason why the node blocks the retirement; any other failure is added to the errors of the step.
 func (b *actionBatch) recordFailure(action retire.Action, err error, failures *errs.Batch) {
 	if action.ProofSet != nil {
 		b.svc.retirementPlanner.RecordFailedProof(action.Node, err.Error())
--- a/internal/control/placementcontroller/compute.go
+++ b/internal/control/placementcontroller/compute.go
@@ -32,7 +32,7 @@
 type Inputs struct {
 	Service        string
 	Mode           placement.Mode
-	FetchTolerance float64  // α of the paper: the part of the saved prefill time that fetching may take
+	FetchTolerance float64  // ratio of the saved prefill time that fetching may take; α in the BAT paper
 	Workers        []string // sorted names of the service's workers
 	CapacityTokens int      // cache capacity of the smallest worker, in tokens
 	HotEntries     []*wire.HotPrefix
@@ -40,9 +40,8 @@
 	PrefillCurve   placement.Curve
 }
 
-// Compute makes a placement: the replication ratio by Algorithm 1 of the paper, and the set of the hottest
-// entries, with hysteresis for entries that are replicated in the old placement. old is nil if there is
-// none.
+// Compute makes a placement: the replication ratio by Algorithm 1 of the BAT paper, and the set of the hottest
+// entries, with hysteresis for entries that are replicated in the old placement. old is nil if there is none.
 //
 // Example: next := placementcontroller.Compute(inputs, old)
 func Compute(inputs Inputs, old *placement.Placement) *placement.Placement {
@@ -68,8 +67,8 @@
 	return next
 }
 
-// selectReplicated fills the replicated set, up to a capacity in tokens, with the hottest entries and with
-// entries of the old set that are still hot enough to be retained.
+// selectReplicated fills the replicated set of a placement, up to a capacity in tokens, with the hottest
+// entries and with entries of the old set that are still hot enough to be retained.
 func selectReplicated(next *placement.Placement, entries []placement.EntryFrequency, old *placement.Placement, capacity int) {
 	sorted, selected := placement.SelectReplicated(entries, next.RMax)
 	if selected == 0 {
@@ -94,8 +93,8 @@
 	}
 }
 
-// SwapInBurst replaces the coldest replicated entries by entries that have become hot since the last full
-// computation. It returns the new placement and whether the set changed.
+// SwapInBurst replaces the least frequently accessed replicated entries by entries that have become hot since
+// the last full computation of the placement. It returns the new placement and whether the set changed.
 //
 // Example: next, changed := placementcontroller.SwapInBurst(old, hot)
 func SwapInBurst(old *placement.Placement, hot []*wire.HotPrefix) (*placement.Placement, bool) {
--- a/internal/control/placementcontroller/compute_test.go
+++ b/internal/control/placementcontroller/compute_test.go
@@ -30,9 +30,10 @@
 	}
 }
 
-// The expected values are calculated by hand: 1000 shared tokens per request take 40 ms of prefill, the initial
-// bandwidth B is 50000 tokens per second, and R_max = α·t·B·(N−1)/(S·N) = 0.5·0.04·50000·3/(1000·4) = 0.75. The
-// scan selects entries until they cover 1 − 0.75 = 0.25 of all accesses, which the first one does alone. Slow links, a small cache, a single worker and no accesses are checked too.
+// The expected values of the placement are calculated by hand: 1000 shared tokens per request take 40 ms of
+// prefill, the initial bandwidth B is 50000 tokens per second, and R_max = α·t·B·(N−1)/(S·N) =
+// 0.5·0.04·50000·3/(1000·4) = 0.75. The scan selects entries until they cover 1 − 0.75 = 0.25 of all accesses,
+// which the first one does alone. Slow links, a small cache, a single worker and no accesses are checked too.
 func TestCompute(t *testing.T) {
 	next := Compute(testInputs(50, 30, 20), nil)
 	if next.RMax < 0.7499 || next.RMax > 0.7501 || len(next.Replicated) != 1 || next.Replicated[0] != "00" || next.MeanSharedTokens != 1000 {
--- a/internal/control/placementcontroller/proof.go
+++ b/internal/control/placementcontroller/proof.go
@@ -15,8 +15,8 @@
 	"pebbleloom/internal/settings"
 )
 
-// proofDomain is the cache domain of proof requests. It keeps their cache entries apart from those of all
-// other requests.
+// proofDomain is the cache domain of proof requests, the real requests by which a node shows that it answers
+// under the new weights. It keeps their cache entries apart from those of all other requests.
 const proofDomain = "retire"
 
 // proveNode sends a node one real request under the base model of a weight set and one under each adapter,
@@ -24,7 +24,7 @@
 // worker reports are not sufficient proof: it may answer under other weights.
 func (c *Controller) proveNode(ctx context.Context, retirement *retire.Retirement, action retire.Action, addr string) error {
 	wait := c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio)
-	noAdapter := retire.AdapterBuild{} // a request under the base model alone
+	noAdapter := retire.AdapterBuild{} // stands for the request under the base model alone
 	for i, adapter := range append([]retire.AdapterBuild{noAdapter}, action.ProofSet.Adapters...) {
 		request := contract.StartRequest{
 			RequestID:   fmt.Sprintf("retire/%s/%s/%x/%d", retirement.Name, action.Node, c.clock.Now(), i),
--- a/internal/control/placementcontroller/rollout.go
+++ b/internal/control/placementcontroller/rollout.go
@@ -29,9 +29,10 @@
 	AllAtOnce  bool          // put all workers into one batch, for comparison with rollouts in batches
 }
 
-// Step advances the rollout. It returns the workers to order now, and whether the batch has changed and must
-// be published in the placement. since returns how long ago a version of the weights was superseded; the time
-// that is left for the rollout counts from when the oldest weights in use were superseded.
+// Step advances the rollout. It returns the workers that are to be ordered now to load the weights, and
+// whether the batch has changed and must be published in the placement. since returns how long ago a version
+// of the weights was superseded; the time that is left for the rollout counts from when the oldest weights in
+// use were superseded.
 //
 // Example: order, changed := r.Step(workers, 4, since, now, bounds)
 func (r *Rollout) Step(workers []*wire.Worker, want uint64, since func(uint64) time.Duration, now time.Duration,
