--- a/internal/control/retire/catchup.go
+++ b/internal/control/retire/catchup.go
@@ -7,7 +7,7 @@
 	"pebbleloom/internal/contract"
 )
 
-// readiness is what a phase requires of a node. Each level includes the preceding ones.
+// readiness is what a phase of a retirement requires of a node. Each level includes the preceding ones.
 type readiness int
 
 const (
@@ -87,8 +87,9 @@
 	}
 }
 
-// requestProof adds a proof request to a node unless its current incarnation already has a proof for this
-// weight set from the given stage of the retirement (proofPass) or a later one.
+// requestProof adds the action of sending a node proof requests, one under the base model and one under each
+// adapter, unless its current incarnation already has a proof for this weight set from the given stage of the
+// retirement (proofPass) or a later one.
 func (e *evaluation) requestProof(node Node, set WeightSet, pass proofPass, busy *int) {
 	if proof, ok := e.retirement.Proofs[node.Name]; ok && proof.Incarnation == node.Incarnation && proof.Set == e.newFingerprint && proof.Pass >= pass {
 		return
--- a/internal/control/retire/fleet_test.go
+++ b/internal/control/retire/fleet_test.go
@@ -37,8 +37,8 @@
 
 const (
 	neverEnds        invariant = iota // rule: every retirement ends
-	earlyUnload                       // rule: the old base model is unloaded only after the barrier
-	falseBarrier                      // rule: the barrier is passed only when every node has answered the proof requests
+	earlyUnload                       // rule: the old base model is unloaded only after PhaseBarrier
+	falseBarrier                      // rule: PhaseBarrier ends only when every node has answered the proof requests
 	lostRequest                       // rule: a request gets at most one answer, and its model is not unloaded while it runs
 	delayedRequests                   // rule: a retirement leaves no more requests unanswered than a run without one
 	incompleteRevert                  // rule: an abort restores the routes and unloads the new base model
@@ -211,8 +211,8 @@
 	return true
 }
 
-// checkBarrier checks that every listed node has truly answered the proof requests, in the incarnation that
-// its recorded proof names.
+// checkBarrier checks at the end of PhaseBarrier that every listed node has truly answered the proof requests,
+// in the incarnation that its recorded proof names.
 func (f *testFleet) checkBarrier() {
 	set := NewWeightSet(f.decodedConfig(), "new", []string{"rare-2", "fare-2"})
 	for _, node := range f.nodes {
--- a/internal/control/retire/planner.go
+++ b/internal/control/retire/planner.go
@@ -74,7 +74,7 @@
 // neither.
 type Planner struct {
 	conditionSince map[string]time.Duration // time since which a condition that must last for some time has held, by condition
-	failedProofs   map[string]string        // why the last proof of a node failed, by node
+	failedProofs   map[string]string        // why a node last failed to answer its proof requests, by node name
 }
 
 // NewPlanner returns a planner without any state.
@@ -84,15 +84,16 @@
 	return &Planner{conditionSince: map[string]time.Duration{}, failedProofs: map[string]string{}}
 }
 
-// RecordFailedProof records why a node's proof failed, so that the blocker of that node can state it.
+// RecordFailedProof records why a node failed to answer its proof requests, so that the blocker of that node
+// can state it.
 //
 // Example: planner.RecordFailedProof("worker-3", err.Error())
 func (p *Planner) RecordFailedProof(node, reason string) { p.failedProofs[node] = reason }
 
-// Next computes one step of a retirement. It returns the document to be written next, the actions that
-// the document already stored allows, and whether the document has changed. Every action is idempotent: a
-// patch states the target values, an order names what must be loaded, and a proof is a plain request. A lease
-// holder may therefore crash between any two effects, and its successor can resume.
+// Next computes one step of a retirement. It returns the document to be written next, the actions that the
+// document already stored allows, and whether the document has changed. Every action is idempotent: a patch
+// states the target values, an order names what must be loaded, and a proof request is an ordinary client
+// request. A lease holder may therefore crash between any two effects, and its successor can resume.
 //
 // Example: next, actions, changed := planner.Next(retirement, observation)
 func (p *Planner) Next(old *Retirement, observed Observation) (next *Retirement, actions []Action, changed bool) {
--- a/internal/control/retire/planner_test.go
+++ b/internal/control/retire/planner_test.go
@@ -128,7 +128,7 @@
 }
 
 // Every node that blocks a retirement is listed with a remedy. A node that restarts no longer blocks. A node
-// that joins after the barrier with only the old weights must load the new ones before any node unloads the
+// that joins after PhaseBarrier with only the old weights must load the new ones before any node unloads the
 // old ones.
 func TestBlockersAreNamed(t *testing.T) {
 	fleet, planner := faultFreeFleet(t), NewPlanner()
@@ -153,7 +153,7 @@
 	for fleet.retirement.Phase != PhaseDrop && fleet.now < 2000 {
 		blockersAfter(fleet, planner, 1)
 	}
-	fleet.nodes[5].restart(true) // the node is replaced right after the barrier and has only the old weights
+	fleet.nodes[5].restart(true) // the node is replaced right after PhaseBarrier and has only the old weights
 	if blockers := blockersAfter(fleet, planner, 2); fleet.retirement.Phase != PhaseDrop || len(blockers) == 0 {
 		t.Fatalf("node w5 was replaced after the barrier: phase %s, blockers %+v, want phase drop and a blocker", fleet.retirement.Phase, blockers)
 	}
@@ -172,9 +172,9 @@
 	}
 }
 
-// If a higher ratio of request attempts fails than the retirement allows, it is aborted before the barrier
-// and paused after it. Without the platform's list of workers, or with an empty one, a step has no actions
-// and records one blocker.
+// If a higher ratio of request attempts fails than the retirement allows, it is aborted before the end of
+// PhaseBarrier and paused after it. Without the platform's list of workers, or with an empty one, a step has
+// no actions and records one blocker.
 func TestAutomaticAbort(t *testing.T) {
 	fleet, planner := faultFreeFleet(t), NewPlanner()
 	retirement := newPlan()
--- a/internal/control/retire/retirement.go
+++ b/internal/control/retire/retirement.go
@@ -33,13 +33,13 @@
 // Phase is the stage of a running or aborting retirement, as stored in its document.
 type Phase string
 
-// Phases of a running retirement, in order. From PhaseDrop on it cannot be aborted.
+// Phases of a running retirement, in order. From PhaseDrop on the retirement cannot be aborted.
 const (
 	PhaseLoadBase     Phase = "load-base"     // every node loads the new base model beside the old one; a node without enough memory blocks the retirement
 	PhaseLoadAdapters Phase = "load-adapters" // every node loads the replacement adapters on the new base model
 	PhaseProve        Phase = "prove"         // every node answers a real request under the new base model and each replacement
 	PhaseMove         Phase = "move"          // routes are moved to the new base model and the replacements, in steps
-	PhaseDrain        Phase = "drain"         // requests that still run on the old base model end
+	PhaseDrain        Phase = "drain"         // the retirement waits until no request runs on the old base model
 	PhaseBarrier      Phase = "barrier"       // every node answers the proof requests once more, after the drain
 	PhaseDrop         Phase = "drop"          // the old base model is unloaded, from a few nodes at a time
 	PhaseFinish       Phase = "finish"        // the service configuration names the new base model for the service
@@ -48,7 +48,7 @@
 // Phases of an aborting retirement, in order.
 const (
 	PhaseRevertRoutes Phase = "return" // routes are moved back to their previous targets
-	PhaseRevertDrain  Phase = "settle" // requests that still run on the new base model end
+	PhaseRevertDrain  Phase = "settle" // the abort waits until no request runs on the new base model
 	PhaseRevertUnload Phase = "clean"  // the new base model is unloaded from every node
 )
 
@@ -81,7 +81,7 @@
 	TrafficPercents   []int             `json:"shares,omitempty"`   // percentage of requests moved at each traffic step, rising to 100; empty means 10, 50, 100
 	SoakSeconds       int               `json:"soak_s,omitempty"`   // minimum duration of each traffic step, in seconds
 	MaxConcurrent     int               `json:"at_once,omitempty"`  // number of nodes that may load, prove or unload at the same time; 0 means 1
-	AbortFailureRatio float64           `json:"abort_at,omitempty"` // ratio of failed to all request attempts above which the retirement is aborted, or paused after the barrier; 0 means defaultAbortRatio
+	AbortFailureRatio float64           `json:"abort_at,omitempty"` // ratio of failed to all request attempts above which the retirement is aborted, or paused after PhaseBarrier; 0 means defaultAbortRatio
 
 	// Progress, as written by the lease holder.
 	State           State             `json:"state"`
@@ -114,7 +114,7 @@
 
 const (
 	passNone       proofPass = iota // the phase requires no proof
-	passBeforeMove                  // made before the barrier; required before any route is moved
+	passBeforeMove                  // made before PhaseBarrier; required before any route is moved
 	passBarrier                     // made in PhaseBarrier or later; required before the old base model is unloaded
 )
 
@@ -158,8 +158,8 @@
 // Example: if r.Active() { … }
 func (r *Retirement) Active() bool { return r.State != StateDone && r.State != StateAborted }
 
-// PastBarrier reports whether the retirement has passed the barrier, so that the old base model may already
-// be unloaded from some nodes.
+// PastBarrier reports whether the retirement has completed PhaseBarrier, so that the old base model may
+// already be unloaded from some nodes.
 //
 // Example: if r.PastBarrier() { … }
 func (r *Retirement) PastBarrier() bool {
--- a/internal/control/retire/retirement_test.go
+++ b/internal/control/retire/retirement_test.go
@@ -9,10 +9,11 @@
 	"pebbleloom/internal/errs"
 )
 
-// In every sequence of up to five steps, each a verb or passing the barrier, repeating a verb changes nothing, no retirement is aborted after
-// the barrier, and a retirement that is done, aborting or aborted keeps that state.
+// In every sequence of up to five steps, each a verb or the end of PhaseBarrier, repeating a verb changes
+// nothing, no retirement is aborted after the barrier, and a retirement that is done, aborting or aborted
+// keeps that state.
 func TestVerbsAreIdempotentInEverySequence(t *testing.T) {
-	const barrier = "barrier" // element of a sequence that is not a verb: the retirement passes its barrier
+	const barrier = "barrier" // element of a sequence that is not a verb: the retirement completes PhaseBarrier
 	verbs := []string{verbStart, verbPause, verbResume, verbAbort, barrier}
 	var sequences [][]string
 	var appendSequences func([]string)
--- a/internal/control/retire/simulation_test.go
+++ b/internal/control/retire/simulation_test.go
@@ -248,9 +248,9 @@
 
 // Simulates retirements of fleets with random faults: workers that crash, restart without weights, are
 // replaced, join late or report adapters that they did not load; late and lost messages; lease holders that
-// crash; two operators at once; aborts that race with the barrier. No invariant may be violated. Each fleet
-// is also simulated without a retirement: the retirement must not leave more requests unanswered, beyond 10
-// percent and 0.1 percent of all requests. For a wide search use
+// crash; two operators at once; aborts that race with the end of PhaseBarrier. No invariant may be violated.
+// Each fleet is also simulated without a retirement: the retirement must not leave more requests unanswered,
+// beyond 10 percent and 0.1 percent of all requests. For a wide search use
 // `RETIRE_SEEDS=5000 go test ./internal/control/retire -run TestSimulatedFleets`.
 func TestSimulatedFleets(t *testing.T) {
 	ends, unansweredWith, unansweredWithout, total := map[State]int{}, 0, 0, 0
--- a/internal/control/retire/validate.go
+++ b/internal/control/retire/validate.go
@@ -48,10 +48,10 @@
 		fault("soak_s", "soak time of %d s is out of range: use 0 to %d", r.SoakSeconds, maxSoakSeconds)
 	}
 	if r.MaxConcurrent < 0 {
-		fault("at_once", "%d nodes at once is out of range: use 1 or more, or omit the field", r.MaxConcurrent)
+		fault("at_once", "maximum of %d nodes that load or unload at the same time is out of range: use 1 or more, or omit the field", r.MaxConcurrent)
 	}
 	if r.AbortFailureRatio < 0 || r.AbortFailureRatio > 1 {
-		fault("abort_at", "failure ratio %g is out of range: use 0 to 1", r.AbortFailureRatio)
+		fault("abort_at", "ratio of failed request attempts that aborts the retirement, %g, is out of range: use 0 to 1", r.AbortFailureRatio)
 	}
 }
 
