--- a/internal/control/retire/fleet_test.go
+++ b/internal/control/retire/fleet_test.go
@@ -90,7 +90,7 @@
 	return report
 }
 
-// observe returns the node as a lease holder observes it.
+// observe returns the state of the node that a lease holder observes; an unreachable node reports nothing.
 func (n *testNode) observe() Node {
 	if !n.up {
 		return Node{Name: n.name}
@@ -155,7 +155,7 @@
 	}
 }
 
-// at schedules an event for a tick.
+// at schedules an event of the simulation for a tick.
 func (f *testFleet) at(tick int, event func()) { f.inbox[tick] = append(f.inbox[tick], event) }
 
 // deliver schedules the arrival of a message within maxDelay ticks. While faults are injected, the message
--- a/internal/control/retire/planner.go
+++ b/internal/control/retire/planner.go
@@ -43,7 +43,7 @@
 	Loaded      []contract.LoadedModel
 	Loading     string // model or adapter that the node is loading; empty if none
 	MemoryMB    int    // memory for weights, in MB; 0 if unknown
-	FreeMB      int    // unused part of MemoryMB
+	FreeMB      int    // free memory for weights, in MB; part of MemoryMB
 }
 
 // Observation is the input of Planner.Next. The service configuration must have been read from a majority
@@ -252,7 +252,8 @@
 	e.actions = append(e.actions, Action{Node: node.Name, Order: &order})
 }
 
-// enterPhase changes the retirement's state and phase, and resets what is tracked per phase.
+// enterPhase changes the retirement's state and phase, and resets what is tracked per phase: the configuration
+// change, the conditions that must last, and the failed proofs.
 func (e *evaluation) enterPhase(state State, phase Phase) {
 	e.retirement.ChangeStarted, e.retirement.ChangeAcked = false, false
 	e.retirement.transition(state, phase, "")
