--- a/internal/control/calendar/validate.go
+++ b/internal/control/calendar/validate.go
@@ -8,16 +8,17 @@
 	"pebbleloom/internal/errs"
 )
 
-// Limits of an entry's fields.
+// Limits of the fields of a calendar entry.
 const (
 	maxNameBytes   = 64
-	maxSoakSeconds = 86400 // one day, in seconds
+	maxSoakSeconds = 86400 // maximum of Entry.SoakSeconds: one day
 )
 
 // faultFunc reports a validation fault of a field, which is named by its JSON key.
 type faultFunc func(field, format string, args ...any)
 
-// Validate adds every fault of a new entry to a batch. All faults are of the kind errs.BadInput.
+// Validate adds every fault of a new calendar entry to a batch of errors. All faults are of the kind
+// errs.BadInput.
 //
 // Example: entry.Validate(&faults)
 func (e *Entry) Validate(faults *errs.Batch) {
@@ -34,7 +35,7 @@
 	switch e.Kind {
 	case KindWeights:
 		if e.Model == "" || e.Weights == 0 {
-			report("model, weights", "model or weights version is missing: set both")
+			report("model, weights", "an entry of kind weights needs both the model and the new version of its weights")
 		}
 	case KindRelease:
 		if e.BatchSize < 0 || e.MinUpRatio < 0 || e.MinUpRatio >= 1 {
@@ -46,7 +47,7 @@
 		report("kind", "unknown kind of calendar entry %q: use weights, release or handover", e.Kind)
 	}
 	if e.MaxFailureRatio < 0 || e.MaxFailureRatio > 1 {
-		report("stop_at", "failure ratio %g is out of range: use 0 to 1", e.MaxFailureRatio)
+		report("stop_at", "ratio of failed request attempts that pauses the entry, %g, is out of range: use 0 to 1", e.MaxFailureRatio)
 	}
 }
 
@@ -66,21 +67,21 @@
 	last := 0
 	for _, percent := range e.Percents {
 		if percent <= last || percent > allRequests {
-			report("shares", "percentages %v must rise from step to step and not exceed 100", e.Percents)
+			report("shares", "handover percentages %v must rise from step to step and not exceed 100", e.Percents)
 			break
 		}
 		last = percent
 	}
 	if len(e.Percents) > 0 && last != allRequests {
-		report("shares", "percentages %v must end with 100", e.Percents)
+		report("shares", "handover percentages %v must end with 100", e.Percents)
 	}
 	if e.SoakSeconds < 0 || e.SoakSeconds > maxSoakSeconds {
-		report("soak_s", "soak time of %d s is out of range: use 0 to 86400", e.SoakSeconds)
+		report("soak_s", "soak time of %d s after each handover step is out of range: use 0 to 86400", e.SoakSeconds)
 	}
 }
 
-// CheckConflicts returns an error of the kind errs.Conflict if another active entry changes the same service.
-// The error names both entries.
+// CheckConflicts returns an error of the kind errs.Conflict if another active calendar entry changes the same
+// service. The error names both entries.
 //
 // Example: if err := entry.CheckConflicts(others); err != nil { return err }
 func (e *Entry) CheckConflicts(others []*Entry) error {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// services returns the services that the entry changes.
+// services returns the names of the services that the calendar entry changes.
 func (e *Entry) services() []string {
 	if e.Kind == KindHandover {
 		return []string{e.Service, e.ToService}
