--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -1,8 +1,8 @@
-// Package clustermembership tracks which nodes of a site are running, by a gossip protocol. Each node
-// sends heartbeats to a few observers, which are its successors on a hash ring. Heartbeats and their
-// responses carry recent state changes, or the sender's full view if the views of the two nodes differ.
-// An observer that misses a node's heartbeats marks that node suspect and later dead. A node that is
-// alive refutes such a report with a higher heartbeat counter, a restarted one with a higher incarnation.
+// Package clustermembership tracks which nodes of a site are running, by a gossip protocol. Each node sends
+// heartbeats to a few observers, which are its successors on a hash ring. Heartbeats and their responses carry
+// recent state changes, or the sender's full view if the views of the two nodes differ. An observer that misses a
+// node's heartbeats marks that node suspect and later dead. A running node refutes a report that it is suspect or
+// dead with a higher heartbeat counter, or with a higher incarnation if it has restarted.
 //
 // Core is the protocol as a state machine without I/O; Member runs it over the network.
 package clustermembership
@@ -15,16 +15,16 @@
 	"pebbleloom/internal/wire"
 )
 
-// Node states, as sent on the wire. If two reports about a node have the same incarnation and heartbeat
-// counter, the report with the higher state wins.
+// Node states, as sent in heartbeats. If two reports about a node have the same incarnation and heartbeat counter,
+// the report with the higher state wins.
 const (
 	Alive uint32 = iota
 	Suspect
 	Dead // state of a node whose failure was detected, or that left gracefully
 )
 
-// Node roles. A node's name is its role, a slash and the name of its machine. Nodes of earlier releases
-// send and expect the same values, so they must not change.
+// Node roles, as sent in heartbeats. A node's name is its role, a slash and the name of its machine. Nodes of
+// earlier releases send and expect the same values, so they must not change.
 const (
 	RoleControlNode         = "archive"
 	RolePromptIndex         = "catalogue"
@@ -35,29 +35,31 @@
 // FormatVersion is the version of the heartbeat message format that this release sends and accepts.
 const FormatVersion = 1
 
-// maxNodes is the maximum number of other nodes in a view; reports about further nodes are ignored.
+// maxNodes is the maximum number of other nodes in one node's view. Reports about nodes beyond this number are
+// ignored.
 const maxNodes = 4096
 
-// joinTicks is the number of ticks after a start in which a node exchanges full views with its
-// observers. If the other nodes have not noticed a short downtime, they have no updates to send to it.
-// All of these ticks run within the first heartbeat period, so that nodes that start together discover
-// each other quickly.
+// joinTicks is the number of ticks after its start in which a node exchanges full views with its observers. This is
+// needed after a downtime too short for the other nodes to notice, because they then have no state changes to send
+// to the restarted node. All of these ticks run within the first heartbeat period, so that nodes that start together
+// discover each other quickly.
 const joinTicks = 8
 
-// reconnectIntervalTicks is the number of ticks between two heartbeats to a seed or a dead node.
+// reconnectIntervalTicks is the number of ticks from one heartbeat that a node sends to a seed or dead node to the
+// next.
 const reconnectIntervalTicks = 4
 
-// maxLeaveAnnouncements is the maximum number of nodes that a leaving node notifies itself; gossip
-// notifies the others.
+// maxLeaveAnnouncements is the maximum number of nodes that a leaving node notifies directly; the others learn of it
+// by gossip.
 const maxLeaveAnnouncements = 8
 
-// peer is what this node knows about another node.
+// peer is the information that one node holds about another.
 type peer struct {
 	node          *wire.Node
-	position      uint64        // position on the hash ring
-	changedAt     time.Duration // time of the last state change
-	lastContact   time.Duration // time of the last message from the node itself; advanced on every tick while this node does not observe it
-	transmitsLeft int           // number of further ticks whose heartbeats carry this state
+	position      uint64        // position of the peer on the hash ring
+	changedAt     time.Duration // time at which this node last changed the peer's state, incarnation or address
+	lastContact   time.Duration // time of the last message from the peer, or of the last gossiped change of its state to Alive; set to the current time on every tick while this node does not observe the peer
+	transmitsLeft int           // number of further ticks in which this node's heartbeats carry the peer's state
 }
 
 // Core is one node's view of all nodes of the site. It is not safe for concurrent use. All times that
@@ -66,17 +68,17 @@
 	bounds     settings.Bounds
 	self       *wire.Node
 	seeds      []string
-	peers      map[string]*peer // other nodes by name
+	peers      map[string]*peer // all nodes of the view except this one, by name
 	ticks      int
 	version    uint64
-	checksum   uint64 // checksum of the view, as of the last tick or merge
+	checksum   uint64 // checksum of this node's view, updated by every tick and merge
 	nameReused bool
-	startedAt  time.Duration            // time of the first tick
-	sendFull   map[string]bool          // addresses of nodes whose view differs: the next reconnect heartbeat to them carries the full view
-	divergedAt map[string]time.Duration // time from which a sender's view has differed from this one, by the sender's name
+	startedAt  time.Duration            // time of the first call of Tick
+	sendFull   map[string]bool          // addresses of nodes whose views differ from this one; the next reconnect heartbeat to each carries the full view
+	divergedAt map[string]time.Duration // time since which another node's view has differed from this one, by that node's name
 }
 
-// New returns a view that contains only the node itself. It joins the other nodes of its site by sending
+// New returns a Core whose view contains only the node itself. The Core joins the other nodes of its site by sending
 // heartbeats to the seeds, which are addresses of other nodes.
 //
 // Example: c := clustermembership.New(bounds, self, seeds)
@@ -92,12 +94,12 @@
 	}
 }
 
-// Replaced reports whether another machine has joined under this node's name. The node must then stop.
+// Replaced reports whether another machine has joined the site under this node's name. This node must then stop.
 //
 // Example: if c.Replaced() { stop() }
 func (c *Core) Replaced() bool { return c.nameReused }
 
-// Version returns the version of the view, a number that increases with every change of the view.
+// Version returns a number that increases with every change of the node's view.
 //
 // Example: if c.Version() != seen { … }
 func (c *Core) Version() uint64 { return c.version }
@@ -125,8 +127,8 @@
 	Heartbeat *wire.Heartbeat
 }
 
-// Tick must be called once per heartbeat period. It checks the observed nodes for failures and returns
-// the heartbeats to send.
+// Tick must be called once per heartbeat period. It checks the nodes that this node observes for failures and
+// returns the heartbeats to send.
 //
 // Example: for _, outgoing := range c.Tick(clock.Now()) { send(outgoing) }
 func (c *Core) Tick(now time.Duration) []OutgoingHeartbeat {
@@ -140,7 +142,7 @@
 
 	var heartbeats []OutgoingHeartbeat
 	for _, observer := range observers {
-		if observer.State != Dead { // detectFailures, which runs after the observers were selected, may have declared this one dead
+		if observer.State != Dead { // skips an observer that detectFailures has declared dead since the observers were selected
 			heartbeats = append(heartbeats, OutgoingHeartbeat{observer.Addr, c.newHeartbeat(c.ticks <= joinTicks)})
 		}
 	}
@@ -153,9 +155,9 @@
 	return heartbeats
 }
 
-// reconnectHeartbeats returns a heartbeat to a seed or a dead node every reconnectIntervalTicks, so that
-// the sides of a former partition find each other again. A node that knows no other running node sends
-// up to two such heartbeats on every tick.
+// reconnectHeartbeats returns one heartbeat to a seed or a dead node on every tick whose number is a multiple of
+// reconnectIntervalTicks, so that the sides of a former partition find each other again. If alone is true, because
+// this node knows no other running node, it returns up to two such heartbeats on every tick.
 func (c *Core) reconnectHeartbeats(alone bool) []OutgoingHeartbeat {
 	if !alone && c.ticks%reconnectIntervalTicks != 0 {
 		return nil
@@ -173,7 +175,7 @@
 	return heartbeats
 }
 
-// reconnectAddresses returns the addresses of the seeds, without this node itself, and of the dead nodes.
+// reconnectAddresses returns the addresses of the dead nodes and of the seeds, except this node's own address.
 func (c *Core) reconnectAddresses() []string {
 	var addresses []string
 	for _, seed := range c.seeds {
--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// notInView is the state under which simulatedSite.states counts views that do not contain the node.
+// notInView is the key under which simulatedSite.states counts the nodes whose views do not contain a given node.
 const notInView uint32 = 99
 
 // simulatedSite runs the cores of many nodes on virtual time. Heartbeats and responses are delivered
@@ -19,11 +19,11 @@
 	random      *rand.Rand
 	now         time.Duration
 	cores       map[string]*Core           // nodes by address
-	down        map[string]bool            // addresses of nodes that neither send nor receive
+	down        map[string]bool            // addresses of nodes that neither send nor receive messages
 	linkDown    func(from, to string) bool // reports whether messages from one address to another are lost
-	heartbeats  int                        // number of heartbeats sent
-	bytes       int                        // total size of the heartbeats and responses sent
-	numberLimit int                        // run ticks only nodes with a number below this limit
+	heartbeats  int                        // number of heartbeats that all nodes have sent
+	bytes       int                        // total size in bytes of all heartbeats and responses sent
+	numberLimit int                        // nodes with a number at or above this limit are not ticked by run
 }
 
 func newSite(n int, seed uint64) *simulatedSite {
@@ -48,21 +48,22 @@
 
 func seedAddrs() []string { return []string{addr(0), addr(1), addr(2)} }
 
-// add starts node i with an incarnation, in place of an earlier run of it.
+// add starts node i of the simulated site with an incarnation. If the node runs already, it is replaced by the new
+// run.
 func (s *simulatedSite) add(i int, incarnation uint64) {
 	self := &wire.Node{Name: nodeName(i), Incarnation: incarnation, Role: "x", Zone: fmt.Sprint(i % 4), Addr: addr(i)}
 	s.cores[addr(i)] = New(settings.DefaultBounds(), self, seedAddrs())
 	delete(s.down, addr(i))
 }
 
-// addReplacement starts another machine under the name of node i, at the address of number. Its clock
-// has restarted, so its incarnation is 0.
+// addReplacement starts another machine under the name of node i, at the address that belongs to the given node
+// number. The clock of that machine has restarted, so its incarnation is 0.
 func (s *simulatedSite) addReplacement(i, number int) {
 	self := &wire.Node{Name: nodeName(i), Incarnation: 0, Role: "x", Addr: addr(number)}
 	s.cores[addr(number)] = New(settings.DefaultBounds(), self, seedAddrs())
 }
 
-// run ticks all nodes once per heartbeat period until a duration of virtual time has passed.
+// run simulates a site for a duration of virtual time, ticking all nodes once per heartbeat period.
 func (s *simulatedSite) run(d time.Duration) {
 	period := settings.DefaultBounds().Leave(0.1)
 	for end := s.now + d; s.now < end; s.now += period {
@@ -72,7 +73,7 @@
 	}
 }
 
-// tick runs one heartbeat period of a node and delivers its heartbeats and their responses.
+// tick runs one heartbeat period of the node at address from, and delivers its heartbeats and their responses.
 func (s *simulatedSite) tick(from string) {
 	core := s.cores[from]
 	if core == nil || s.down[from] {
@@ -93,7 +94,7 @@
 	}
 }
 
-// states returns the number of running nodes that see a node in each state, by state.
+// states returns how many running nodes see the node with a name in each state.
 func (s *simulatedSite) states(name string) map[uint32]int {
 	counts := map[uint32]int{}
 	for address, core := range s.cores {
@@ -111,7 +112,7 @@
 	return counts
 }
 
-// requireNodeAt fails the test if a running node sees a node at another address than want, or not alive.
+// requireNodeAt fails the test unless every running node sees the node with a name alive at the address want.
 func (s *simulatedSite) requireNodeAt(t *testing.T, name, want string) {
 	t.Helper()
 	for address, core := range s.cores {
@@ -135,8 +136,8 @@
 	}
 }
 
-// A node that fails is dead in all views within the leave bound, and no running node is suspect or dead.
-// The number of heartbeats that a node sends does not grow with the size of the site.
+// A failed node is dead in all views within the time limit Bounds.LeaveMs, and no running node is suspect or dead in
+// any view. The number of heartbeats that a node sends does not grow with the size of the site.
 func TestDeadNodeIsDetectedWithinLeaveBound(t *testing.T) {
 	for _, n := range []int{13, 26, 104} {
 		s := newSite(n, 2)
@@ -145,7 +146,7 @@
 		s.down[addr(5)] = true
 		s.run(settings.DefaultBounds().Leave(1))
 		if got := s.states(nodeName(5)); got[Dead] != n-1 {
-			t.Errorf("site of %d nodes: counts of nodes by the state in which they see the failed node after the leave bound: %v, want %d dead (%d)", n, got, n-1, Dead)
+			t.Errorf("site of %d nodes: counts of nodes by the state in which they see the failed node after the time limit LeaveMs: %v, want %d dead (%d)", n, got, n-1, Dead)
 		}
 		for i := range n {
 			if got := s.states(nodeName(i)); i != 5 && got[Dead]+got[Suspect] > 0 {
@@ -158,8 +159,8 @@
 	}
 }
 
-// If messages are lost on one link in one direction, no node is declared dead: the node's other observers
-// still receive its heartbeats.
+// If messages are lost on one link between two nodes in one direction, no node is declared dead: the other observers
+// of the sending node still receive its heartbeats.
 func TestOneBrokenLinkCausesNoFalseDetection(t *testing.T) {
 	for from := range 13 {
 		for to := range 13 {
@@ -176,8 +177,8 @@
 	}
 }
 
-// A node that leaves gracefully is dead in all views within a few heartbeat periods, before any timeout
-// expires. Late reports that it is alive do not change that.
+// A node that leaves gracefully is dead in all views within a few heartbeat periods, before any timeout expires.
+// Late reports that the node is alive do not revive it in any view.
 func TestGracefulLeaveNeedsNoTimeout(t *testing.T) {
 	s := newSite(26, 6)
 	s.run(4 * time.Second)
@@ -191,11 +192,11 @@
 	}
 }
 
-// While a machine is suspended, another machine joins under its name at another address. When the first
-// one resumes, it must stop, and all nodes must keep seeing the new one.
+// While a machine is suspended, another machine joins under its name at another address. When the suspended machine
+// resumes, it must stop, and all nodes must keep seeing the replacement.
 func TestReplacedNodeStops(t *testing.T) {
 	site := newSite(13, 8)
-	site.run(2 * time.Second) // shorter than the age from which a node accepts its replacement; the following suspension must count towards that age
+	site.run(2 * time.Second) // shorter than the time that a node must have run to accept a replacement, so the test passes only if suspended time counts as well
 	site.down[addr(3)] = true
 	site.run(4 * time.Second)
 	site.addReplacement(3, 300)
@@ -204,17 +205,17 @@
 	for range 30 {
 		site.run(300 * time.Millisecond)
 		if site.cores[addr(3)].Replaced() {
-			site.down[addr(3)] = true // a replaced node sends no more heartbeats; see Member.tick
+			site.down[addr(3)] = true // a replaced node sends no more heartbeats, as in Member.tick
 		}
 	}
 	if !site.down[addr(3)] || site.cores[addr(300)].Replaced() {
-		t.Fatalf("suspended machine stopped after it resumed: %v, want true; machine that took its name is replaced: %v, want false", site.down[addr(3)], site.cores[addr(300)].Replaced())
+		t.Fatalf("Replaced after the suspended machine resumed: %v, want true; Replaced of the machine that took its name: %v, want false", site.down[addr(3)], site.cores[addr(300)].Replaced())
 	}
 	site.requireNodeAt(t, nodeName(3), addr(300))
 }
 
-// The two sides of a healed partition see each other again. A machine that restarts under its old name
-// without its state and at a new address is seen at the new address.
+// The two sides of a partition see each other again after it has healed. A machine that loses its state and restarts
+// under the same name at a new address is seen at the new address.
 func TestPartitionHealsAndNameMovesToNewAddress(t *testing.T) {
 	site := newSite(13, 4)
 	site.run(3 * time.Second)
@@ -245,9 +246,9 @@
 	site.requireNodeAt(t, nodeName(3), addr(300))
 }
 
-// A node that restarts before its failure is detected must still learn the full view, although the other
-// nodes have no updates for it and their heartbeats reach it before it has sent its first one. Two nodes
-// restart at once, while other nodes fail and return.
+// A node that restarts before its failure is detected must still learn the full view, although the other nodes have
+// no state changes to send to it and their heartbeats reach it before it has sent its first one. In this test two
+// nodes restart at once, while other nodes fail and return.
 func TestQuickRestartReceivesFullView(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newSite(26, seed)
@@ -259,7 +260,7 @@
 			s.add(i, uint64(100+i))
 			s.add(j, uint64(200+i))
 			s.deliverHeartbeatsTo(addr(i), addr(j))
-			s.down[addr((i+13)%26)] = s.random.IntN(2) == 0 // a third node may fail, so that updates are in flight
+			s.down[addr((i+13)%26)] = s.random.IntN(2) == 0 // a third node may fail, so that state changes are being gossiped during the restarts
 			s.run(3 * time.Second)
 			s.down[addr((i+13)%26)] = false
 			s.run(3 * time.Second)
@@ -272,8 +273,7 @@
 	}
 }
 
-// deliverHeartbeatsTo ticks all other nodes and delivers only their heartbeats to the nodes at two
-// addresses.
+// deliverHeartbeatsTo ticks all nodes except those at two addresses, and delivers only heartbeats to these two.
 func (s *simulatedSite) deliverHeartbeatsTo(first, second string) {
 	for address, core := range s.cores {
 		if address == first || address == second {
--- a/internal/control/clustermembership/failure.go
+++ b/internal/control/clustermembership/failure.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Failure detection timeouts. suspectRatio and deadRatio leave enough of the leave bound for gossip, so that
-// a failed node is dead in all views within the leave bound.
+// Timeouts of failure detection. suspectRatio and deadRatio add up to less than 1, so that enough of Bounds.LeaveMs
+// is left for gossip and a failed node is dead in all views within that time limit.
 const (
-	suspectRatio = 0.35 // time without a heartbeat after which a node is suspect, as a ratio of the leave bound
-	deadRatio    = 0.25 // time after which a suspect node is dead, as a ratio of the leave bound
-	reapRatio    = 10   // time after which a dead node is removed from the view, as a ratio of the heal bound
+	suspectRatio = 0.35 // fraction of Bounds.LeaveMs without a heartbeat after which an observer marks a node suspect
+	deadRatio    = 0.25 // fraction of Bounds.LeaveMs after which a suspect node is marked dead
+	reapRatio    = 10   // multiple of Bounds.HealMs after which a dead node is removed from the view
 )
 
-// detectFailures marks observed nodes suspect if their heartbeats are missing, marks suspect nodes dead
-// after a timeout, and removes nodes that have been dead for long. observed is the set of names of the
-// nodes that this one observes.
+// detectFailures marks observed nodes suspect if their heartbeats are missing, marks suspect nodes dead after a
+// timeout, and removes nodes that have been dead for longer than reapRatio allows. The set observed holds the names
+// of the nodes that this node observes.
 func (c *Core) detectFailures(observed map[string]bool, now time.Duration) {
 	for name, p := range c.peers {
 		switch state := p.node.State; {
 		case state == Alive && !observed[name]:
-			p.lastContact = now // the heartbeat timeout of an unobserved node starts when this node becomes its observer
+			p.lastContact = now // while this node does not observe the peer, the heartbeat timeout of the peer does not run
 		case state == Alive && now-p.lastContact > c.bounds.Leave(suspectRatio):
 			c.setState(p, Suspect, now)
 		case state == Suspect && now-p.changedAt > c.bounds.Leave(deadRatio):
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -13,17 +13,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// Heartbeat timing, as ratios of the leave bound (settings.Bounds.LeaveMs).
+// Timing of heartbeats, as fractions of the time limit settings.Bounds.LeaveMs.
 const (
-	heartbeatRatio        = 0.1 // time between two heartbeats of a node
-	heartbeatTimeoutRatio = 0.2 // timeout of one heartbeat request
+	heartbeatRatio        = 0.1 // heartbeat period of a node, as a fraction of Bounds.LeaveMs
+	heartbeatTimeoutRatio = 0.2 // timeout of one heartbeat request, as a fraction of Bounds.LeaveMs
 )
 
 // maxPendingCommands is the capacity of a member's command queue; ticks and responses are dropped while
 // it is full.
 const maxPendingCommands = 256
 
-// Member runs a Core over the network: it sends and receives heartbeats and publishes the view.
+// Member runs a Core over the network: it sends and receives heartbeats and publishes the node's view of the site.
 type Member struct {
 	actor    *queue.Actor[Core]
 	clock    clock.Clock
@@ -32,17 +32,17 @@
 	client   func(addr string) wire.Membership
 	view     atomic.Pointer[View]
 	onChange func(View)
-	left     bool // the node has left and sends no more heartbeats; accessed only by the actor
+	left     bool // whether the node has left and sends no more heartbeats; accessed only by the actor's goroutine
 }
 
 // View is a snapshot of the nodes that a member knows.
 type View struct {
-	Version uint64 // version number that increases with every change of the view
+	Version uint64 // number that increases with every change of the member's view
 	Nodes   []*wire.Node
 }
 
-// Addr returns the address of the node with a name. It reports false if that node is unknown or dead;
-// a suspect node still counts as running.
+// Addr returns the address of the node with a name. It returns false if that node is unknown or dead; a suspect node
+// still counts as running.
 //
 // Example: a, ok := v.Addr("core-1")
 func (v View) Addr(name string) (string, bool) {
@@ -54,7 +54,7 @@
 	return "", false
 }
 
-// WithRole returns the nodes with a role, except dead ones.
+// WithRole returns the nodes of the view that have a role and are not dead.
 //
 // Example: v.WithRole(clustermembership.RolePromptIndex)
 func (v View) WithRole(role string) []*wire.Node {
@@ -67,8 +67,8 @@
 	return nodes
 }
 
-// siteBounds returns the bounds of a process. If the site configures a heartbeat period that is too long
-// for the leave bound, the leave bound is extended in proportion.
+// siteBounds returns the time limits of a process's site. If the site configures a heartbeat period that is too long
+// for the limit LeaveMs, that limit is raised to the period divided by heartbeatRatio; the other limits stay.
 func siteBounds(p settings.Process) settings.Bounds {
 	if p.Site != nil {
 		p.Bounds.LeaveMs = max(p.Bounds.LeaveMs, int(float64(p.Site.HeartbeatMs)/heartbeatRatio))
@@ -78,16 +78,16 @@
 
 // Config holds the parameters of Start.
 type Config struct {
-	Process  settings.Process // settings with the node's name, addresses, seeds and bounds
+	Process  settings.Process // settings of the process, with the node's name, addresses, seeds and time limits
 	Role     string
 	Clock    clock.Clock // monotonic clock that keeps running while the machine is suspended
 	Log      hclog.Logger
-	Client   func(addr string) wire.Membership // returns a client for the member at an address
-	OnChange func(View)                        // called with every changed view; must not block; may be nil
+	Client   func(addr string) wire.Membership // function that returns a client for the member at an address
+	OnChange func(View)                        // function called with the new view after every change; must not block; may be nil
 }
 
-// Start makes this process a member of its site until ctx is done. The clock reading at the start is the
-// node's incarnation.
+// Start makes this process a member of its site until ctx is done. The node's incarnation is the clock reading at
+// the time of the call.
 //
 // Example: m := clustermembership.Start(ctx, clustermembership.Config{Process: process.Settings, Role: clustermembership.RoleNodeAgent, Clock: clk, Log: log, Client: clients.Membership})
 func Start(ctx context.Context, config Config) *Member {
@@ -119,7 +119,8 @@
 // Example: m.SetSeeds(config.Seeds)
 func (m *Member) SetSeeds(seeds []string) { m.actor.TrySend(func(c *Core) { c.SetSeeds(seeds) }) }
 
-// publish makes the current view available to View and calls onChange, if the view has changed.
+// publish makes the core's view available through Member.View and passes it to onChange, if the view has changed
+// since it was last published.
 func (m *Member) publish(c *Core) {
 	if v := m.view.Load(); v != nil && v.Version == c.Version() {
 		return
@@ -131,7 +132,7 @@
 	}
 }
 
-// View returns the view that was published last.
+// View returns the member's view of the site as last published.
 //
 // Example: m.View().WithRole(clustermembership.RoleControlNode)
 func (m *Member) View() View { return *m.view.Load() }
@@ -148,8 +149,8 @@
 	})
 }
 
-// run ticks the core once per heartbeat period until ctx is done. The first joinTicks ticks are all run
-// within one period.
+// run ticks the core once per heartbeat period until ctx is done. The first joinTicks ticks all run within one
+// period.
 func (m *Member) run(ctx context.Context) {
 	period := m.bounds.Leave(heartbeatRatio)
 	next := time.NewTimer(0)
@@ -170,8 +171,8 @@
 	}
 }
 
-// tick sends the heartbeats of one period. It sends none if another machine has joined under this node's
-// name.
+// tick sends the heartbeats of one heartbeat period. It sends none if the node has left, or if another machine has
+// joined under the node's name.
 func (m *Member) tick(ctx context.Context, c *Core) {
 	if m.left {
 		return
@@ -192,7 +193,7 @@
 	defer cancel()
 	response, err := m.client(outgoing.Address).Exchange(ctx, outgoing.Heartbeat)
 	if err != nil {
-		return // no retry: if the receiver has failed, its observers detect that by their timeouts
+		return // a failed heartbeat is not retried: if the receiver is down, its own observers detect that by a timeout
 	}
 	m.actor.TrySend(func(c *Core) {
 		c.HandleResponse(outgoing.Address, response, m.clock.Now())
@@ -209,7 +210,7 @@
 		response = c.HandleHeartbeat(heartbeat, m.clock.Now())
 		m.publish(c)
 	})
-	if response == nil { // the actor has stopped, so the command did not run
+	if response == nil { // the actor has stopped, so HandleHeartbeat did not run
 		response = &wire.Heartbeat{Format: FormatVersion}
 	}
 	return response, nil
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -15,23 +15,23 @@
 	"pebbleloom/internal/wire"
 )
 
-// A configured heartbeat period that is longer than the default extends the leave bound; a shorter one
-// does not reduce it.
+// A heartbeat period in the site settings that is longer than the default raises the time limit LeaveMs for
+// detecting a failed node; a shorter one does not reduce it. The time limit HealMs stays the same.
 func TestSiteHeartbeatStretchesLeaveBound(t *testing.T) {
 	process := settings.Process{Bounds: settings.DefaultBounds()}
 	if b := siteBounds(process); b != settings.DefaultBounds() {
-		t.Errorf("bounds of a process without site settings: %+v, want the default %+v", b, settings.DefaultBounds())
+		t.Errorf("siteBounds of a process without site settings: %+v, want the defaults %+v", b, settings.DefaultBounds())
 	}
 	for ms, want := range map[int]time.Duration{100: 300 * time.Millisecond, 1200: 1200 * time.Millisecond} {
 		process.Site = &settings.Site{HeartbeatMs: ms}
 		if b := siteBounds(process); b.Leave(heartbeatRatio) != want || b.Heal(1) != settings.DefaultBounds().Heal(1) {
-			t.Errorf("heartbeat period configured as %d ms: got a period of %v, want %v; got a heal bound of %v, want %v",
+			t.Errorf("siteBounds with a heartbeat period of %d ms in the settings: got a period of %v, want %v; got a time limit HealMs of %v, want %v",
 				ms, b.Leave(heartbeatRatio), want, b.Heal(1), settings.DefaultBounds().Heal(1))
 		}
 	}
 }
 
-// memberNetwork delivers calls between members of one process, by address.
+// memberNetwork connects the members of one test process: it delivers heartbeats to them by their addresses.
 type memberNetwork struct {
 	mu      sync.Mutex
 	members map[string]*Member
@@ -60,7 +60,7 @@
 	return nil, ctx.Err()
 }
 
-// Nodes that all start within the first quarter of a heartbeat period know each other by the end of it.
+// Nodes that all start within the first quarter of one heartbeat period know each other by the end of that period.
 func TestNodesStartedTogetherDiscoverEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -80,7 +80,7 @@
 		<-time.NewTimer(period * 3 / 4).C
 		for i, member := range members {
 			if known := len(member.View().WithRole(RoleNodeAgent)); known != nodes {
-				t.Errorf("node %d knows %d nodes one heartbeat period after the first start, want %d", i, known, nodes)
+				t.Errorf("node %d sees %d running nodes one heartbeat period after the first node started, want %d", i, known, nodes)
 			}
 		}
 	})
--- a/internal/control/clustermembership/merge.go
+++ b/internal/control/clustermembership/merge.go
@@ -7,17 +7,17 @@
 	"pebbleloom/internal/wire"
 )
 
-// replacementAgeRatio is how long a node must have run, as a ratio of the leave bound and including
-// time in which the machine was suspended, before it takes a newer incarnation of its name at another
-// address for its replacement. In a younger node, that incarnation may be a stale report of its own
+// replacementAgeRatio is the multiple of Bounds.LeaveMs for which a node must have run, including time in which its
+// machine was suspended, before it accepts that a newer incarnation of its name at another address is its
+// replacement. For a node that has run for less time, that incarnation may be a stale report of the node's own
 // previous run.
 const replacementAgeRatio = 2
 
-// A state change is sent in the heartbeats of a number of ticks that grows with the logarithm of the
-// number of nodes, so that gossip reaches all of them.
+// Parameters of gossip. A state change is sent in the heartbeats of a number of ticks that grows with the logarithm
+// of the number of nodes, so that it reaches all of them.
 const (
 	minRetransmits         = 3
-	retransmitsPerDoubling = 2 // additional ticks per doubling of the number of nodes
+	retransmitsPerDoubling = 2 // additional ticks in which a state change is sent, for each doubling of the number of nodes
 )
 
 // retransmitLimit returns the number of ticks whose heartbeats carry a state change.
@@ -29,7 +29,7 @@
 	return limit
 }
 
-// isNewer reports whether a supersedes b; both are reports about the same node.
+// isNewer reports whether report a about a node supersedes report b about the same node.
 func isNewer(a, b *wire.Node) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -45,8 +45,8 @@
 		Addr: n.Addr, State: n.State, Heartbeat: n.Heartbeat, Operator: n.Operator}
 }
 
-// merge merges a report about a node into the view. direct says whether the report came from the node
-// itself or by gossip.
+// merge merges a report about a node into this node's view. direct is true if the report came from the reported node
+// itself, and false if it came by gossip.
 func (c *Core) merge(report *wire.Node, now time.Duration, direct bool) {
 	switch {
 	case report == nil || report.Name == "":
@@ -59,16 +59,16 @@
 	}
 }
 
-// mergeSelf handles a report about this node. If the report says that the node is suspect or dead, the
-// node refutes it with a higher heartbeat counter. If the report has a higher incarnation, from an earlier
-// run, the node takes a still higher one, unless another machine has joined under its name.
+// mergeSelf handles a report about this node. If the report says that the node is suspect or dead, the node refutes
+// it with a higher heartbeat counter. If the report has a higher incarnation, the node assumes that it is from its
+// own earlier run and takes a still higher one, unless another machine has joined under its name.
 func (c *Core) mergeSelf(report *wire.Node, now time.Duration) {
 	switch {
 	case report.State != Alive && report.Incarnation == c.self.Incarnation && report.Heartbeat >= c.self.Heartbeat:
 		c.self.Heartbeat = report.Heartbeat + 1
 	case report.Incarnation > c.self.Incarnation:
 		if report.Addr != c.self.Addr && report.State == Alive && c.ticks > 0 && now-c.startedAt > c.bounds.Leave(replacementAgeRatio) {
-			c.nameReused = true // another machine joined under this name, while this one was suspended
+			c.nameReused = true // another machine has joined under this node's name, for example while this machine was suspended
 			return
 		}
 		c.self.Incarnation = report.Incarnation + 1
@@ -89,7 +89,7 @@
 	c.version++
 }
 
-// mergePeer merges a report about a node that is in the view already.
+// mergePeer merges a report about a node that this node's view already contains.
 func (c *Core) mergePeer(existing *peer, report *wire.Node, now time.Duration, direct bool) {
 	known := existing.node
 	if direct && report.Incarnation >= known.Incarnation {
@@ -97,7 +97,7 @@
 	}
 	if !isNewer(report, known) {
 		if report.State != Alive && known.State == Alive && known.Heartbeat > report.Heartbeat && report.Incarnation == known.Incarnation {
-			existing.transmitsLeft = c.retransmitLimit() // this view has a later heartbeat of the node: gossip it to refute the report
+			existing.transmitsLeft = c.retransmitLimit() // the view has a later heartbeat of the reported node, which is gossiped again to refute the report
 		}
 		return
 	}
--- a/internal/control/clustermembership/ring.go
+++ b/internal/control/clustermembership/ring.go
@@ -29,8 +29,8 @@
 	return ring
 }
 
-// neighbors returns the nodes that observe this one, nearest first, and the set of names of the nodes
-// that it observes.
+// neighbors returns the nodes that observe this node, nearest on the ring first, and the set of names of the nodes
+// that this node observes.
 func (c *Core) neighbors() (observers []*wire.Node, observed map[string]bool) {
 	ring := c.ring()
 	self := slices.IndexFunc(ring, func(r ringNode) bool { return r.node == c.self })
@@ -42,9 +42,8 @@
 	return observers, observed
 }
 
-// observerOffsets returns the distances on a ring of n nodes from a node to its observers: the next node
-// and two farther ones, at the cube root of n and the square of that, so that gossip crosses a large ring
-// in a few heartbeats.
+// observerOffsets returns the distances on a ring of n nodes from a node to its observers. They are 1, about the
+// cube root of n, and about the square of that root, so that gossip crosses a large ring in a few heartbeats.
 func observerOffsets(n int) []int {
 	if n < 2 {
 		return nil
@@ -62,8 +61,8 @@
 	return offsets
 }
 
-// computeChecksum returns a checksum of the names, incarnations and states of all nodes that are not dead.
-// It does not depend on the order of iteration over them.
+// computeChecksum returns a checksum of the names, incarnations and states of all nodes in the view that are not
+// dead. The checksum does not depend on the order of the nodes.
 func (c *Core) computeChecksum() uint64 {
 	const incarnationFactor = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio; spreads small incarnations over all bits
 	sum := uint64(0)
@@ -72,7 +71,7 @@
 	}
 	add(c.self, rendezvous.Hash(c.self.Name))
 	for _, p := range c.peers {
-		if p.node.State != Dead { // dead nodes are removed from different views at different times
+		if p.node.State != Dead { // dead nodes are left out of the checksum because nodes remove them from their views at different times
 			add(p.node, p.position)
 		}
 	}
--- a/internal/control/clustermembership/traffic_test.go
+++ b/internal/control/clustermembership/traffic_test.go
@@ -10,19 +10,19 @@
 	"pebbleloom/internal/settings"
 )
 
-// The heartbeats per second and node do not grow with the number of nodes, and the size of a heartbeat
-// depends on the number of recent state changes only. Measured with 26 and 104 nodes (and with 416 if
-// GROWTH is set), at rest and while ten nodes fail.
+// The number of heartbeats per second that a node causes does not grow with the number of nodes, and the size of a
+// heartbeat depends only on the number of recent state changes. The test measures sites of 26 and 104 nodes (and of
+// 416 if the environment variable GROWTH is set), at rest and while ten nodes fail.
 func TestTrafficPerNodeStaysBounded(t *testing.T) {
 	period := settings.DefaultBounds().Leave(0.1)
 	sizes := []int{26, 104}
-	if os.Getenv("GROWTH") != "" { // not by default, because it is slow under the race detector
+	if os.Getenv("GROWTH") != "" { // 416 nodes are simulated only on request, because that is slow under the race detector
 		sizes = append(sizes, 416)
 	}
 	for _, n := range sizes {
 		s := newSite(n, 9)
 		s.numberLimit = n
-		s.run(14 * time.Second) // until all nodes have joined and no updates are in flight
+		s.run(14 * time.Second) // enough time for all nodes to join and for gossip to come to rest
 		restHeartbeats, restBytes := s.measureTraffic(n, 4*time.Second)
 		for i := range 10 {
 			s.down[addr(3+i)] = true
