--- a/internal/control/storage/directory.go
+++ b/internal/control/storage/directory.go
@@ -9,8 +9,8 @@
 
 type directory struct{ path string }
 
-// Directory returns a Disk that stores its files in a directory of the file system. The directory is created by
-// the first write.
+// Directory returns a Disk that stores its files in a directory of the file system. The first write creates the
+// directory.
 //
 // Example: disk := storage.Directory("/var/lib/pebbleloom/part-0")
 func Directory(path string) Disk { return directory{path} }
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	// The directory entries of the file and of the directory itself must survive a crash, too.
+	// A newly created file or directory survives a crash only if the directory that contains its entry is synced.
 	for _, path := range []string{d.path, filepath.Dir(d.path)} {
 		if err := syncDirectory(path); err != nil {
 			return err
@@ -74,7 +74,7 @@
 	return err
 }
 
-// syncDirectory syncs the entries of a directory.
+// syncDirectory syncs a directory, so that its entries survive a crash.
 func syncDirectory(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
--- a/internal/control/storage/disk_test.go
+++ b/internal/control/storage/disk_test.go
@@ -11,7 +11,7 @@
 // noLimit is the write budget of a memoryDisk that never loses power.
 const noLimit = -1
 
-// createStore opens an empty disk and saves the first snapshot. It returns nil if that fails.
+// createStore opens an empty disk and saves a first snapshot on it. It returns nil if that fails.
 func createStore(disk Disk) *Store {
 	store, _, err := Open(disk)
 	if err != nil || store.SaveSnapshot(&wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: "a"}}, nil) != nil {
@@ -22,8 +22,8 @@
 
 var errPowerLost = errors.New("power lost")
 
-// memoryDisk is a Disk in memory. It simulates a power loss after writeBudget further bytes have been written: the
-// write that exceeds the budget is torn.
+// memoryDisk is a Disk in memory. It simulates a power loss after writeBudget further bytes have been written: of
+// the write that exceeds the budget, only the bytes within the budget are stored.
 type memoryDisk struct {
 	files       map[string][]byte
 	writeBudget int
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// clone returns a copy of the disk that never loses power.
+// clone returns a copy of a memoryDisk. The copy never loses power.
 func (d *memoryDisk) clone() *memoryDisk {
 	copied := newMemoryDisk(noLimit)
 	for name, content := range d.files {
@@ -75,8 +75,8 @@
 	return copied
 }
 
-// forEachFlippedBit calls check once for each byte i of each file, with a copy of the disk in which one bit of that
-// byte is flipped.
+// forEachFlippedBit calls check once for each byte of each file on a disk. It passes the name of the file, the
+// offset i of the byte and a copy of the disk in which one bit of that byte is flipped.
 func (d *memoryDisk) forEachFlippedBit(check func(name string, i int, disk *memoryDisk)) {
 	for name, content := range d.files {
 		for i := range content {
--- a/internal/control/storage/faults.go
+++ b/internal/control/storage/faults.go
@@ -59,7 +59,7 @@
 	return d.Disk.Append(name, content)
 }
 
-// injectFault stalls the caller or returns an error, as the fault file describes.
+// injectFault stalls the caller or returns an error, as the content of the fault file says.
 func (d faultyDisk) injectFault() error {
 	description, err := os.ReadFile(d.faultFile)
 	if err != nil {
--- a/internal/control/storage/format.go
+++ b/internal/control/storage/format.go
@@ -23,7 +23,8 @@
 	snapshotHeaderBytes   = 12
 	snapshotChecksumBytes = 4
 
-	// maxRecordBytes is the maximum size of a record's body. A larger size field is treated as corruption.
+	// maxRecordBytes is the maximum size in bytes of a log record's body. A size field with a larger value is
+	// treated as corruption.
 	maxRecordBytes = 16 << 20
 )
 
@@ -33,11 +34,11 @@
 
 // logHeader is the decoded header of a log file.
 type logHeader struct {
-	generation     uint64 // generation of the snapshot that the log's records follow
-	initialRecords int    // number of records that were written together with the header
+	generation     uint64 // generation of the snapshot after which the log's records were appended
+	initialRecords int    // number of records that were written to the log file together with its header
 }
 
-// encodeSnapshot returns the content of a snapshot file. It allocates the buffer at its final size, because a
+// encodeSnapshot returns the content of the file of a snapshot. It allocates the buffer at its final size, because a
 // snapshot may be large.
 func encodeSnapshot(snapshot *wire.Snapshot, generation uint64) ([]byte, error) {
 	content := make([]byte, snapshotHeaderBytes, snapshotHeaderBytes+proto.Size(snapshot)+snapshotChecksumBytes)
@@ -50,8 +51,8 @@
 	return binary.LittleEndian.AppendUint32(content, checksum(content)), nil
 }
 
-// decodeSnapshot returns the snapshot in the content of a file and its generation, or nil and 0 if the content is
-// incomplete or corrupted.
+// decodeSnapshot returns the snapshot in the content of a snapshot file and its generation, or nil and 0 if the
+// content is incomplete or corrupted.
 func decodeSnapshot(content []byte) (*wire.Snapshot, uint64) {
 	if len(content) < snapshotHeaderBytes+snapshotChecksumBytes || binary.LittleEndian.Uint32(content) != formatMagic {
 		return nil, 0
@@ -88,7 +89,7 @@
 	}, true
 }
 
-// encodeRecords returns records in the encoding of the log file.
+// encodeRecords returns records in the encoding that log files use.
 func encodeRecords(records []*wire.Record) []byte {
 	var content []byte
 	for _, record := range records {
@@ -105,8 +106,8 @@
 	return content
 }
 
-// decodeRecord returns the record at the start of content and its encoded size, or nil and 0 if the record is
-// incomplete or corrupted.
+// decodeRecord returns the log record at the start of content and its encoded size in bytes, or nil and 0 if the
+// record is incomplete or corrupted.
 func decodeRecord(content []byte) (record *wire.Record, size int) {
 	if len(content) < recordHeaderBytes || checksum(content[:4]) != binary.LittleEndian.Uint32(content[4:]) {
 		return nil, 0
@@ -122,15 +123,16 @@
 	return record, end
 }
 
-// logScan is the result of decoding the records of a log.
+// logScan is the result of decoding the records of a log file.
 type logScan struct {
 	records   []*wire.Record
-	end       int  // offset after the last decoded record
-	corrupted bool // a record that cannot be decoded is followed by complete records
+	end       int  // offset of the first byte after the last decoded record
+	corrupted bool // whether complete records follow a record that cannot be decoded
 }
 
-// scanLog decodes the records of a log up to the first one that cannot be decoded. An interrupted append leaves an
-// incomplete record at the end of the log; if complete records follow it, the log is corrupted.
+// scanLog decodes the records of a log up to the first record that cannot be decoded. An interrupted append leaves
+// an incomplete record at the end of the log; if complete records follow the one that cannot be decoded, the log is
+// corrupted.
 func scanLog(content []byte) logScan {
 	var scan logScan
 	for scan.end < len(content) {
--- a/internal/control/storage/fuzz_test.go
+++ b/internal/control/storage/fuzz_test.go
@@ -15,7 +15,7 @@
 			}
 		}
 		if store, _, err := Open(disk); err == nil && store == nil {
-			t.Fatal("Open returned neither a store nor an error")
+			t.Fatal("Open of a disk with arbitrary files returned neither a store nor an error")
 		}
 	})
 }
--- a/internal/control/storage/large_snapshot_test.go
+++ b/internal/control/storage/large_snapshot_test.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	largeBodyBytes = 200 << 10 // size of a record's body and of a snapshot's state
+	largeBodyBytes = 200 << 10 // size in bytes of each record's body and of each snapshot's state
 	largeRecords   = 5         // number of records that runLargeWorkload appends
 )
 
-// runLargeWorkload appends largeRecords records with a large body and saves a large snapshot after every second one.
-// It returns the index of the last record that was acknowledged before the disk lost power.
+// runLargeWorkload appends largeRecords records with a large body to a disk and saves a large snapshot after every
+// second one. It returns the index of the last record that was acknowledged before the disk lost power.
 func runLargeWorkload(disk Disk, body []byte) (acknowledged int) {
 	store := createStore(disk)
 	if store == nil {
@@ -37,7 +37,7 @@
 // A disk loses power while snapshots and records of 200 KiB are written: near the start and end of each write, and at
 // random points in between. Every acknowledged record must be recovered, with the saved state intact.
 func TestPowerLossDuringLargeSnapshots(t *testing.T) {
-	const largeBudget = 1 << 30 // write budget that exceeds what the workload writes
+	const largeBudget = 1 << 30 // write budget in bytes that the workload never uses up, so that the disk does not lose power
 	random := rand.New(rand.NewPCG(1, 7))
 	body := make([]byte, largeBodyBytes)
 	for i := range body {
@@ -45,7 +45,7 @@
 	}
 	complete := newMemoryDisk(largeBudget)
 	if runLargeWorkload(complete, body) != largeRecords {
-		t.Fatal("workload did not complete on a disk without power loss")
+		t.Fatal("runLargeWorkload did not acknowledge all records on a disk that never loses power")
 	}
 	total := largeBudget - complete.writeBudget
 	var lossPoints []int                                     // numbers of written bytes after which the power is lost
@@ -72,5 +72,5 @@
 			t.Fatalf("power loss at %d written bytes: the state of the recovered snapshot differs from the saved state", written)
 		}
 	}
-	t.Logf("simulated %d power losses within %d written bytes", len(lossPoints), total)
+	t.Logf("simulated %d power losses during a workload that writes %d bytes", len(lossPoints), total)
 }
--- a/internal/control/storage/open.go
+++ b/internal/control/storage/open.go
@@ -8,29 +8,31 @@
 	"pebbleloom/internal/wire"
 )
 
-// slotCount is the number of slots of a shard.
+// slotCount is the number of slots of a shard. Each slot holds a snapshot file and the log file of the records after
+// it.
 const slotCount = 2
 
-// Recovered is the content of a disk when it was opened.
+// Recovered is the state that Open read from a disk.
 type Recovered struct {
-	Snapshot  *wire.Snapshot // newest snapshot; nil on an empty disk
-	Records   []*wire.Record // records of the log in the order in which they were appended
-	TornBytes int            // size of an incomplete append that was truncated
+	Snapshot  *wire.Snapshot // newest snapshot on the disk; nil if the disk is empty
+	Records   []*wire.Record // records appended after the snapshot, oldest first
+	TornBytes int            // size in bytes of an incomplete append that Open removed from the end of the log
 }
 
-// slot is the decoded content of the files of one slot.
+// slot is the decoded content of a slot's snapshot file and log file.
 type slot struct {
 	number      uint64
-	hasSnapshot bool           // the snapshot file exists
+	hasSnapshot bool           // whether the snapshot file exists
 	snapshot    *wire.Snapshot // decoded snapshot; nil if the snapshot file cannot be decoded
-	generation  uint64         // generation of the snapshot
-	hasLog      bool           // the log file exists
-	log         []byte         // encoded records of the log; nil if its header cannot be decoded
-	logHeader   logHeader      // decoded header of the log; zero if it cannot be decoded
+	generation  uint64         // generation of the decoded snapshot; 0 if the snapshot file cannot be decoded
+	hasLog      bool           // whether the log file exists
+	log         []byte         // encoded records of the log file; nil if the header of the file cannot be decoded
+	logHeader   logHeader      // decoded header of the log file; zero if the header cannot be decoded
 }
 
-// ErrCorrupted is wrapped by the error that Open returns if a disk does not hold what was acknowledged. The member
-// that the disk belongs to must not continue under its identity, because it may have lost acknowledged state; see Replace.
+// ErrCorrupted is wrapped by the error that Open returns if a disk does not hold all acknowledged state. The replica
+// that the disk belongs to must not continue under its identity, because it may have lost acknowledged state; see
+// Replace.
 var ErrCorrupted = errors.New("corrupted")
 
 // corruptionError returns an error of kind errs.DiskFailure that wraps ErrCorrupted.
@@ -39,7 +41,7 @@
 }
 
 // Open recovers the state that a disk holds. On an empty disk Recovered.Snapshot is nil. Its errors are of kind
-// errs.DiskFailure; if the disk can be read but does not hold what was acknowledged, the error wraps ErrCorrupted.
+// errs.DiskFailure; if the disk can be read but does not hold all acknowledged state, the error wraps ErrCorrupted.
 //
 // Example: store, recovered, err := storage.Open(storage.Directory("/var/lib/pebbleloom/part-0"))
 func Open(disk Disk) (*Store, Recovered, error) {
@@ -53,7 +55,7 @@
 		if isEmpty(slots) {
 			return store, Recovered{}, nil
 		}
-		return nil, Recovered{}, corruptionError("the disk has state, but no snapshot that can be decoded")
+		return nil, Recovered{}, corruptionError("the disk has snapshot or log files, but no snapshot that can be decoded")
 	}
 	if err := checkSuperseded(current, slots[1-current.number]); err != nil {
 		return nil, Recovered{}, err
@@ -66,13 +68,13 @@
 	store.logBytes = logHeaderBytes + len(current.log) - recovered.TornBytes
 	if recovered.TornBytes > 0 {
 		if err := disk.Truncate(logName(slotOf(store.generation)), store.logBytes); err != nil {
-			return nil, Recovered{}, errs.WrapAs(err, errs.DiskFailure, "truncate torn append at the end of the log")
+			return nil, Recovered{}, errs.WrapAs(err, errs.DiskFailure, "truncate log file to remove an incomplete append at its end")
 		}
 	}
 	return store, recovered, nil
 }
 
-// readSlots reads and decodes the files of all slots.
+// readSlots reads and decodes the snapshot and log files of all slots of a disk.
 func readSlots(disk Disk) (slots [slotCount]*slot, err error) {
 	var failures errs.Batch
 	for number := range slots {
@@ -103,8 +105,9 @@
 	return newest
 }
 
-// isEmpty reports whether a disk without a snapshot that can be decoded has never held acknowledged state: it has no
-// files, or only those of an interrupted save of the first snapshot, which has generation 1 and goes to slot 1.
+// isEmpty reports whether a disk without a decodable snapshot has never held acknowledged state. That is so if the
+// disk has no files, or only those of an interrupted save of the first snapshot, which has generation 1 and goes to
+// slot 1.
 func isEmpty(slots [slotCount]*slot) bool {
 	unused, first := slots[0], slots[1]
 	if unused.hasSnapshot || unused.hasLog {
@@ -116,12 +119,12 @@
 	return !first.hasSnapshot && first.log == nil
 }
 
-// checkSuperseded returns an error if the other slot once held a complete snapshot that is newer than the current one
-// but cannot be decoded any more. That is so if records were appended to its log, because a store appends to a log
-// only after its snapshot is complete.
+// checkSuperseded returns an error if the other slot once held a complete snapshot that is newer than the current
+// one but cannot be decoded any more. Records in the log of the other slot, beyond the initial ones, show this: a
+// store appends to a log only after the snapshot of the same slot is complete.
 func checkSuperseded(current, other *slot) error {
 	if other.logHeader.generation > current.generation && len(scanLog(other.log).records) > other.logHeader.initialRecords {
-		return corruptionError("slot-%d: the snapshot of generation %d cannot be decoded, although records were appended to its log", other.number, other.logHeader.generation)
+		return corruptionError("snapshot file slot-%d of generation %d cannot be decoded, although records were appended to the log file of the same slot", other.number, other.logHeader.generation)
 	}
 	return nil
 }
@@ -129,14 +132,14 @@
 // recoverSlot returns the snapshot of a slot and the records of its log, or an error that wraps ErrCorrupted.
 func recoverSlot(current *slot) (Recovered, error) {
 	if current.logHeader.generation != current.generation {
-		return Recovered{}, corruptionError("log-%d has generation %d, but its snapshot has generation %d", current.number, current.logHeader.generation, current.generation)
+		return Recovered{}, corruptionError("log file log-%d has generation %d, but the snapshot in the same slot has generation %d", current.number, current.logHeader.generation, current.generation)
 	}
 	scan := scanLog(current.log)
 	if scan.corrupted {
-		return Recovered{}, corruptionError("log-%d: record at byte %d cannot be decoded, but complete records follow it", current.number, scan.end)
+		return Recovered{}, corruptionError("log file log-%d: record at offset %d of the records cannot be decoded, but complete records follow it", current.number, scan.end)
 	}
 	if len(scan.records) < current.logHeader.initialRecords {
-		return Recovered{}, corruptionError("log-%d has %d records, but was created with %d initial records", current.number, len(scan.records), current.logHeader.initialRecords)
+		return Recovered{}, corruptionError("log file log-%d has %d records, but was created with %d initial records", current.number, len(scan.records), current.logHeader.initialRecords)
 	}
 	return Recovered{Snapshot: current.snapshot, Records: scan.records, TornBytes: len(current.log) - scan.end}, nil
 }
--- a/internal/control/storage/replace_test.go
+++ b/internal/control/storage/replace_test.go
@@ -25,8 +25,8 @@
 	return disks
 }
 
-// After a corrupted disk is replaced, Open recovers the new state, and copies of the corrupted files are kept. If the
-// power is lost during the replacement, Open either still reports corruption or recovers the new state, but never
+// After a corrupted disk is replaced, Open recovers the new state, and copies of the corrupted files are kept. If
+// the power is lost during the replacement, Open either still reports corruption or recovers the new state; it never
 // recovers an older state.
 func TestReplaceACorruptedDisk(t *testing.T) {
 	intact := newMemoryDisk(noLimit)
@@ -54,18 +54,18 @@
 		}
 	}
 	if replaced != len(disks) {
-		t.Errorf("replaced %d corrupted disks, want %d", replaced, len(disks))
+		t.Errorf("Replace was run successfully on %d corrupted disks, want %d", replaced, len(disks))
 	}
 }
 
-// replaceDisk replaces the content of a disk by a first snapshot with the incarnation "new". It returns false if that
-// fails.
+// replaceDisk replaces the content of a disk by a first snapshot whose incarnation is "new". It returns false if the
+// replacement fails.
 func replaceDisk(disk Disk) bool {
 	store, err := Replace(disk, CorruptedCopies)
 	return err == nil && store.SaveSnapshot(&wire.Snapshot{Format: 1, HardState: &wire.HardState{Incarnation: "new"}}, nil) == nil
 }
 
-// checkCopies checks that a replaced disk has copies of all files of the corrupted one.
+// checkCopies checks that a replaced disk has intact copies of all files of the corrupted disk.
 func checkCopies(t *testing.T, corrupted, disk *memoryDisk) {
 	t.Helper()
 	for name, content := range corrupted.files {
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -16,8 +16,8 @@
 	"pebbleloom/internal/wire"
 )
 
-// Disk is a directory of files. Each call that changes a file returns after the change is synced, including
-// the directory entry of a new file.
+// Disk is a directory of files. Each method that changes a file returns after the change is synced, including the
+// directory entry of a new file.
 type Disk interface {
 	// Read returns the content of a file. If the file does not exist, it returns false and no error.
 	Read(name string) (content []byte, exists bool, err error)
@@ -29,22 +29,23 @@
 	Truncate(name string, size int) error
 }
 
-// Store writes the files of one shard. A failed write may leave part of its content on the disk; after one, the
-// store writes nothing more and returns the same error from every later write.
+// Store writes the snapshot and log files of one shard. A failed write may leave part of its content on the disk;
+// therefore the store writes nothing more after it and returns the same error from every later write.
 type Store struct {
 	disk       Disk
-	generation uint64 // generation of the current snapshot; 0 if none has been saved
-	logBytes   int    // size of the current log file
-	failure    error  // error of the first failed write; nil if no write has failed
+	generation uint64 // generation of the last saved snapshot; 0 if none has been saved
+	logBytes   int    // size in bytes of the current log file
+	failure    error  // error of the first write that failed; nil if none has failed
 }
 
 func snapshotName(slot uint64) string { return fmt.Sprintf("slot-%d", slot) }
 func logName(slot uint64) string      { return fmt.Sprintf("log-%d", slot) }
 
-// slotOf returns the number of the slot that stores a generation.
+// slotOf returns the number of the slot in which the snapshot of a generation is stored.
 func slotOf(generation uint64) uint64 { return generation % slotCount }
 
-// Append appends records to the log and returns after they are synced. Its errors are of kind errs.DiskFailure.
+// Append appends records to the log and returns after they are synced to disk. Its errors are of kind
+// errs.DiskFailure.
 //
 // Example: err := store.Append([]*wire.Record{record})
 func (s *Store) Append(records []*wire.Record) error {
@@ -56,14 +57,14 @@
 	}
 	content := encodeRecords(records)
 	if err := s.disk.Append(logName(slotOf(s.generation)), content); err != nil {
-		s.failure = errs.WrapAs(err, errs.DiskFailure, "append records to log")
+		s.failure = errs.WrapAs(err, errs.DiskFailure, "append records to the log file of a shard")
 		return s.failure
 	}
 	s.logBytes += len(content)
 	return nil
 }
 
-// SaveSnapshot saves a snapshot as the next generation and starts its log with the given records, which are those
+// SaveSnapshot saves a snapshot as the next generation and starts a new log with the given records, which are those
 // that the snapshot does not cover. Its errors are of kind errs.DiskFailure.
 //
 // Example: err := store.SaveSnapshot(snapshot, records)
--- a/internal/control/storage/storage_test.go
+++ b/internal/control/storage/storage_test.go
@@ -15,8 +15,8 @@
 	return &wire.Record{Kind: &wire.Record_Entry{Entry: &wire.Entry{Index: uint64(index), Term: 1, Body: []byte(fmt.Sprint("body ", index))}}}
 }
 
-// runWorkload appends workloadRecords records. After every fourth one it saves a snapshot of all records except the
-// last, which becomes the initial record of the new log. It returns the index of the last record that was
+// runWorkload appends workloadRecords records to a disk. After every fourth one it saves a snapshot of all records
+// except the last, which becomes the initial record of the new log. It returns the index of the last record that was
 // acknowledged before the disk lost power.
 func runWorkload(disk Disk) (acknowledged int) {
 	store := createStore(disk)
@@ -36,7 +36,7 @@
 	return workloadRecords
 }
 
-// lastIndex returns the index of the last recovered record, from the log or covered by the snapshot.
+// lastIndex returns the index of the last recovered record. That record is in the log or covered by the snapshot.
 func lastIndex(recovered Recovered) int {
 	index := 0
 	if recovered.Snapshot != nil {
@@ -48,9 +48,9 @@
 	return index
 }
 
-// Every acknowledged record is recovered after a power loss at any byte that the workload writes.
+// After a power loss at any byte that a workload writes, every acknowledged record is recovered.
 func TestPowerLossAtEveryByte(t *testing.T) {
-	const largeBudget = 1 << 30 // write budget that exceeds what the workload writes
+	const largeBudget = 1 << 30 // write budget in bytes that the workload never uses up, so that the disk does not lose power
 	complete := newMemoryDisk(largeBudget)
 	if runWorkload(complete) != workloadRecords {
 		t.Fatal("workload did not complete on a disk without power loss")
@@ -70,8 +70,9 @@
 	}
 }
 
-// If a bit is flipped on the disk, Open either recovers the same records or fails with errs.DiskFailure. In the last
-// record, corruption cannot be distinguished from a torn append; Open then drops that record.
+// If a bit is flipped on the disk, Open either recovers the same records or fails with an error of kind
+// errs.DiskFailure. In the last record of the log, corruption cannot be distinguished from a torn append; Open then
+// drops that record.
 func TestBitRotIsDetected(t *testing.T) {
 	intact := newMemoryDisk(noLimit)
 	want := runWorkload(intact)
@@ -98,7 +99,7 @@
 	}
 }
 
-// After a failed write, every later write fails as well, although the disk works again.
+// After a failed write to a store, every later write fails as well, even if the disk works again.
 func TestWritesFailAfterAnError(t *testing.T) {
 	disk := newMemoryDisk(noLimit)
 	store, _, err := Open(disk)
