--- a/internal/control/routingconfig/check.go
+++ b/internal/control/routingconfig/check.go
@@ -2,10 +2,10 @@
 
 import "pebbleloom/internal/errs"
 
-// Check returns an error of kind errs.BadInput that lists every fault of a plan with the item that has it.
-// The faults are: a version of 0; a route that names an unknown service, whose weights add up to 0, or that
-// has no positive timeout; two routes with the same host and prefix; two tenants that share a key.
-// Everything else is valid.
+// Check returns an error of kind errs.BadInput that lists every fault of a routing configuration with the item that
+// has it. The faults are: a version of 0; a route that names an unknown service, whose weights add up to 0, or that
+// has no positive timeout; two routes with the same host and prefix; two tenants that share an API key. Everything
+// else is valid.
 //
 // Example: if err := routingconfig.Check(p); err != nil { return err }
 func Check(p *Plan) error {
@@ -63,8 +63,8 @@
 	}
 }
 
-// CheckSuccessor returns an error of kind errs.BadInput unless the version of a new plan is above the version
-// of the plan in force, which is 0 if there is none.
+// CheckSuccessor returns an error of kind errs.BadInput unless the version of a new routing configuration is above
+// the version of the one in force. inForce is 0 if no routing configuration is in force.
 //
 // Example: if err := routingconfig.CheckSuccessor(inForce.Version, p.Version); err != nil { return err }
 func CheckSuccessor(inForce, next uint64) error {
--- a/internal/control/routingconfig/lookup.go
+++ b/internal/control/routingconfig/lookup.go
@@ -7,15 +7,15 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// hostRoutes holds the routes of one host. Looking up a path probes withSlash once per slash within the length
-// of the longest prefix, so the cost does not depend on the number of routes in withSlash.
+// hostRoutes holds the routes of one host. Looking up a path probes the map withSlash once per slash among the first
+// longestPrefix bytes of the path, so the cost does not depend on the number of routes in the map.
 type hostRoutes struct {
-	longestPrefix int               // length of the longest prefix in bytes
+	longestPrefix int               // length in bytes of the longest prefix among the host's routes
 	withSlash     map[string]*Route // routes whose prefix ends with a slash, by prefix
 	withoutSlash  []*Route          // routes whose prefix does not end with a slash, longest prefix first; usually none
 }
 
-// BuildIndex builds the lookup tables, unless they exist already, and returns the plan. It must be called
+// BuildIndex builds the lookup tables of a plan, unless they exist already, and returns the plan. It must be called
 // before the plan is shared between goroutines. Lookups in a plan without these tables find nothing.
 //
 // Example: snapshot.Plan = p.BuildIndex()
@@ -39,7 +39,7 @@
 	return p
 }
 
-// indexRoutes builds the lookup table of routes.
+// indexRoutes builds the lookup table of routes by host and prefix.
 func (p *Plan) indexRoutes() {
 	p.routesByHost = map[string]*hostRoutes{}
 	for i := range p.Routes {
@@ -62,7 +62,7 @@
 	}
 }
 
-// hostname returns a host without its optional port, in lower case.
+// hostname returns the host name of a host with an optional port, in lower case.
 func hostname(hostport string) string {
 	if i := strings.LastIndexByte(hostport, ':'); i >= 0 && !strings.HasSuffix(hostport, "]") {
 		hostport = hostport[:i]
@@ -70,8 +70,8 @@
 	return strings.ToLower(hostport)
 }
 
-// MatchRoute returns the route of a host whose prefix is the longest one that the path begins with. It does
-// not allocate, because it runs for every request.
+// MatchRoute returns the route of a host with the longest prefix that the path begins with. It does not allocate,
+// because it runs for every request.
 //
 // Example: route, ok := p.MatchRoute(req.Host, req.URL.EscapedPath())
 func (p *Plan) MatchRoute(hostport, path string) (*Route, bool) {
@@ -91,8 +91,8 @@
 	return found, found != nil
 }
 
-// matchWithSlash returns the route with the longest matching prefix that ends with a slash, or nil if none
-// matches.
+// matchWithSlash returns the route with the longest prefix of the path that ends with a slash, or nil if there is
+// none.
 func (h *hostRoutes) matchWithSlash(path string) *Route {
 	rest := path[:min(len(path), h.longestPrefix)]
 	for {
@@ -107,7 +107,7 @@
 	}
 }
 
-// TenantByKey returns the tenant that a key belongs to.
+// TenantByKey returns the tenant that an API key belongs to.
 //
 // Example: tenant, ok := p.TenantByKey(key)
 func (p *Plan) TenantByKey(key string) (*Tenant, bool) {
@@ -115,7 +115,8 @@
 	return tenant, ok
 }
 
-// ServiceByName returns the service with a name. If several services have that name, it returns the last one.
+// ServiceByName returns the service of the plan that has a name. If several services have that name, it returns the
+// last one.
 //
 // Example: service, ok := p.ServiceByName(route.SelectService(id))
 func (p *Plan) ServiceByName(name string) (*Service, bool) {
--- a/internal/control/routingconfig/plan_test.go
+++ b/internal/control/routingconfig/plan_test.go
@@ -15,7 +15,7 @@
 	return Route{Name: name, Host: host, Prefix: prefix, Timeout: time.Second, Split: []WeightedService{{"s", 1}}}
 }
 
-// newPlan returns a plan with the given routes and the services s and u.
+// newPlan returns a routing configuration with the given routes and two services, named s and u.
 func newPlan(routes ...Route) *Plan {
 	return &Plan{Version: 1, Routes: routes, Services: []Service{{Name: "s"}, {Name: "u"}}}
 }
@@ -136,7 +136,7 @@
 func TestCheckRejectsInvalidPlans(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(p *Plan)
-		want   string // expected substring of the error; empty if the plan is valid
+		want   string // expected substring of the error of Check; empty if the plan is valid
 	}{
 		"unchanged valid plan":          {func(*Plan) {}, ""},
 		"version 0":                     {func(p *Plan) { p.Version = 0 }, "version"},
@@ -192,7 +192,7 @@
 	}
 }
 
-// newLargePlan returns a plan with n routes, spread over five hosts.
+// newLargePlan returns a routing configuration with n routes, spread over five hosts.
 func newLargePlan(n int) *Plan {
 	plan := newPlan()
 	for i := range n {
@@ -201,10 +201,10 @@
 	return plan
 }
 
-// MatchRoute does not allocate, also in a plan with thousands of routes and for a long path.
+// MatchRoute does not allocate, even in a routing configuration with thousands of routes and for a long path.
 func TestLookupDoesNotAllocate(t *testing.T) {
 	plan := newLargePlan(3500).BuildIndex()
-	path := "/p3000/" + strings.Repeat("a/", 8000) // slashes beyond the longest prefix must not be probed
+	path := "/p3000/" + strings.Repeat("a/", 8000) // a long path with thousands of slashes, of which MatchRoute probes only those within the longest prefix
 	if n := testing.AllocsPerRun(100, func() {
 		if route, ok := plan.MatchRoute("h0.example:8080", path); !ok || route.Name != "r3000" {
 			t.Fatalf("MatchRoute in a plan of 3500 routes: route %v, want the one named r3000", route)
