--- a/internal/control/serviceconfig/check.go
+++ b/internal/control/serviceconfig/check.go
@@ -16,34 +16,34 @@
 	minKeyBytes       = 8
 	maxKeyBytes       = 128
 	maxFetchTolerance = 10
-	maxWindowS        = 86400  // one day in seconds
-	maxQueueWaitMs    = 600000 // ten minutes in milliseconds
+	maxWindowS        = 86400  // maximum of Service.HotnessWindowS: one day in seconds
+	maxQueueWaitMs    = 600000 // maximum of Config.MaxWaitMs: ten minutes in milliseconds
 	seedCount         = 3
 	maxPercent        = 100
 )
 
-// Format strings of faults that are reported from several places.
+// Format strings of messages that several checks of the service configuration use.
 const (
 	negativeMemoryFormat = "memory of %d MB must not be negative: give the worker memory in MB that the weights take"
 	unknownModelFormat   = "model %q is not defined: add it to models or name another"
 	unknownServiceFormat = "service %q is not defined: add it to services or name another"
 )
 
-// faultRecorder collects the faults of a configuration, each with the path of the value that has it.
+// faultRecorder collects the faults of a service configuration, each with the path of the invalid value.
 type faultRecorder struct{ batch *errs.Batch }
 
 func (f faultRecorder) add(path, format string, args ...any) {
 	f.batch.Addf(errs.BadInput, "%s: %s", path, fmt.Sprintf(format, args...))
 }
 
-// checkName reports a name that is empty, too long, or has a space, slash, newline or NUL byte.
+// checkName reports a fault if a name is empty, too long, or contains a space, slash, newline or NUL byte.
 func (f faultRecorder) checkName(path, name string) {
 	if name == "" || len(name) > maxNameBytes || strings.ContainsAny(name, " /\x00\n") {
 		f.add(path, "name %q: must be 1 to 64 bytes long, without spaces, slashes, newlines or NUL bytes", name)
 	}
 }
 
-// check reports all faults of the configuration, section by section and sorted by name within each section.
+// check reports all faults of the service configuration, section by section and sorted by name within each section.
 func (c *Config) check(batch *errs.Batch) {
 	faults := faultRecorder{batch}
 	c.checkTenants(faults)
@@ -58,7 +58,7 @@
 }
 
 func (c *Config) checkTenants(faults faultRecorder) {
-	tenantOf := map[string]string{} // names of tenants by key
+	tenantOf := map[string]string{} // names of tenants by API key
 	for _, name := range maputil.SortedKeys(c.Tenants) {
 		tenant, path := c.Tenants[name], "tenants."+name
 		faults.checkName(path, name)
@@ -77,8 +77,8 @@
 	}
 }
 
-// checkModels reports the faults of the names and weights of all models first, and then those of their
-// memory. The order of the reports is the same as in the first release.
+// checkModels first reports the faults in the names and weights of all models, and then those in their memory sizes.
+// This order is the same as in the first release.
 func (c *Config) checkModels(faults faultRecorder) {
 	for _, name := range maputil.SortedKeys(c.Models) {
 		faults.checkName("models."+name, name)
@@ -172,8 +172,8 @@
 	}
 }
 
-// checkTargets reports a route with a target that does not exist or is not loaded by the route's service, and an
-// invalid move of the route to another target.
+// checkTargets reports a fault if a target of a route does not exist or is not loaded by the route's service, or if
+// the route's move to another target is invalid. A target is a model or adapter that serves the route's requests.
 func (c *Config) checkTargets(name, path string, faults faultRecorder) {
 	route := c.Routes[name]
 	if _, ok := c.Resolve(name); !ok && route.ServedBy == "" {
@@ -194,7 +194,7 @@
 	}
 }
 
-// checkTargetExists reports a target that is neither empty nor the name of a model or adapter.
+// checkTargetExists reports a fault if a route's target is neither empty nor the name of a model or adapter.
 func (c *Config) checkTargetExists(path, target string, faults faultRecorder) {
 	if _, ok := c.Resolve(target); target != "" && !ok {
 		faults.add(path, "target %q is neither a model nor an adapter: define it or name another", target)
--- a/internal/control/serviceconfig/codec.go
+++ b/internal/control/serviceconfig/codec.go
@@ -1,5 +1,5 @@
-// Package serviceconfig defines the service configuration that operators write, and decodes, checks, merges and
-// encodes it and renders it from templates.
+// Package serviceconfig defines the service configuration that operators write. It decodes, checks, merges and
+// encodes service configurations and renders them from templates.
 package serviceconfig
 
 import (
@@ -17,8 +17,8 @@
 // MaxBytes is the maximum size of an encoded service configuration.
 const MaxBytes = 1 << 20
 
-// Decode decodes and checks a service configuration. Its error lists all faults, each with the path of the value
-// that has it; the kind of the error is errs.TooLarge or errs.BadInput.
+// Decode decodes and checks a service configuration. Its error lists all faults, each with the path of the invalid
+// value; the kind of the error is errs.TooLarge or errs.BadInput.
 //
 // Example: config, err := serviceconfig.Decode(body)
 func Decode(body []byte) (*Config, error) {
@@ -42,7 +42,8 @@
 	if err != nil {
 		return nil, errs.Wrap(err, "encode service configuration")
 	}
-	// The generated encoder writes maps in random order. The canonical form sorts their keys, as json.Marshal does.
+	// The generated JSON encoder writes maps in random order. Decoding its output and encoding it again with
+	// json.Marshal sorts the keys, as the canonical form requires.
 	var value any
 	if err := decodeJSON(unordered, &value); err != nil {
 		return nil, errs.Wrap(err, "sort keys of service configuration")
@@ -60,7 +61,8 @@
 }
 
 // Merge applies a JSON merge patch (RFC 7396), in which null removes a value, to an encoded service configuration.
-// It checks the result and returns it in canonical form. An empty document stands for an empty configuration.
+// It checks the result and returns it in canonical form. An empty document stands for an empty service
+// configuration.
 //
 // Example: body, err := serviceconfig.Merge(old, []byte(`{"models":{"lector":{"weights":4}}}`))
 func Merge(document, patch []byte) ([]byte, error) {
--- a/internal/control/serviceconfig/codec_test.go
+++ b/internal/control/serviceconfig/codec_test.go
@@ -10,8 +10,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// Each case of testdata/setups replaces (apply) or merges (patch) a configuration and holds the resulting
-// configuration or the error with all faults.
+// Each case in testdata/setups replaces a service configuration (apply) or merges a patch into it (patch). The case
+// holds the expected configuration, or the expected error with all faults.
 func TestConfigs(t *testing.T) {
 	var inForce []byte
 	datadriven.RunTest(t, "testdata/setups", func(_ *testing.T, data *datadriven.TestData) string {
@@ -28,8 +28,8 @@
 	})
 }
 
-// A configuration always has the same encoding, although Go iterates over maps in random order, and large numbers
-// keep all their digits.
+// A service configuration always has the same encoding, although Go iterates over maps in random order, and large
+// numbers keep all their digits.
 func TestEncodingIsCanonical(t *testing.T) {
 	config := &Config{Models: map[string]Model{}}
 	for i := range 20 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// The version of a model's weights must not decrease, even if the whole configuration is replaced.
+// The version of a model's weights must not decrease, even if the whole service configuration is replaced.
 func TestWeightsVersionNeverDecreases(t *testing.T) {
 	withWeights := func(version string) []byte {
 		return []byte(`{"models":{"m":{"weights":` + version + `}},"services":{"s":{"model":"m"}}}`)
--- a/internal/control/serviceconfig/lookup.go
+++ b/internal/control/serviceconfig/lookup.go
@@ -6,19 +6,20 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// Target is the set of weights that serves a request.
+// Target identifies the weights that serve a request: those of a base model, with or without an adapter.
 type Target struct {
 	Model   string // name of the base model
 	Weights uint64 // version of the base model's weights
 	Adapter string // name of the adapter; empty if the base model serves the request alone
-	Build   uint64 // build of the adapter
+	Build   uint64 // build number of the adapter; 0 without an adapter
 }
 
 // hashPercent maps a key to a number from 0 to 99 by a hash, so that all machines get the same number.
 func hashPercent(key string) int { return int(rendezvous.Hash(key) % 100) }
 
-// ServiceFor returns the name of the service that serves a request. During a handover, a hash of the request ID
-// selects the service, so a request ID always gets the same service under the same configuration.
+// ServiceFor returns the name of the service that serves a request of the route. While the route is handed over to
+// another service, a hash of the request ID selects one of the two, so a request ID always gets the same service
+// under the same configuration.
 //
 // Example: service := config.Routes["lector"].ServiceFor("r-17")
 func (r Route) ServiceFor(requestID string) string {
@@ -28,8 +29,8 @@
 	return r.Service
 }
 
-// DefaultTarget returns the name of the model or adapter that serves the requests of the route with a name, except
-// requests that are moved to Route.MoveTo.
+// DefaultTarget returns the name of the model or adapter that serves the route's requests, except those that are
+// moved to Route.MoveTo. name is the name of the route.
 //
 // Example: config.Routes["rare"].DefaultTarget("rare")
 func (r Route) DefaultTarget(name string) string {
@@ -39,8 +40,9 @@
 	return name
 }
 
-// Target returns the set of weights that serves a request of the route with a name. A request ID always gets the
-// same one under the same configuration. Target reports false if the route or its model or adapter does not exist.
+// Target returns the model or adapter, with its version, that serves a request of the route with a name. A request
+// ID always gets the same target under the same configuration. Target returns false if the route or its model or
+// adapter does not exist.
 //
 // Example: target, ok := config.Target("rare", "r-17")
 func (c *Config) Target(routeName, requestID string) (Target, bool) {
@@ -55,7 +57,7 @@
 	return c.Resolve(name)
 }
 
-// Resolve returns the set of weights of the model or adapter with a name, and false if there is none.
+// Resolve returns the model or adapter with a name as a Target, and false if there is none.
 //
 // Example: target, ok := config.Resolve("rare")
 func (c *Config) Resolve(name string) (Target, bool) {
@@ -75,8 +77,8 @@
 	return !ok || len(adapter.Tenants) == 0 || slices.Contains(adapter.Tenants, tenant)
 }
 
-// BuildIndex builds the lookup table of tenants by key and returns the configuration. It must be called once, before
-// the configuration is shared between goroutines.
+// BuildIndex builds the lookup table of tenants by API key and returns the service configuration. It must be called
+// once, before the configuration is shared between goroutines.
 //
 // Example: config.BuildIndex()
 func (c *Config) BuildIndex() *Config {
@@ -89,7 +91,8 @@
 	return c
 }
 
-// Tenant returns the tenant that a key belongs to, with its name.
+// Tenant returns the name and the configuration of the tenant that an API key belongs to, and false if there is
+// none.
 //
 // Example: name, tenant, ok := config.Tenant(key)
 func (c *Config) Tenant(key string) (string, Tenant, bool) {
@@ -97,7 +100,7 @@
 	return name, c.Tenants[name], ok
 }
 
-// KeyBelongsTo reports whether a key belongs to the tenant with a name.
+// KeyBelongsTo reports whether an API key belongs to the tenant with a name.
 //
 // Example: if !config.KeyBelongsTo(key, tenant) { reject() }
 func (c *Config) KeyBelongsTo(key, tenant string) bool {
@@ -105,8 +108,8 @@
 	return ok && name == tenant
 }
 
-// CacheDomain returns the name of the domain within which a tenant's requests share cached prefixes: a domain of its
-// own if the tenant is isolated, otherwise the one that all other tenants share.
+// CacheDomain returns the name of the domain within which a tenant's requests share cached prompt prefixes: a domain
+// of its own if the tenant is isolated, otherwise the domain that all other tenants share.
 //
 // Example: config.CacheDomain("hospital-norte")
 func (c *Config) CacheDomain(tenant string) string {
--- a/internal/control/serviceconfig/render.go
+++ b/internal/control/serviceconfig/render.go
@@ -15,14 +15,16 @@
 	"pebbleloom/internal/maputil"
 )
 
-// Template is a service configuration with parameters: strings in it may contain {{.name}}. A string that
-// consists of a single parameter becomes a number or boolean if the value of the parameter is one.
+// Template is a service configuration with parameters: strings in it may contain {{.name}}, which stands for the
+// value of the parameter called name. A string that consists of a single parameter becomes a number or boolean if
+// the value of the parameter is one.
 type Template struct {
-	Params map[string]string `json:"params"` // descriptions of the parameters by name
+	Params map[string]string `json:"params"` // descriptions of the template's parameters, by parameter name
 	Config map[string]any    `json:"setup"`
 }
 
-// Overlay is a partial service configuration that is merged into a rendered one. Origins refer to it by name.
+// Overlay is a partial service configuration that is merged into a rendered one. Origin.From refers to an overlay by
+// its name.
 type Overlay struct {
 	Name string
 	Body []byte
@@ -71,15 +73,16 @@
 	return &source, nil
 }
 
-// renderer renders one template.
+// renderer renders one template of a service configuration.
 type renderer struct {
-	parameters   map[string]string // values of the parameters by name
-	descriptions map[string]string // descriptions of the template's parameters by name
-	origins      map[string]string // origins of values by path; a value without an entry comes from the template
+	parameters   map[string]string // values of the template's parameters, by parameter name
+	descriptions map[string]string // descriptions of the template's parameters, by parameter name
+	origins      map[string]string // origins of rendered values, by path of the value; a value without an entry comes from the template
 	faults       errs.Batch
 }
 
-// render returns the encoded configuration of a template with all parameters replaced by their values.
+// render returns the encoded service configuration of a template in which all parameters are replaced by their
+// values.
 func (r *renderer) render(source *Template) ([]byte, error) {
 	r.checkParameters()
 	rendered := r.renderValue(source.Config, "", r.origins)
@@ -90,7 +93,8 @@
 	return body, errs.Wrap(err, "encode rendered service configuration")
 }
 
-// checkParameters reports the parameters that are missing or unknown.
+// checkParameters reports a fault for every template parameter without a value and for every given parameter that
+// the template does not have.
 func (r *renderer) checkParameters() {
 	for _, name := range maputil.SortedKeys(r.descriptions) {
 		if _, ok := r.parameters[name]; !ok {
@@ -104,8 +108,8 @@
 	}
 }
 
-// renderValue renders every string in a value, including the keys of objects, and records the origins of values
-// that contain parameters.
+// renderValue renders every string in a JSON value of a template, including the keys of objects, and records the
+// origins of values that contain parameters.
 func (r *renderer) renderValue(value any, path string, origins map[string]string) any {
 	switch v := value.(type) {
 	case map[string]any:
@@ -125,7 +129,7 @@
 func (r *renderer) renderObject(fields map[string]any, path string, origins map[string]string) map[string]any {
 	rendered := map[string]any{}
 	for field, value := range fields {
-		keyOrigins := map[string]string{} // discarded: origins are recorded for values only
+		keyOrigins := map[string]string{} // origins of object keys, which are discarded: only the origins of values are reported
 		key, ok := r.renderValue(field, path+" (key)", keyOrigins).(string)
 		if !ok {
 			r.faults.Addf(errs.BadInput, "%s: key %q renders to a number or boolean, must render to a string", path, field)
@@ -136,7 +140,8 @@
 	return rendered
 }
 
-// renderString renders one string and records the parameters that it contains as the origin of the value.
+// renderString renders one string of a template and records the parameters that it contains as the origin of the
+// value at a path.
 func (r *renderer) renderString(text, path string, origins map[string]string) any {
 	parsed, err := template.New(path).Option("missingkey=error").Parse(text)
 	if err != nil {
@@ -162,7 +167,7 @@
 	origins[path] = "parameter " + strings.Join(used, ", ")
 	var output bytes.Buffer
 	if err := parsed.Execute(&output, r.parameters); err != nil {
-		return text // a parameter is missing, which checkParameters has reported
+		return text // the string contains a parameter without a value, which checkParameters has reported
 	}
 	if len(parsed.Root.Nodes) == 1 {
 		if scalar, ok := decodeScalar(output.Bytes()); ok {
@@ -172,7 +177,7 @@
 	return output.String()
 }
 
-// decodeScalar decodes a text that is a single JSON number or boolean; it returns false for any other text.
+// decodeScalar decodes a text that is a single JSON number or boolean. It returns false for any other text.
 func decodeScalar(text []byte) (any, bool) {
 	var value any
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -187,7 +192,7 @@
 	return nil, false
 }
 
-// applyOverlays merges the overlays into an encoded configuration, in order. An overlay becomes the origin of all
+// applyOverlays merges overlays in order into an encoded service configuration. An overlay becomes the origin of all
 // values that it contains or changes.
 func (r *renderer) applyOverlays(body []byte, overlays []Overlay) ([]byte, error) {
 	before := flatten(body)
@@ -207,7 +212,7 @@
 	return body, nil
 }
 
-// listOrigins returns the origins of the values of an encoded configuration, sorted by path.
+// listOrigins returns the origins of all values of an encoded service configuration, sorted by path.
 func (r *renderer) listOrigins(body []byte) []Origin {
 	var list []Origin
 	for path, value := range flatten(body) {
@@ -221,8 +226,8 @@
 	return list
 }
 
-// flatten returns the scalar values of a JSON body as JSON, by path. It returns an empty map if the body is not
-// valid JSON.
+// flatten returns the scalar values of a JSON document, each encoded as JSON, by path. It returns an empty map if
+// the document is not valid JSON.
 func flatten(body []byte) map[string]string {
 	values := map[string]string{}
 	var root any
@@ -232,7 +237,8 @@
 	return values
 }
 
-// flattenInto adds the scalar values below a value to a map, by path.
+// flattenInto adds the scalar values within a JSON value to a map, by path. path is the path of the JSON value
+// itself.
 func flattenInto(values map[string]string, path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
--- a/internal/control/serviceconfig/render_test.go
+++ b/internal/control/serviceconfig/render_test.go
@@ -36,7 +36,7 @@
 		"wait_max_ms":             "overlay night.json",
 	} {
 		if from[path] != want {
-			t.Errorf("origin of %s: %q, want %q", path, from[path], want)
+			t.Errorf("Render: origin of the value at path %s: %q, want %q", path, from[path], want)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 	for name, test := range map[string]struct {
 		template   string
 		parameters map[string]string
-		want       string // expected substring of the error
+		want       string // expected substring of the error of Render
 	}{
 		"missing parameter":                    {siteTemplate, map[string]string{"site": "x", "rate": "1"}, "parameter weights is missing"},
 		"unknown parameter":                    {siteTemplate, map[string]string{"site": "x", "rate": "1", "weights": "1", "colour": "red"}, "parameter colour is unknown"},
--- a/internal/control/serviceconfig/successor.go
+++ b/internal/control/serviceconfig/successor.go
@@ -5,9 +5,9 @@
 	"pebbleloom/internal/maputil"
 )
 
-// CheckSuccessor returns an error if an encoded service configuration may not replace the one in force, because
-// the version of a model's weights would decrease. A request could then start on weights that were superseded
-// long before. If none is in force (inForce is empty), any configuration may follow, and next is not checked.
+// CheckSuccessor returns an error if an encoded service configuration may not replace the one in force because it
+// decreases the version of a model's weights: requests could then start on weights that were superseded long before.
+// If no service configuration is in force (inForce is empty), any may follow, and next is not checked.
 //
 // Example: if err := serviceconfig.CheckSuccessor(inForce.Body, body); err != nil { reject() }
 func CheckSuccessor(inForce, next []byte) error {
