--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -104,7 +104,7 @@
 // Example: if c.Version() != seen { … }
 func (c *Core) Version() uint64 { return c.version }
 
-// SetSeeds replaces the seed addresses of a running node.
+// SetSeeds replaces the addresses of the nodes through which this node joins its site.
 //
 // Example: c.SetSeeds([]string{"127.10.1.1:7000"})
 func (c *Core) SetSeeds(seeds []string) { c.seeds = seeds }
--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -18,9 +18,9 @@
 type simulatedSite struct {
 	random      *rand.Rand
 	now         time.Duration
-	cores       map[string]*Core           // nodes by address
+	cores       map[string]*Core           // nodes of the simulated site, by address
 	down        map[string]bool            // addresses of nodes that neither send nor receive messages
-	linkDown    func(from, to string) bool // reports whether messages from one address to another are lost
+	linkDown    func(from, to string) bool // function that reports whether messages from one address to another are lost
 	heartbeats  int                        // number of heartbeats that all nodes have sent
 	bytes       int                        // total size in bytes of all heartbeats and responses sent
 	numberLimit int                        // nodes with a number at or above this limit are not ticked by run
--- a/internal/control/clustermembership/member.go
+++ b/internal/control/clustermembership/member.go
@@ -35,7 +35,7 @@
 	left     bool // whether the node has left and sends no more heartbeats; accessed only by the actor's goroutine
 }
 
-// View is a snapshot of the nodes that a member knows.
+// View is a snapshot of the nodes of a site as one member sees them.
 type View struct {
 	Version uint64 // number that increases with every change of the member's view
 	Nodes   []*wire.Node
@@ -80,7 +80,7 @@
 type Config struct {
 	Process  settings.Process // settings of the process, with the node's name, addresses, seeds and time limits
 	Role     string
-	Clock    clock.Clock // monotonic clock that keeps running while the machine is suspended
+	Clock    clock.Clock // monotonic clock for heartbeats and timeouts; must keep running while the machine is suspended
 	Log      hclog.Logger
 	Client   func(addr string) wire.Membership // function that returns a client for the member at an address
 	OnChange func(View)                        // function called with the new view after every change; must not block; may be nil
@@ -114,7 +114,7 @@
 	return m
 }
 
-// SetSeeds replaces the seed addresses of the running member.
+// SetSeeds replaces the addresses of the nodes through which the running member joins its site.
 //
 // Example: m.SetSeeds(config.Seeds)
 func (m *Member) SetSeeds(seeds []string) { m.actor.TrySend(func(c *Core) { c.SetSeeds(seeds) }) }
--- a/internal/control/clustermembership/merge.go
+++ b/internal/control/clustermembership/merge.go
@@ -20,7 +20,7 @@
 	retransmitsPerDoubling = 2 // additional ticks in which a state change is sent, for each doubling of the number of nodes
 )
 
-// retransmitLimit returns the number of ticks whose heartbeats carry a state change.
+// retransmitLimit returns the number of ticks in which the heartbeats of this node carry a new state change.
 func (c *Core) retransmitLimit() int {
 	limit := minRetransmits
 	for n := len(c.peers); n > 1; n /= 2 {
--- a/internal/control/clustermembership/ring.go
+++ b/internal/control/clustermembership/ring.go
@@ -14,7 +14,7 @@
 	node     *wire.Node
 }
 
-// ring returns all nodes that are not dead, sorted by their positions on the hash ring.
+// ring returns all nodes of the view that are not dead, including this one, sorted by their positions on the hash ring.
 func (c *Core) ring() []ringNode {
 	ring := make([]ringNode, 0, len(c.peers)+1)
 	ring = append(ring, ringNode{rendezvous.Hash(c.self.Name), c.self})
@@ -64,7 +64,7 @@
 // computeChecksum returns a checksum of the names, incarnations and states of all nodes in the view that are not
 // dead. The checksum does not depend on the order of the nodes.
 func (c *Core) computeChecksum() uint64 {
-	const incarnationFactor = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio; spreads small incarnations over all bits
+	const incarnationFactor = 0x9e3779b97f4a7c15 // factor of the checksum, 2^64 divided by the golden ratio; spreads small incarnations over all bits
 	sum := uint64(0)
 	add := func(n *wire.Node, position uint64) {
 		sum += (position ^ n.Incarnation*incarnationFactor) * uint64(n.State*2+3)
--- a/internal/control/routingconfig/check.go
+++ b/internal/control/routingconfig/check.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// check adds the faults of a route that do not depend on other routes.
+// check adds to faults the faults of a route that do not depend on other routes of the routing configuration.
 func (r *Route) check(knownServices map[string]bool, faults *errs.Batch) {
 	for _, weighted := range r.Split {
 		if !knownServices[weighted.Service] {
--- a/internal/control/routingconfig/lookup.go
+++ b/internal/control/routingconfig/lookup.go
@@ -11,8 +11,8 @@
 // longestPrefix bytes of the path, so the cost does not depend on the number of routes in the map.
 type hostRoutes struct {
 	longestPrefix int               // length in bytes of the longest prefix among the host's routes
-	withSlash     map[string]*Route // routes whose prefix ends with a slash, by prefix
-	withoutSlash  []*Route          // routes whose prefix does not end with a slash, longest prefix first; usually none
+	withSlash     map[string]*Route // routes of the host whose prefix ends with a slash, by prefix
+	withoutSlash  []*Route          // routes of the host whose prefix does not end with a slash, longest prefix first; usually none
 }
 
 // BuildIndex builds the lookup tables of a plan, unless they exist already, and returns the plan. It must be called
--- a/internal/control/routingconfig/plan.go
+++ b/internal/control/routingconfig/plan.go
@@ -26,7 +26,7 @@
 // Kind is the kind of a route. It determines whether the route's requests may be retried.
 type Kind int
 
-// Kinds of routes.
+// Kinds of routes, by how often a request may run.
 const (
 	Idempotent  Kind = iota // kind of a route whose requests may run more than once
 	AtMostOnce              // kind of a route whose requests are not retried after an attempt that may have run
@@ -37,7 +37,7 @@
 type Route struct {
 	Name, Host, Prefix string
 	Kind               Kind
-	Timeout            time.Duration     // timeout of one attempt of a request
+	Timeout            time.Duration     // timeout of one attempt to send a request to a worker
 	LatencyTarget      time.Duration     // response time up to which a response counts as fully successful
 	MaxEventGap        time.Duration     // time between two events of a stream up to which the later event counts as on time
 	Priority           int               // priority of the route's requests; 0 is the highest
@@ -50,7 +50,7 @@
 
 // WeightedService is a service with its weight within a route.
 type WeightedService struct {
-	Service string // name of the service
+	Service string // name of the service that gets a share of the attempts
 	Weight  int    // share of the route's attempts, relative to the sum of the route's weights; a negative weight counts as 0
 }
 
@@ -66,7 +66,7 @@
 // Engine holds the properties of a service's model workers.
 type Engine struct {
 	Slots          int      // maximum number of requests that one worker runs concurrently
-	CapacityTokens int      // number of tokens that running requests and cached prompt parts may occupy on one worker
+	CapacityTokens int      // maximum number of tokens that running requests and cached prompt parts occupy on one worker
 	TokenBytes     int      // size in bytes of one token in a worker's cache
 	LinkMbps       float64  // bandwidth of a worker's transfers of cached prompt parts, in Mbit/s
 	MaxPolls       int      // maximum number of long polls for cache events that one worker holds open, from all proxies together
@@ -76,12 +76,12 @@
 // Store describes a shared store in which workers put cached prompt parts for other workers.
 type Store struct {
 	Addr, Zone     string
-	CapacityTokens int     // number of tokens that the stored prompt parts may occupy
+	CapacityTokens int     // maximum number of tokens in the prompt parts that the store holds
 	LinkMbps       float64 // bandwidth of the store's transfers, in Mbit/s
 	MaxPolls       int     // maximum number of long polls for cache events that the store holds open, from all proxies together
 }
 
-// Tenant is one tenant with its API keys.
+// Tenant is one tenant of the site with its API keys and priority.
 type Tenant struct {
 	Name     string
 	Keys     []string // API keys that identify the tenant's requests
--- a/internal/control/serviceconfig/check.go
+++ b/internal/control/serviceconfig/check.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/maputil"
 )
 
-// Limits of the values in a service configuration.
+// Limits that check applies to the values of a service configuration.
 const (
 	maxNameBytes      = 64
 	minKeyBytes       = 8
--- a/internal/control/serviceconfig/codec.go
+++ b/internal/control/serviceconfig/codec.go
@@ -14,7 +14,7 @@
 
 //go:generate sh -c "PATH=$(go env GOPATH)/bin:$PATH easyjson -all -disallow_unknown_fields model.go"
 
-// MaxBytes is the maximum size of an encoded service configuration.
+// MaxBytes is the maximum size in bytes of an encoded service configuration.
 const MaxBytes = 1 << 20
 
 // Decode decodes and checks a service configuration. Its error lists all faults, each with the path of the invalid
@@ -52,7 +52,7 @@
 	return body, errs.Wrap(err, "sort keys of service configuration")
 }
 
-// decodeJSON decodes the first JSON value of a body. Numbers are decoded as json.Number, so that they keep all
+// decodeJSON decodes the first JSON value in a body into value. Numbers are decoded as json.Number, so that they keep all
 // their digits.
 func decodeJSON(body []byte, value any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
--- a/internal/control/serviceconfig/lookup.go
+++ b/internal/control/serviceconfig/lookup.go
@@ -8,7 +8,7 @@
 
 // Target identifies the weights that serve a request: those of a base model, with or without an adapter.
 type Target struct {
-	Model   string // name of the base model
+	Model   string // name of the base model that serves the request
 	Weights uint64 // version of the base model's weights
 	Adapter string // name of the adapter; empty if the base model serves the request alone
 	Build   uint64 // build number of the adapter; 0 without an adapter
--- a/internal/control/serviceconfig/model.go
+++ b/internal/control/serviceconfig/model.go
@@ -21,7 +21,7 @@
 	Models    map[string]Model   `json:"models,omitempty"`
 	Adapters  map[string]Adapter `json:"adapters,omitempty"`
 	Services  map[string]Service `json:"services,omitempty"`
-	Routes    map[string]Route   `json:"ways,omitempty"`        // routes by the name of the model or adapter that requests ask for
+	Routes    map[string]Route   `json:"ways,omitempty"`        // routes, by the name that requests give as their model or adapter
 	Draining  map[string]bool    `json:"drains,omitempty"`      // names of workers that are being drained and get no new requests
 	Seeds     []string           `json:"seeds,omitempty"`       // addresses of three seed nodes, in place of those in each machine's settings; empty to use the latter
 	MaxWaitMs int                `json:"wait_max_ms,omitempty"` // maximum time in milliseconds that a request waits in a queue; 0 means 30000
--- a/internal/control/storage/directory.go
+++ b/internal/control/storage/directory.go
@@ -15,7 +15,7 @@
 // Example: disk := storage.Directory("/var/lib/pebbleloom/part-0")
 func Directory(path string) Disk { return directory{path} }
 
-// Read implements Disk.
+// Read implements Disk.Read: it returns the content of a file in the directory.
 func (d directory) Read(name string) ([]byte, bool, error) {
 	content, err := os.ReadFile(filepath.Join(d.path, name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -24,7 +24,7 @@
 	return content, err == nil, err
 }
 
-// Write implements Disk.
+// Write implements Disk.Write: it replaces the content of a file in the directory and syncs it.
 func (d directory) Write(name string, content []byte) error {
 	err := d.withFile(name, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, func(file *os.File) error {
 		_, err := file.Write(content)
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// Append implements Disk.
+// Append implements Disk.Append: it appends to a file in the directory and syncs it.
 func (d directory) Append(name string, content []byte) error {
 	return d.withFile(name, os.O_WRONLY|os.O_APPEND, func(file *os.File) error {
 		_, err := file.Write(content)
@@ -50,7 +50,7 @@
 	})
 }
 
-// Truncate implements Disk.
+// Truncate implements Disk.Truncate: it shortens a file in the directory and syncs it.
 func (d directory) Truncate(name string, size int) error {
 	return d.withFile(name, os.O_WRONLY, func(file *os.File) error { return file.Truncate(int64(size)) })
 }
--- a/internal/control/storage/faults.go
+++ b/internal/control/storage/faults.go
@@ -43,7 +43,7 @@
 	return 0, nil
 }
 
-// Write implements Disk.
+// Write implements Disk.Write. It injects the fault before it calls the underlying disk.
 func (d faultyDisk) Write(name string, content []byte) error {
 	if err := d.injectFault(); err != nil {
 		return err
@@ -51,7 +51,7 @@
 	return d.Disk.Write(name, content)
 }
 
-// Append implements Disk.
+// Append implements Disk.Append. It injects the fault before it calls the underlying disk.
 func (d faultyDisk) Append(name string, content []byte) error {
 	if err := d.injectFault(); err != nil {
 		return err
@@ -63,7 +63,7 @@
 func (d faultyDisk) injectFault() error {
 	description, err := os.ReadFile(d.faultFile)
 	if err != nil {
-		return nil // no fault is injected while the fault file cannot be read
+		return nil // without a readable fault file, writes are not disturbed
 	}
 	stall, err := ParseFault(string(description))
 	time.Sleep(stall)
--- a/internal/control/storage/large_snapshot_test.go
+++ b/internal/control/storage/large_snapshot_test.go
@@ -10,7 +10,7 @@
 
 const (
 	largeBodyBytes = 200 << 10 // size in bytes of each record's body and of each snapshot's state
-	largeRecords   = 5         // number of records that runLargeWorkload appends
+	largeRecords   = 5         // number of large records that runLargeWorkload appends
 )
 
 // runLargeWorkload appends largeRecords records with a large body to a disk and saves a large snapshot after every
@@ -48,7 +48,7 @@
 		t.Fatal("runLargeWorkload did not acknowledge all records on a disk that never loses power")
 	}
 	total := largeBudget - complete.writeBudget
-	var lossPoints []int                                     // numbers of written bytes after which the power is lost
+	var lossPoints []int                                     // numbers of written bytes after which a power loss is simulated
 	for begin := 0; begin < total; begin += largeBodyBytes { // each write starts and ends shortly after a multiple of largeBodyBytes
 		for written := begin; written < min(begin+300, total); written += 3 {
 			lossPoints = append(lossPoints, written)
--- a/internal/control/storage/open.go
+++ b/internal/control/storage/open.go
@@ -23,7 +23,7 @@
 type slot struct {
 	number      uint64
 	hasSnapshot bool           // whether the snapshot file exists
-	snapshot    *wire.Snapshot // decoded snapshot; nil if the snapshot file cannot be decoded
+	snapshot    *wire.Snapshot // decoded content of the snapshot file; nil if it cannot be decoded
 	generation  uint64         // generation of the decoded snapshot; 0 if the snapshot file cannot be decoded
 	hasLog      bool           // whether the log file exists
 	log         []byte         // encoded records of the log file; nil if the header of the file cannot be decoded
@@ -94,7 +94,7 @@
 	return slots, failures.Err()
 }
 
-// newestSlot returns the slot with the newest snapshot that can be decoded, or nil if there is none.
+// newestSlot returns the slot with the newest decodable snapshot, or nil if no snapshot can be decoded.
 func newestSlot(slots [slotCount]*slot) *slot {
 	var newest *slot
 	for _, s := range slots {
--- a/internal/control/storage/storage.go
+++ b/internal/control/storage/storage.go
@@ -23,9 +23,9 @@
 	Read(name string) (content []byte, exists bool, err error)
 	// Write replaces the content of a file and creates the file if it does not exist.
 	Write(name string, content []byte) error
-	// Append appends to an existing file.
+	// Append appends content to an existing file.
 	Append(name string, content []byte) error
-	// Truncate shortens a file to size bytes.
+	// Truncate shortens an existing file to its first size bytes.
 	Truncate(name string, size int) error
 }
 
