--- a/internal/control/clustermembership/core.go
+++ b/internal/control/clustermembership/core.go
@@ -58,7 +58,7 @@
 	node          *wire.Node
 	position      uint64        // position of the peer on the hash ring
 	changedAt     time.Duration // time at which this node last changed the peer's state, incarnation or address
-	lastContact   time.Duration // time of the last message from the peer, or of the last gossiped change of its state to Alive; set to the current time on every tick while this node does not observe the peer
+	lastContact   time.Duration // time from which the peer's heartbeat timeout runs: its last message or a gossiped change to Alive; set on every tick while it is not observed
 	transmitsLeft int           // number of further ticks in which this node's heartbeats carry the peer's state
 }
 
--- a/internal/control/clustermembership/traffic_test.go
+++ b/internal/control/clustermembership/traffic_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// measureTraffic runs the simulated site for a duration of virtual time and returns the average numbers of heartbeats and bytes that
-// each of n nodes caused per second; the bytes include the responses to its heartbeats.
+// measureTraffic runs the simulated site for a duration of virtual time. It returns the average numbers of
+// heartbeats and bytes that each of n nodes caused per second; the bytes include the responses to its heartbeats.
 func (s *simulatedSite) measureTraffic(n int, d time.Duration) (heartbeats, bytes float64) {
 	s.heartbeats, s.bytes = 0, 0
 	s.run(d)
--- a/internal/control/routingconfig/check.go
+++ b/internal/control/routingconfig/check.go
@@ -11,7 +11,7 @@
 func Check(p *Plan) error {
 	var faults errs.Batch
 	if p.Version == 0 {
-		faults.Addf(errs.BadInput, "version: missing or 0; must be above the version of the plan in force")
+		faults.Addf(errs.BadInput, "version: missing or 0; must be above the version of the routing configuration in force")
 	}
 	p.checkRoutes(&faults)
 	p.checkTenants(&faults)
@@ -40,7 +40,7 @@
 func (r *Route) check(knownServices map[string]bool, faults *errs.Batch) {
 	for _, weighted := range r.Split {
 		if !knownServices[weighted.Service] {
-			faults.Addf(errs.BadInput, "route %q: service %q: not defined among the services of the plan", r.Name, weighted.Service)
+			faults.Addf(errs.BadInput, "route %q: service %q: not defined among the services of the routing configuration", r.Name, weighted.Service)
 		}
 	}
 	if r.totalWeight() == 0 {
--- a/internal/control/routingconfig/plan_test.go
+++ b/internal/control/routingconfig/plan_test.go
@@ -138,34 +138,34 @@
 		change func(p *Plan)
 		want   string // expected substring of the error of Check; empty if the plan is valid
 	}{
-		"unchanged valid plan":          {func(*Plan) {}, ""},
-		"version 0":                     {func(p *Plan) { p.Version = 0 }, "version"},
-		"unknown service":               {func(p *Plan) { p.Routes[1].Split[0].Service = "gone" }, `route "b": service "gone"`},
-		"unknown service of weight 0":   {func(p *Plan) { p.Routes[1].Split = []WeightedService{{"s", 1}, {"gone", 0}} }, `route "b": service "gone"`},
-		"route without services":        {func(p *Plan) { p.Routes[0].Split = nil }, `route "a": its weights`},
-		"all weights are 0":             {func(p *Plan) { p.Routes[0].Split = []WeightedService{{"s", 0}, {"u", 0}} }, `route "a": its weights`},
-		"one of two weights is 0":       {func(p *Plan) { p.Routes[0].Split = []WeightedService{{"s", 0}, {"u", 1}} }, ""},
-		"timeout 0":                     {func(p *Plan) { p.Routes[1].Timeout = 0 }, `route "b": timeout`},
-		"same host and prefix":          {func(p *Plan) { p.Routes[1].Prefix = "/a/" }, `already used by route "a"`},
-		"same host in upper case":       {func(p *Plan) { p.Routes[1].Prefix, p.Routes[1].Host = "/a/", "H" }, `already used by route "a"`},
-		"same prefix, different host":   {func(p *Plan) { p.Routes[1].Prefix, p.Routes[1].Host = "/a/", "g" }, ""},
-		"key of two tenants":            {func(p *Plan) { p.Tenants[1].Keys = []string{"k9", "k1"} }, `tenant "two": shares a key with tenant "one"`},
-		"key listed twice for a tenant": {func(p *Plan) { p.Tenants[0].Keys = []string{"k1", "k1"} }, ""},
-		"two routes of the same name":   {func(p *Plan) { p.Routes[1].Name = "a" }, ""},
-		"two services of the same name": {func(p *Plan) { p.Services[1].Name = "s" }, ""},
-		"prefix without a slash":        {func(p *Plan) { p.Routes[1].Prefix = "b" }, ""},
-		"no tenants":                    {func(p *Plan) { p.Tenants = nil }, ""},
-		"no routes and no services":     {func(p *Plan) { *p = Plan{Version: 3} }, ""},
+		"unchanged valid plan":                                        {func(*Plan) {}, ""},
+		"version 0":                                                   {func(p *Plan) { p.Version = 0 }, "version"},
+		"route to an unknown service":                                 {func(p *Plan) { p.Routes[1].Split[0].Service = "gone" }, `route "b": service "gone"`},
+		"route to an unknown service of weight 0":                     {func(p *Plan) { p.Routes[1].Split = []WeightedService{{"s", 1}, {"gone", 0}} }, `route "b": service "gone"`},
+		"route without services":                                      {func(p *Plan) { p.Routes[0].Split = nil }, `route "a": its weights`},
+		"all weights of a route are 0":                                {func(p *Plan) { p.Routes[0].Split = []WeightedService{{"s", 0}, {"u", 0}} }, `route "a": its weights`},
+		"one of two weights of a route is 0":                          {func(p *Plan) { p.Routes[0].Split = []WeightedService{{"s", 0}, {"u", 1}} }, ""},
+		"route with a timeout of 0":                                   {func(p *Plan) { p.Routes[1].Timeout = 0 }, `route "b": timeout`},
+		"two routes with the same host and prefix":                    {func(p *Plan) { p.Routes[1].Prefix = "/a/" }, `already used by route "a"`},
+		"two routes with the same prefix and host, one in upper case": {func(p *Plan) { p.Routes[1].Prefix, p.Routes[1].Host = "/a/", "H" }, `already used by route "a"`},
+		"two routes with the same prefix and different hosts":         {func(p *Plan) { p.Routes[1].Prefix, p.Routes[1].Host = "/a/", "g" }, ""},
+		"API key shared by two tenants":                               {func(p *Plan) { p.Tenants[1].Keys = []string{"k9", "k1"} }, `tenant "two": shares a key with tenant "one"`},
+		"API key listed twice for one tenant":                         {func(p *Plan) { p.Tenants[0].Keys = []string{"k1", "k1"} }, ""},
+		"two routes of the same name":                                 {func(p *Plan) { p.Routes[1].Name = "a" }, ""},
+		"two services of the same name":                               {func(p *Plan) { p.Services[1].Name = "s" }, ""},
+		"route prefix without a slash":                                {func(p *Plan) { p.Routes[1].Prefix = "b" }, ""},
+		"no tenants":                                                  {func(p *Plan) { p.Tenants = nil }, ""},
+		"no routes and no services":                                   {func(p *Plan) { *p = Plan{Version: 3} }, ""},
 	} {
 		plan := newPlan(newRoute("a", "h", "/a/"), newRoute("b", "h", "/b/"))
 		plan.Tenants = []Tenant{{Name: "one", Keys: []string{"k1", "k2"}}, {Name: "two", Keys: []string{"k3"}}}
 		test.change(plan)
 		err := Check(plan)
 		if (err != nil) != (test.want != "") {
-			t.Errorf("Check of plan %q: error %v, want one that contains %q (empty: no error)", name, err, test.want)
+			t.Errorf("Check of a routing configuration, case %q: error %v, want one that contains %q (empty: no error)", name, err, test.want)
 		}
 		if err != nil && (errs.KindOf(err) != errs.BadInput || !strings.Contains(err.Error(), test.want)) {
-			t.Errorf("Check of plan %q: error %v, want one of kind %s that contains %q", name, err, errs.BadInput.Name, test.want)
+			t.Errorf("Check of a routing configuration, case %q: error %v, want one of kind %s that contains %q", name, err, errs.BadInput.Name, test.want)
 		}
 	}
 }
@@ -176,7 +176,7 @@
 	err := Check(plan)
 	for _, want := range []string{"4 faults", "version", `route "a": timeout`, `route "b": service "gone"`, `host "h" and prefix "/a/"`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("Check of a plan with four faults: error %v, want one that contains %q", err, want)
+			t.Errorf("Check of a routing configuration with four faults: error %v, want one that contains %q", err, want)
 		}
 	}
 }
@@ -187,7 +187,7 @@
 		ok            bool
 	}{{0, 0, false}, {0, 1, true}, {7, 7, false}, {7, 6, false}, {7, 8, true}, {7, 100, true}} {
 		if err := CheckSuccessor(test.inForce, test.next); (err == nil) != test.ok || err != nil && errs.KindOf(err) != errs.BadInput {
-			t.Errorf("CheckSuccessor of version %d with version %d in force: error %v, want success: %v", test.next, test.inForce, err, test.ok)
+			t.Errorf("CheckSuccessor of routing configuration version %d with version %d in force: error %v, want success: %v", test.next, test.inForce, err, test.ok)
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	path := "/p3000/" + strings.Repeat("a/", 8000) // a long path with thousands of slashes, of which MatchRoute probes only those within the longest prefix
 	if n := testing.AllocsPerRun(100, func() {
 		if route, ok := plan.MatchRoute("h0.example:8080", path); !ok || route.Name != "r3000" {
-			t.Fatalf("MatchRoute in a plan of 3500 routes: route %v, want the one named r3000", route)
+			t.Fatalf("MatchRoute in a routing configuration of 3500 routes: route %v, want the one named r3000", route)
 		}
 	}); n != 0 {
 		t.Errorf("MatchRoute made %v allocations per call, want 0", n)
--- a/internal/control/serviceconfig/codec_test.go
+++ b/internal/control/serviceconfig/codec_test.go
@@ -66,7 +66,7 @@
 	} {
 		err := CheckSuccessor(test.inForce, test.next)
 		if (err == nil) != test.ok || err != nil && errs.KindOf(err) != errs.BadInput {
-			t.Errorf("CheckSuccessor of %s with %q in force: error %v, want success: %v", test.next, test.inForce, err, test.ok)
+			t.Errorf("CheckSuccessor of service configuration %s with %q in force: error %v, want success: %v", test.next, test.inForce, err, test.ok)
 		}
 	}
 }
