--- a/internal/control/routingconfig/check.go
+++ b/internal/control/routingconfig/check.go
@@ -2,16 +2,16 @@
 
 import "pebbleloom/internal/errs"
 
-// Check returns an error of kind errs.BadInput that lists every fault of a plan with the item that has it.
-// The faults are: a version of 0; a route that names an unknown service, whose weights add up to 0, or that
-// has no positive timeout; two routes with the same host and prefix; two tenants that share a key.
-// Everything else is valid.
+// Check returns an error of kind errs.BadInput that lists every fault of a routing configuration with the item that
+// has it. The faults are: a version of 0; a route that names an unknown service, whose weights add up to 0, or that
+// has no positive timeout; two routes with the same host and prefix; two tenants that share an API key. Everything
+// else is valid.
 //
 // Example: if err := routingconfig.Check(p); err != nil { return err }
 func Check(p *Plan) error {
 	var faults errs.Batch
 	if p.Version == 0 {
-		faults.Addf(errs.BadInput, "version: missing or 0; must be above the version of the plan in force")
+		faults.Addf(errs.BadInput, "version: missing or 0; must be above the version of the routing configuration in force")
 	}
 	p.checkRoutes(&faults)
 	p.checkTenants(&faults)
@@ -36,11 +36,11 @@
 	}
 }
 
-// check adds the faults of a route that do not depend on other routes.
+// check adds to faults the faults of a route that do not depend on other routes of the routing configuration.
 func (r *Route) check(knownServices map[string]bool, faults *errs.Batch) {
 	for _, weighted := range r.Split {
 		if !knownServices[weighted.Service] {
-			faults.Addf(errs.BadInput, "route %q: service %q: not defined among the services of the plan", r.Name, weighted.Service)
+			faults.Addf(errs.BadInput, "route %q: service %q: not defined among the services of the routing configuration", r.Name, weighted.Service)
 		}
 	}
 	if r.totalWeight() == 0 {
@@ -63,8 +63,8 @@
 	}
 }
 
-// CheckSuccessor returns an error of kind errs.BadInput unless the version of a new plan is above the version
-// of the plan in force, which is 0 if there is none.
+// CheckSuccessor returns an error of kind errs.BadInput unless the version of a new routing configuration is above
+// the version of the one in force. inForce is 0 if no routing configuration is in force.
 //
 // Example: if err := routingconfig.CheckSuccessor(inForce.Version, p.Version); err != nil { return err }
 func CheckSuccessor(inForce, next uint64) error {
