--- a/internal/capacity/codec.go
+++ b/internal/capacity/codec.go
@@ -26,7 +26,7 @@
 			split = append(split, object{"takingService": service.Service, "weight": service.Weight})
 		}
 		routes = append(routes, object{"name": route.Name, "hostname": route.Host, "prefixOfPath": route.Prefix, "kindOfRoute": int(route.Kind), "longestMs": route.Timeout.Milliseconds(),
-			"latencyWantedMs": route.LatencyTarget.Milliseconds(), "gapWantedMs": route.MaxEventGap.Milliseconds(), "priority": route.Priority, "mostTries": route.MaxAttempts, "public": route.Public, "sessionDrawn": route.NamesPromptParts, "resumable": route.Resumable, "split": split})
+			"latencyWantedMs": route.LatencyTarget.Milliseconds(), "gapWantedMs": route.MaxEventGap.Milliseconds(), "priority": route.Priority, "mostTries": route.MaxAttempts, "public": route.Public, "sessionDrawn": route.CarriesPromptPartIDs, "resumable": route.Resumable, "split": split})
 	}
 	for _, service := range plan.Services {
 		services = append(services, object{"name": service.Name, "healthAt": service.HealthPath, "mostConnections": service.MaxConns, "slots": service.Engine.Slots, "room": service.Engine.CapacityTokens, "tokenBytes": service.Engine.TokenBytes, "models": service.Engine.Models})
@@ -119,7 +119,7 @@
 		case "public":
 			return decodeBool(decoder, &route.Public)
 		case "sessionDrawn":
-			return decodeBool(decoder, &route.NamesPromptParts)
+			return decodeBool(decoder, &route.CarriesPromptPartIDs)
 		case "resumable":
 			return decodeBool(decoder, &route.Resumable)
 		case "split":
@@ -207,7 +207,7 @@
 	}
 	for i := range routes {
 		plan.Routes = append(plan.Routes, routingconfig.Route{Name: "r-" + randomText(random, 7), Host: hosts[i%len(hosts)], Prefix: fmt.Sprintf("/%s%d/", randomText(random, 6), i), Kind: routingconfig.EventStream,
-			Timeout: 8 * time.Second, LatencyTarget: 600 * time.Millisecond, MaxEventGap: 250 * time.Millisecond, Priority: i % 3, MaxAttempts: 2, NamesPromptParts: true, Resumable: true, Split: []routingconfig.WeightedService{{Service: serviceName(i % modelCount), Weight: 100}}})
+			Timeout: 8 * time.Second, LatencyTarget: 600 * time.Millisecond, MaxEventGap: 250 * time.Millisecond, Priority: i % 3, MaxAttempts: 2, CarriesPromptPartIDs: true, Resumable: true, Split: []routingconfig.WeightedService{{Service: serviceName(i % modelCount), Weight: 100}}})
 	}
 	for i := range tenants {
 		plan.Tenants = append(plan.Tenants, routingconfig.Tenant{Name: fmt.Sprintf("%s%d", randomText(random, 5), i), Keys: []string{randomText(random, 20)}, Priority: i % 3, Isolated: i%4 == 0})
--- a/internal/capacity/group.go
+++ b/internal/capacity/group.go
@@ -57,7 +57,7 @@
 	group := &groupUnderTest{limits: bounds(), stopAll: []func(){func() { os.RemoveAll(dir) }}}
 	group.limits.LeaveMs = 3000
 	if b.quick {
-		group.limits.HealMs = 3000
+		group.limits.RecoveryMs = 3000
 	}
 	var counters []*byteCounter
 	for range members {
@@ -110,7 +110,7 @@
 		return 0, err
 	}
 	ctx := context.Background()
-	heartbeatDelay := group.limits.Heal(0.25) // members announce what is committed with their heartbeats
+	heartbeatDelay := group.limits.Recovery(0.25) // members announce what is committed with their heartbeats
 	if err := until("the agent has the first plan with its proof", func() bool {
 		snapshot := follower.Snapshot()
 		return snapshot.Plan != nil && snapshot.Plan.Version == group.first.base
--- a/internal/capacity/indexcalls.go
+++ b/internal/capacity/indexcalls.go
@@ -51,7 +51,7 @@
 	defer process.Stop(time.Second)
 	snapshot := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: workerList(1, 1),
 		Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", Zone: zoneName(0), Addr: connections.addr()}}}
-	node, err := promptindex.StartSite(process, &prefixCacheWorker{parts: parts}, func() *fleet.Snapshot { return snapshot })
+	node, err := promptindex.StartWithCacheEvents(process, &prefixCacheWorker{parts: parts}, func() *fleet.Snapshot { return snapshot })
 	if err != nil {
 		return err
 	}
--- a/internal/capacity/traffic.go
+++ b/internal/capacity/traffic.go
@@ -171,7 +171,7 @@
 		process.Settings.Public = front.addr()
 		defer process.Stop(time.Second)
 		plan := &routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), MaxConns: 630, Engine: engine()}},
-			Routes: []routingconfig.Route{{Name: "r", Host: "host.example", Prefix: "/pre/", Kind: routingconfig.EventStream, Timeout: time.Minute, LatencyTarget: time.Minute, Public: true, NamesPromptParts: true, Resumable: true, MaxAttempts: 1, Split: []routingconfig.WeightedService{{Service: serviceName(0), Weight: 1}}}},
+			Routes: []routingconfig.Route{{Name: "r", Host: "host.example", Prefix: "/pre/", Kind: routingconfig.EventStream, Timeout: time.Minute, LatencyTarget: time.Minute, Public: true, CarriesPromptPartIDs: true, Resumable: true, MaxAttempts: 1, Split: []routingconfig.WeightedService{{Service: serviceName(0), Weight: 1}}}},
 			Limits: routingconfig.Limits{HeaderBytes: 16 << 10, BodyBytes: 1 << 20, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}}
 		snapshot := &fleet.Snapshot{Plan: plan.BuildIndex(), ProofAt: process.Clock.Now(), EdgeCount: 1,
 			Workers: []fleet.Worker{{ID: "i-0", Service: serviceName(0), Addr: hollow.address, Zone: zoneName(0), Slots: 128, Weights: map[string]uint64{modelName(0): 3}}}}
--- a/internal/capacity/workers.go
+++ b/internal/capacity/workers.go
@@ -109,7 +109,7 @@
 		process := newProcess("edge-1", bounds(), nil)
 		defer process.Stop(time.Second)
 		plan := &routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), MaxConns: 630, Engine: engine()}},
-			Routes: []routingconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routingconfig.EventStream, Timeout: 8 * time.Second, LatencyTarget: time.Second, NamesPromptParts: true, MaxAttempts: 2, Split: []routingconfig.WeightedService{{Service: serviceName(0), Weight: 1}}}}}
+			Routes: []routingconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routingconfig.EventStream, Timeout: 8 * time.Second, LatencyTarget: time.Second, CarriesPromptPartIDs: true, MaxAttempts: 2, Split: []routingconfig.WeightedService{{Service: serviceName(0), Weight: 1}}}}}
 		snapshot := &fleet.Snapshot{Plan: plan.BuildIndex(), ProofAt: process.Clock.Now(), Workers: workerList(int(count), 1), EdgeCount: 340}
 		selector := selection.New(process, indexclient.New(process, func() []*wire.Node { return nil }))
 		i, random := 0, rand.New(rand.NewPCG(1, 2))
@@ -157,15 +157,15 @@
 		{"round-cpu", "µs", "processor time at an index node for each question to a worker, beside the call itself and the events in it"},
 	}, func(workers float64) ([]float64, error) {
 		short := bounds()
-		short.HealMs = 1200
+		short.RecoveryMs = 1200
 		if b.quick {
-			short.HealMs = 240
+			short.RecoveryMs = 240
 		}
 		process := newProcess("core-1", short, nil)
 		snapshot := &fleet.Snapshot{Plan: (&routingconfig.Plan{Version: 1, Services: []routingconfig.Service{{Name: serviceName(0), Engine: engine()}}}).BuildIndex(), Workers: workerList(int(workers), 1),
 			Nodes: []*wire.Node{{Name: "catalogue/core-1", Role: "catalogue", Zone: zoneName(0), Addr: "127.0.0.1:1"}}}
 		client := &idleWorkerClient{calls: make(chan struct{}, 1<<16)}
-		if _, err := promptindex.StartSite(process, client, func() *fleet.Snapshot { return snapshot }); err != nil {
+		if _, err := promptindex.StartWithCacheEvents(process, client, func() *fleet.Snapshot { return snapshot }); err != nil {
 			return nil, err
 		}
 		defer process.Stop(time.Second)
--- a/internal/cli/parse.go
+++ b/internal/cli/parse.go
@@ -46,7 +46,7 @@
 	parser.String(&inv.request, "r", "request", "ID of a request")
 	parser.String(&inv.confirmedMember, "", "confirm", "with group restore: the member to restore from, as shown by the dry run")
 	parser.StringSlice(&inv.parts, "p", "part", "with index lookup: a part of the prompt; repeatable, in order")
-	set.AddFirstNames(parser)
+	set.AddFormerNames(parser)
 	return parser
 }
 
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -277,8 +277,8 @@
 			"config diff --file -": 8, "config validate --file -": 8, "nodes": 0, "status": 1} {
 			from := time.Now()
 			got, out, stderr := site.runOn(1, `{"version":4}`, args)
-			if d := time.Since(from); got != code || d > set.DefaultBounds().Heal(0.75) {
-				t.Errorf("pebblectl %s without a majority: got exit code %d after %v and output %s%s, want exit code %d within %v", args, got, d, out, stderr, code, set.DefaultBounds().Heal(0.75))
+			if d := time.Since(from); got != code || d > set.DefaultBounds().Recovery(0.75) {
+				t.Errorf("pebblectl %s without a majority: got exit code %d after %v and output %s%s, want exit code %d within %v", args, got, d, out, stderr, code, set.DefaultBounds().Recovery(0.75))
 			}
 		}
 		if a := site.query(1, "status"); !a.hasProblem("part-unowned", "site") || a.hasProblem("plan-unknown", "") {
--- a/internal/control/calendar/steps.go
+++ b/internal/control/calendar/steps.go
@@ -11,7 +11,7 @@
 
 // Kinds of steps of a calendar entry.
 const (
-	StepNameWeights   StepKind = "name"     // sets the new version of the model's weights in the configuration
+	StepSetWeights    StepKind = "name"     // sets the new version of the model's weights in the configuration
 	StepAwaitWeights  StepKind = "see"      // waits until every worker serves the new weights
 	StepDrain         StepKind = "drain"    // marks a batch of workers as draining in the configuration
 	StepAwaitReplaced StepKind = "replaced" // waits until each worker of the batch is reachable as a new incarnation
@@ -53,7 +53,7 @@
 func (e *Entry) planSteps(observed Observation) []Step {
 	switch e.Kind {
 	case KindWeights:
-		return []Step{pendingStep(StepNameWeights), pendingStep(StepAwaitWeights)}
+		return []Step{pendingStep(StepSetWeights), pendingStep(StepAwaitWeights)}
 	case KindRelease:
 		return e.planRelease(observed)
 	case KindHandover:
@@ -107,7 +107,7 @@
 		return "no configuration is known"
 	}
 	switch step.Kind {
-	case StepNameWeights:
+	case StepSetWeights:
 		model, ok := config.Models[e.Model]
 		if !ok {
 			return "model " + e.Model + " isn't in the configuration"
@@ -158,7 +158,7 @@
 // patch returns the patch that a step makes to the service configuration, or nil for a step that waits.
 func (e *Entry) patch(step *Step) object {
 	switch step.Kind {
-	case StepNameWeights:
+	case StepSetWeights:
 		return object{"models": object{e.Model: object{"weights": e.Weights}}}
 	case StepDrain:
 		return drainPatch(step.Workers, true)
--- a/internal/control/clustermembership/core_test.go
+++ b/internal/control/clustermembership/core_test.go
@@ -232,7 +232,7 @@
 		t.Fatalf("during the partition: counts of nodes by the state in which they see n-12: %v, want 6 dead (%d)", got, Dead)
 	}
 	site.linkDown = noPartition
-	site.run(settings.DefaultBounds().Heal(0.5))
+	site.run(settings.DefaultBounds().Recovery(0.5))
 	for i := range 13 {
 		if got := site.states(nodeName(i)); got[Alive] != 13 {
 			t.Fatalf("after the partition healed: counts of nodes by the state in which they see n-%d: %v, want 13 alive (%d)", i, got, Alive)
--- a/internal/control/clustermembership/failure.go
+++ b/internal/control/clustermembership/failure.go
@@ -7,7 +7,7 @@
 const (
 	suspectRatio = 0.35 // fraction of Bounds.LeaveMs without a heartbeat after which an observer marks a node suspect
 	deadRatio    = 0.25 // fraction of Bounds.LeaveMs after which a suspect node is marked dead
-	reapRatio    = 10   // multiple of Bounds.HealMs after which a dead node is removed from the view
+	reapRatio    = 10   // multiple of Bounds.RecoveryMs after which a dead node is removed from the view
 )
 
 // detectFailures marks observed nodes suspect if their heartbeats are missing, marks suspect nodes dead after a
@@ -22,7 +22,7 @@
 			c.setState(p, Suspect, now)
 		case state == Suspect && now-p.changedAt > c.bounds.Leave(deadRatio):
 			c.setState(p, Dead, now)
-		case state == Dead && now-p.changedAt > c.bounds.Heal(reapRatio):
+		case state == Dead && now-p.changedAt > c.bounds.Recovery(reapRatio):
 			delete(c.peers, name)
 			c.version++
 		}
--- a/internal/control/clustermembership/member_test.go
+++ b/internal/control/clustermembership/member_test.go
@@ -16,7 +16,7 @@
 )
 
 // A heartbeat period in the site settings that is longer than the default raises the time limit LeaveMs for
-// detecting a failed node; a shorter one does not reduce it. The time limit HealMs stays the same.
+// detecting a failed node; a shorter one does not reduce it. The time limit RecoveryMs stays the same.
 func TestSiteHeartbeatStretchesLeaveBound(t *testing.T) {
 	process := settings.Process{Bounds: settings.DefaultBounds()}
 	if b := siteBounds(process); b != settings.DefaultBounds() {
@@ -24,9 +24,9 @@
 	}
 	for ms, want := range map[int]time.Duration{100: 300 * time.Millisecond, 1200: 1200 * time.Millisecond} {
 		process.Site = &settings.Site{HeartbeatMs: ms}
-		if b := siteBounds(process); b.Leave(heartbeatRatio) != want || b.Heal(1) != settings.DefaultBounds().Heal(1) {
-			t.Errorf("siteBounds with a heartbeat period of %d ms in the settings: got a period of %v, want %v; got a time limit HealMs of %v, want %v",
-				ms, b.Leave(heartbeatRatio), want, b.Heal(1), settings.DefaultBounds().Heal(1))
+		if b := siteBounds(process); b.Leave(heartbeatRatio) != want || b.Recovery(1) != settings.DefaultBounds().Recovery(1) {
+			t.Errorf("siteBounds with a heartbeat period of %d ms in the settings: got a period of %v, want %v; got a time limit RecoveryMs of %v, want %v",
+				ms, b.Leave(heartbeatRatio), want, b.Recovery(1), settings.DefaultBounds().Recovery(1))
 		}
 	}
 }
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -21,14 +21,14 @@
 )
 
 // requestRatio is the period during which Change and Read start attempts at control nodes, as a fraction of
-// Bounds.Heal, the bound on the recovery time after a fault. An attempt that has started is bounded by its own
+// Bounds.Recovery, the bound on the recovery time after a fault. An attempt that has started is bounded by its own
 // timeout, so that its response is not lost at the end of the period.
 const requestRatio = 0.5
 
 // Timing of the attempts of a client made by New, which has a fixed list of control nodes.
 const (
-	fixedAttemptRatio = 1.0 / 8   // timeout of an attempt at one control node, as a fraction of the recovery time bound Bounds.Heal
-	fixedPauseRatio   = 1.0 / 120 // pause after all members of a shard were tried without success, as a fraction of the recovery time bound Bounds.Heal
+	fixedAttemptRatio = 1.0 / 8   // timeout of an attempt at one control node, as a fraction of the recovery time bound Bounds.Recovery
+	fixedPauseRatio   = 1.0 / 120 // pause after all members of a shard were tried without success, as a fraction of the recovery time bound Bounds.Recovery
 )
 
 // Client sends requests to the leaders of the control state's shards. It is safe for concurrent use.
@@ -73,7 +73,7 @@
 // tryFixedMembers tries a shard's members in turn, for a client with a fixed list of control nodes. When a member
 // names another one as the leader, that one is tried next.
 func (c *Client) tryFixedMembers(caller context.Context, shard uint32, attempt attemptFunc) bool {
-	ctx, cancel := context.WithTimeout(caller, c.bounds.Heal(requestRatio))
+	ctx, cancel := context.WithTimeout(caller, c.bounds.Recovery(requestRatio))
 	defer cancel()
 	members := Members(shard, c.controlNodes)
 	namedLeader := ""
@@ -83,7 +83,7 @@
 			member, namedLeader = namedLeader, ""
 		}
 		if addr, ok := c.view().Addr(clustermembership.RoleControlNode + "/" + member); ok {
-			result := c.tryOne(caller, c.bounds.Heal(fixedAttemptRatio), addr, attempt)
+			result := c.tryOne(caller, c.bounds.Recovery(fixedAttemptRatio), addr, attempt)
 			if result.done {
 				return true
 			}
@@ -94,7 +94,7 @@
 		if i%len(members) == len(members)-1 {
 			select {
 			case <-ctx.Done():
-			case <-time.After(c.bounds.Heal(fixedPauseRatio)):
+			case <-time.After(c.bounds.Recovery(fixedPauseRatio)):
 			}
 		}
 	}
--- a/internal/control/controlclient/client_test.go
+++ b/internal/control/controlclient/client_test.go
@@ -56,11 +56,11 @@
 	return server.Listener.Addr().String()
 }
 
-// boundsWithHeal returns the default bounds with the given Bounds.Heal in milliseconds. All timeouts of a Client are
+// boundsWithRecovery returns the default bounds with the given Bounds.Recovery in milliseconds. All timeouts of a Client are
 // fractions of it.
-func boundsWithHeal(ms int) settings.Bounds {
+func boundsWithRecovery(ms int) settings.Bounds {
 	bounds := settings.DefaultBounds()
-	bounds.HealMs = ms
+	bounds.RecoveryMs = ms
 	return bounds
 }
 
@@ -76,7 +76,7 @@
 	for name, member := range members {
 		view.Nodes = append(view.Nodes, &wire.Node{Name: "archive/" + name, Addr: serve(t, member)})
 	}
-	bounds := boundsWithHeal(1200)
+	bounds := boundsWithRecovery(1200)
 	return New([]string{"core-1", "core-2", "core-3", "core-4"}, func() clustermembership.View { return view }, newTestClients(bounds), bounds)
 }
 
--- a/internal/control/controlclient/group.go
+++ b/internal/control/controlclient/group.go
@@ -12,9 +12,9 @@
 
 // Timing of the attempts of a client made by NewGroupClient.
 const (
-	attemptRatio         = 1.0 / 24  // timeout of an attempt whose request has no body, as a fraction of the recovery time bound Bounds.Heal
+	attemptRatio         = 1.0 / 24  // timeout of an attempt whose request has no body, as a fraction of the recovery time bound Bounds.Recovery
 	attemptDoublingBytes = 256 << 10 // size in bytes of a request body with which an attempt gets twice the timeout of one without a body
-	retryPauseRatio      = 1.0 / 80  // pause after all addresses were tried without success, as a fraction of the recovery time bound Bounds.Heal
+	retryPauseRatio      = 1.0 / 80  // pause after all addresses were tried without success, as a fraction of the recovery time bound Bounds.Recovery
 	shortAttemptRatio    = 1.0 / 4   // timeout of an attempt at an unresponsive address while the leader seems unreachable, as a fraction of the usual timeout
 )
 
@@ -33,7 +33,7 @@
 // whether one returned done. It stops early if the group's leader still seems unreachable from this process after all
 // addresses have been tried, so that the caller has time left to send its request elsewhere.
 func (c *Client) tryGroup(caller context.Context, bodySize int, attempt attemptFunc) bool {
-	ctx, cancel := context.WithTimeout(caller, c.bounds.Heal(requestRatio))
+	ctx, cancel := context.WithTimeout(caller, c.bounds.Recovery(requestRatio))
 	defer cancel()
 	for ctx.Err() == nil {
 		if c.tryEachAddress(ctx, caller, bodySize, attempt) {
@@ -42,7 +42,7 @@
 		if c.group.leaderUnreachable(c.Addresses()) {
 			return false
 		}
-		clock.Sleep(ctx, c.bounds.Heal(retryPauseRatio))
+		clock.Sleep(ctx, c.bounds.Recovery(retryPauseRatio))
 	}
 	return false
 }
@@ -100,5 +100,5 @@
 
 // attemptTimeout returns the timeout of an attempt whose request body has the given size in bytes.
 func (c *Client) attemptTimeout(bodySize int) time.Duration {
-	return c.bounds.Heal(attemptRatio * (1 + float64(bodySize)/attemptDoublingBytes))
+	return c.bounds.Recovery(attemptRatio * (1 + float64(bodySize)/attemptDoublingBytes))
 }
--- a/internal/control/controlclient/group_test.go
+++ b/internal/control/controlclient/group_test.go
@@ -43,7 +43,7 @@
 		members[i] = &groupMember{mu: &mu, leader: &leader}
 		addr[i] = serve(t, members[i])
 	}
-	bounds := boundsWithHeal(60000) // Bounds.Heal of 1 min, so that attempts do not time out on a busy machine
+	bounds := boundsWithRecovery(60000) // Bounds.Recovery of 1 min, so that attempts do not time out on a busy machine
 	view := clustermembership.View{Nodes: []*wire.Node{{Name: "archive/core-2", Role: "archive", Addr: addr[1]}, {Name: "runner/e", Role: "runner", Addr: addr[0]}}}
 	client := NewGroupClient([]string{addr[2], "127.0.0.1:1"}, func() clustermembership.View { return view }, newTestClients(bounds), bounds)
 	for _, test := range []struct {
--- a/internal/control/controlclient/partition_test.go
+++ b/internal/control/controlclient/partition_test.go
@@ -57,7 +57,7 @@
 		group.addr[name] = serve(t, &partitionableMember{name: name, group: group})
 		seeds = append(seeds, group.addr[name])
 	}
-	bounds := boundsWithHeal(6000) // gives an attempt whose request has no body a timeout of 250 ms
+	bounds := boundsWithRecovery(6000) // gives an attempt whose request has no body a timeout of 250 ms
 	view := func() clustermembership.View { return clustermembership.View{} }
 	return group, NewGroupClient(seeds, view, newTestClients(bounds), bounds)
 }
--- a/internal/control/controlclient/sent_once_test.go
+++ b/internal/control/controlclient/sent_once_test.go
@@ -162,7 +162,7 @@
 
 func testSentOnce(t *testing.T, member *faultyMember, token string) {
 	t.Helper()
-	bounds := boundsWithHeal(6000)
+	bounds := boundsWithRecovery(6000)
 	view := clustermembership.View{Nodes: []*wire.Node{{Name: "archive/core-1", Addr: member.addr}}}
 	client := New([]string{"core-1"}, func() clustermembership.View { return view }, newTestClients(bounds), bounds)
 	change := func(key, token string) error {
--- a/internal/control/controllers/controller.go
+++ b/internal/control/controllers/controller.go
@@ -15,7 +15,7 @@
 //
 // Durations are fractions of the bounds in settings.Bounds: the worker removal bound Leave, within which a
 // worker that left stops receiving requests; the rollout time bound Weights, within which requests stop
-// starting on versions older than the target version; and the recovery time bound Heal, within which service
+// starting on versions older than the target version; and the recovery time bound Recovery, within which service
 // is restored after a fault.
 //
 // The package controls workers through a backend.Client. Package placementcontroller does the same for
--- a/internal/control/controllers/placement.go
+++ b/internal/control/controllers/placement.go
@@ -14,8 +14,8 @@
 
 // Timing and limits of the controller that places prompt prefixes on workers.
 const (
-	placementPollRatio = 0.25 // interval between updates of the assignment of a service's cached prompt prefixes to workers, as a fraction of the recovery time bound Bounds.Heal
-	recomputeRatio     = 1.0  // interval between full computations of the assignment of a service's cached prompt prefixes to workers, as a fraction of the recovery time bound Bounds.Heal
+	placementPollRatio = 0.25 // interval between updates of the assignment of a service's cached prompt prefixes to workers, as a fraction of the recovery time bound Bounds.Recovery
+	recomputeRatio     = 1.0  // interval between full computations of the assignment of a service's cached prompt prefixes to workers, as a fraction of the recovery time bound Bounds.Recovery
 
 	hotEntriesLimit = 1000 // maximum number of prompt prefixes requested from each index node, the most frequently used first
 )
@@ -42,7 +42,7 @@
 		if snapshot := s.latestSnapshot(); snapshot != nil && snapshot.Plan != nil {
 			s.updatePlacements(snapshot.Plan.Services)
 		}
-		clock.Sleep(s.ctx, s.process.Settings.Bounds.Heal(placementPollRatio))
+		clock.Sleep(s.ctx, s.process.Settings.Bounds.Recovery(placementPollRatio))
 	}
 }
 
@@ -69,7 +69,7 @@
 	}
 	now := s.process.Clock.Now()
 	workers := serviceWorkerIDs(s.workers.Document().Workers, service.Name)
-	next, changed := nextPlacement(p, service, hot, workers, now, s.process.Settings.Bounds.Heal(recomputeRatio))
+	next, changed := nextPlacement(p, service, hot, workers, now, s.process.Settings.Bounds.Recovery(recomputeRatio))
 	if changed {
 		s.queuePlacement(p, next)
 		s.process.Log.Info("placement", "service", service.Name, "fencing_token", s.fencingToken, "replicated", len(next.Replicated),
--- a/internal/control/controllers/process.go
+++ b/internal/control/controllers/process.go
@@ -17,7 +17,7 @@
 )
 
 // hotEntriesTimeoutRatio is the common timeout of the concurrent queries to all index nodes, as a fraction of
-// the recovery time bound Bounds.Heal.
+// the recovery time bound Bounds.Recovery.
 const hotEntriesTimeoutRatio = 1.0 / 48
 
 // StartProcess starts the index and placement process of a core machine: a cluster member in the index
@@ -35,7 +35,7 @@
 	if err != nil {
 		return errs.Wrap(err, "agent")
 	}
-	index, err := promptindex.StartSite(process, workerClient, member.Snapshot)
+	index, err := promptindex.StartWithCacheEvents(process, workerClient, member.Snapshot)
 	if err != nil {
 		return errs.Wrap(err, "index")
 	}
@@ -58,7 +58,7 @@
 // that they return is used.
 func queryIndexNodes(process *daemon.Process, membership func() clustermembership.View, client func(addr string) wire.PromptIndex) HotEntriesFunc {
 	return func(ctx context.Context, service string) []*wire.HotPrefix {
-		ctx, cancel := context.WithTimeout(ctx, process.Settings.Bounds.Heal(hotEntriesTimeoutRatio))
+		ctx, cancel := context.WithTimeout(ctx, process.Settings.Bounds.Recovery(hotEntriesTimeoutRatio))
 		defer cancel()
 		nodes := promptindex.ServingNodes(membership().Nodes)
 		responses := make(chan *wire.HottestResponse, len(nodes))
@@ -76,6 +76,6 @@
 		for response := range responses {
 			all = append(all, response)
 		}
-		return promptindex.MergeHot(all)
+		return promptindex.MergeHotPrefixes(all)
 	}
 }
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -68,8 +68,8 @@
 				}
 			}
 		}
-		if elapsed := process.Clock.Now() - start; elapsed > 2*bounds().Heal(hotEntriesTimeoutRatio) {
-			t.Errorf("three queries of the prompt index, two of them to a node that does not respond, took %v, want at most two timeouts of %v", elapsed, bounds().Heal(hotEntriesTimeoutRatio))
+		if elapsed := process.Clock.Now() - start; elapsed > 2*bounds().Recovery(hotEntriesTimeoutRatio) {
+			t.Errorf("three queries of the prompt index, two of them to a node that does not respond, took %v, want at most two timeouts of %v", elapsed, bounds().Recovery(hotEntriesTimeoutRatio))
 		}
 		if got := query(clustermembership.View{}); len(got) != 0 {
 			t.Errorf("query of the prompt index without any node: hotness by prefix %v, want no prefixes", got)
--- a/internal/control/controllers/site_test.go
+++ b/internal/control/controllers/site_test.go
@@ -169,10 +169,10 @@
 func (s *testSite) snapshot() *fleet.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	snapshot := &fleet.Snapshot{NamedVersions: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Plan: &routingconfig.Plan{Services: []routingconfig.Service{
+	snapshot := &fleet.Snapshot{TargetVersions: map[string]uint64{}, TargetSetAt: map[string]time.Duration{}, Plan: &routingconfig.Plan{Services: []routingconfig.Service{
 		{Name: "reading", Engine: &routingconfig.Engine{Slots: 8, CapacityTokens: 10000, TokenBytes: 18432, LinkMbps: 370000}}, {Name: "plain"}}}}
 	for model, version := range s.targetVersions {
-		snapshot.NamedVersions[model], snapshot.NamedAt[model] = version, s.targetSetAt[model]
+		snapshot.TargetVersions[model], snapshot.TargetSetAt[model] = version, s.targetSetAt[model]
 	}
 	return snapshot
 }
--- a/internal/control/controllers/targetversions.go
+++ b/internal/control/controllers/targetversions.go
@@ -22,11 +22,11 @@
 // serves a version older than the previous target, the rollout continues and its start is kept: a quick succession of
 // new targets must not extend the time that workers may stay on older weights.
 func (t *targetVersions) update(snapshot *fleet.Snapshot, workers []fleet.Worker) {
-	for model, version := range snapshot.NamedVersions {
+	for model, version := range snapshot.TargetVersions {
 		if version <= t.versions[model] {
 			continue
 		}
-		if at, ok := snapshot.NamedAt[model]; ok && !t.anyWorkerLacks(model, workers) {
+		if at, ok := snapshot.TargetSetAt[model]; ok && !t.anyWorkerLacks(model, workers) {
 			t.rolloutStart[model] = at
 		}
 		t.versions[model] = version
--- a/internal/control/controllers/targetversions_test.go
+++ b/internal/control/controllers/targetversions_test.go
@@ -11,7 +11,7 @@
 // again before all workers that are not draining serve it, the start of the rollout does not change.
 func TestRolloutStartIsUnchangedUntilTargetIsServed(t *testing.T) {
 	snapshot := func(version uint64, atSeconds int) *fleet.Snapshot {
-		return &fleet.Snapshot{NamedVersions: map[string]uint64{"daka": version}, NamedAt: map[string]time.Duration{"daka": time.Duration(atSeconds) * time.Second}}
+		return &fleet.Snapshot{TargetVersions: map[string]uint64{"daka": version}, TargetSetAt: map[string]time.Duration{"daka": time.Duration(atSeconds) * time.Second}}
 	}
 	draining := worker("3", 1)
 	draining.Draining = true
@@ -35,7 +35,7 @@
 			t.Errorf("when %s: target version %d and rollout start %v, want target version %d and rollout start %ds", test.name, weights.versions["daka"], weights.rolloutStart["daka"], test.wantVersion, test.wantSeconds)
 		}
 	}
-	weights.update(&fleet.Snapshot{NamedVersions: map[string]uint64{"other": 1}}, nil)
+	weights.update(&fleet.Snapshot{TargetVersions: map[string]uint64{"other": 1}}, nil)
 	if _, ok := weights.rolloutStart["other"]; ok || weights.versions["other"] != 1 {
 		t.Errorf("snapshot with target version 1 but without the time at which it was set: target version %d, rollout start known = %v; want version 1, false", weights.versions["other"], ok)
 	}
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -50,11 +50,11 @@
 	receivedBytes int           // total payload of the large messages sent to this machine
 }
 
-// Timing of the simulation. Virtual time advances by catchUpStep; the other values follow from the default heal bound.
+// Timing of the simulation. Virtual time advances by catchUpStep; the other values follow from the default recovery time bound.
 const (
 	catchUpStep = 5 * time.Millisecond
 	catchUpTick = 100 * time.Millisecond // groupTick of catchUpHeal
-	catchUpHeal = 12 * time.Second       // default heal bound
+	catchUpHeal = 12 * time.Second       // default recovery time bound
 	linkDelay   = 2 * time.Millisecond   // latency of a message, in addition to its transmission time
 )
 
@@ -88,7 +88,7 @@
 func (s *catchUpSim) start(node *catchUpNode, firstStart bool) {
 	node.starts++
 	starts := node.starts
-	node.disk.powerBudget = -1
+	node.disk.bytesUntilPowerLoss = -1
 	replica := newShard(context.Background(), 0, node.clock, hclog.NewNullLogger(), func(message *wire.Message) {
 		if node.starts == starts {
 			s.send(message)
@@ -109,7 +109,7 @@
 // process crashes in the middle of a write.
 func (s *catchUpSim) kill(node *catchUpNode, torn bool) {
 	if torn && node.shard != nil {
-		node.disk.powerBudget = s.random.IntN(1 << 20)
+		node.disk.bytesUntilPowerLoss = s.random.IntN(1 << 20)
 		for range 200 {
 			if s.step(); node.shard == nil || node.shard.failure != nil {
 				break
@@ -307,13 +307,13 @@
 }
 
 // put proposes a routing configuration to a node and waits for the response. It returns nil if the process ended first
-// or answerTimeout passed.
+// or responseTimeout passed.
 func (s *catchUpSim) put(node *catchUpNode, plan []byte) *wire.ChangeResponse {
 	starts := node.starts
 	put := &wire.Put{Key: routingconfig.DocumentKey, Body: plan, IfVersion: s.ackedVersion}
 	pending, response := node.shard.propose(putRequest(put), nil)
 	s.runStep(node)
-	for startedAt := s.now; response == nil && node.starts == starts && s.now-startedAt < answerTimeout; {
+	for startedAt := s.now; response == nil && node.starts == starts && s.now-startedAt < responseTimeout; {
 		select {
 		case response = <-pending.response:
 		default:
--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -300,7 +300,7 @@
 	clock.Sleep(search.ctx, searchTime)
 	search.stopped.Store(true)
 	clients.Wait()
-	clock.Sleep(search.ctx, settings.DefaultBounds().Heal(1))
+	clock.Sleep(search.ctx, settings.DefaultBounds().Recovery(1))
 	search.checkFinal()
 	return search
 }
--- a/internal/control/controlstate/corrupted_disk_test.go
+++ b/internal/control/controlstate/corrupted_disk_test.go
@@ -32,7 +32,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		defer cluster.stopAll()
-		cluster.startFounders(3)
+		cluster.startInitialGroup(3)
 		cluster.putVersion(1)
 		follower := cluster.leader()%3 + 1
 		before := cluster.node(follower).currentIncarnation()
@@ -60,7 +60,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		defer cluster.stopAll()
-		cluster.startFounders(3)
+		cluster.startInitialGroup(3)
 		cluster.putVersion(1)
 		intact := map[int]map[string][]byte{}
 		for _, i := range []int{1, 2} {
--- a/internal/control/controlstate/doc.go
+++ b/internal/control/controlstate/doc.go
@@ -21,7 +21,7 @@
 //     for a group that was never restored, and higher after each restore.
 //   - A member has failed while its failure field is set, after a disk error for example: it neither votes
 //     nor acknowledges anything.
-//   - The heal bound (settings.Bounds.Heal) is the configured time within which service has to be restored
+//   - The recovery time bound (settings.Bounds.Recovery) is the configured time within which service has to be restored
 //     after a fault. Most time-outs are fractions of it.
 //
 // Invariants that all files rely on:
--- a/internal/control/controlstate/fixed_transport.go
+++ b/internal/control/controlstate/fixed_transport.go
@@ -54,7 +54,7 @@
 // sendBatch sends consensus messages to a peer in one Deliver request. Messages of a failed request are not sent
 // again.
 func (n *Node) sendBatch(peer, addr string, batch []*wire.Message) {
-	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(sendTimeoutRatio))
+	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Recovery(sendTimeoutRatio))
 	defer cancel()
 	_, err := n.clients.ControlNode(addr).Deliver(ctx, &wire.MessageBatch{Format: messageFormat, Messages: batch})
 	if err != nil {
--- a/internal/control/controlstate/follow.go
+++ b/internal/control/controlstate/follow.go
@@ -44,7 +44,7 @@
 			// This node is shutting down. Delay the response by up to a tick: a client that gets one at once would immediately
 			// poll again.
 			draining = nil
-			timer.Reset(min(maxWait, n.process.Settings.Bounds.Heal(groupTick)))
+			timer.Reset(min(maxWait, n.process.Settings.Bounds.Recovery(groupTick)))
 		}
 	}
 }
--- a/internal/control/controlstate/forgotten_change_test.go
+++ b/internal/control/controlstate/forgotten_change_test.go
@@ -17,7 +17,7 @@
 func TestForgottenChangeAtTheOperatorAPI(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
-		cluster.startFounders(4)
+		cluster.startInitialGroup(4)
 		defer cluster.stopAll()
 		for version := range uint64(5) {
 			if _, err := cluster.node(1).PutRoutingConfig(ctx, version, body(version+1, "x"), false); err != nil {
@@ -45,8 +45,8 @@
 				if (err != nil) != (test.kind != nil) || err != nil && errs.KindOf(err) != test.kind {
 					t.Errorf("node %d: change %q based on version %d: error %v, want kind %+v (nil: acknowledged)", i+1, test.text, test.base, err, test.kind)
 				}
-				if waited := time.Since(startedAt); waited > answerWithin {
-					t.Errorf("node %d: change %q based on version %d: response after %v, want within %v", i+1, test.text, test.base, waited, answerWithin)
+				if waited := time.Since(startedAt); waited > maxResponseTime {
+					t.Errorf("node %d: change %q based on version %d: response after %v, want within %v", i+1, test.text, test.base, waited, maxResponseTime)
 				}
 			}
 		}
--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -11,7 +11,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing of a group. groupTick and reopenIntervalRatio are fractions of settings.Bounds.Heal, the configured time
+// Timing of a group. groupTick and reopenIntervalRatio are fractions of settings.Bounds.Recovery, the configured time
 // to restore service after a fault.
 const (
 	groupTick           = 1.0 / 120 // interval between ticks of a member's consensus core
--- a/internal/control/controlstate/group_faults_test.go
+++ b/internal/control/controlstate/group_faults_test.go
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
 		defer cluster.stopAll()
-		cluster.startFounders(3)
+		cluster.startInitialGroup(3)
 		if _, err := cluster.node(1).PutRoutingConfig(ctx, 0, body(1, "x"), false); err != nil {
 			t.Fatalf("change of the routing configuration before the disk stalls: %v", err)
 		}
@@ -38,8 +38,8 @@
 		if _, err := node.PutRoutingConfig(ctx, 1, body(2, "x"), false); err == nil || errs.KindOf(err) != errs.OutcomeUnknown {
 			t.Errorf("change at a node with a stalled disk: got error %v, want one of kind %v", err, errs.OutcomeUnknown.Name)
 		}
-		if waited := time.Since(startedAt); waited > answerWithin {
-			t.Errorf("change at a node with a stalled disk took %v, want at most %v", waited, answerWithin)
+		if waited := time.Since(startedAt); waited > maxResponseTime {
+			t.Errorf("change at a node with a stalled disk took %v, want at most %v", waited, maxResponseTime)
 		}
 		startedAt = time.Now()
 		response, _ := node.Follow(ctx, followRequest(pollTime, &wire.KnownVersion{Key: routingconfig.DocumentKey, Version: 1}))
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		defer cluster.stopAll()
-		cluster.startFounders(3)
+		cluster.startInitialGroup(3)
 		leader := cluster.leader()
 		node, disk := cluster.node(leader), cluster.disks[cluster.addr(leader)]
 		disk.update(func(disk *stallingDisk) { disk.disk.failWrites = true })
@@ -94,7 +94,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
 		defer cluster.stopAll()
-		cluster.startFounders(3)
+		cluster.startInitialGroup(3)
 		leader := cluster.leader()
 		cluster.makeOthersUnreachable(leader)
 		node := cluster.node(leader)
@@ -104,8 +104,8 @@
 			"change of the weights version": func() error { return node.SetWeightsVersion(ctx, "m", 2) },
 		} {
 			startedAt := time.Now()
-			if err := request(); err == nil || errs.KindOf(err) != errs.OutcomeUnknown || time.Since(startedAt) > answerWithin {
-				t.Errorf("%s without a quorum: got error %v after %v, want kind %v within %v", name, err, time.Since(startedAt), errs.OutcomeUnknown.Name, answerWithin)
+			if err := request(); err == nil || errs.KindOf(err) != errs.OutcomeUnknown || time.Since(startedAt) > maxResponseTime {
+				t.Errorf("%s without a quorum: got error %v after %v, want kind %v within %v", name, err, time.Since(startedAt), errs.OutcomeUnknown.Name, maxResponseTime)
 			}
 		}
 	})
@@ -118,7 +118,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			cluster := newTestCluster(t)
 			defer cluster.stopAll()
-			cluster.startFounders(3)
+			cluster.startInitialGroup(3)
 			leader := cluster.leader()
 			if othersUnreachable {
 				cluster.makeOthersUnreachable(leader)
--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		defer cluster.stopAll()
-		t.Log("time until the group had a leader:", cluster.startFounders(4))
+		t.Log("time until the group had a leader:", cluster.startInitialGroup(4))
 		checkPutsAndReads(t, cluster)
 		checkRejections(t, cluster.node(4))
 		checkWeightsVersions(t, cluster)
@@ -137,7 +137,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		defer func() { cluster.stopAll() }()
-		cluster.startFounders(4)
+		cluster.startInitialGroup(4)
 		cluster.putVersion(1)
 		replaceLeaderBySpare(t, cluster)
 		replaceLostDisk(cluster)
--- a/internal/control/controlstate/isolation_requests_test.go
+++ b/internal/control/controlstate/isolation_requests_test.go
@@ -17,7 +17,7 @@
 // startWithIsolatedMember starts a group of three members and isolates the leader or a follower in both directions.
 func startWithIsolatedMember(t *testing.T, isolatesLeader bool) *isolationWorld {
 	w := newIsolationWorld(t, isolationScenario{isolatesLeader: isolatesLeader, direction: isolatedBoth})
-	w.startFounders(3)
+	w.startInitialGroup(3)
 	w.chooseIsolatedMachine(3)
 	if err := w.putConfig(w.isolatedMachine, 0, body(1, "before")); err != nil {
 		t.Fatalf("change of the configuration before the isolation: %v", err)
@@ -46,8 +46,8 @@
 		} {
 			begun := time.Now()
 			response, _ := w.node(w.isolatedMachine).Change(context.Background(), request)
-			if waited := time.Since(begun); response.Outcome != wire.OutcomeOverloaded && response.Outcome != wire.OutcomeNotLeader || waited > answerWithin {
-				t.Errorf("%s: isolated leader responded with %v after %v, want overloaded or not-leader within %v", name, response, waited, answerWithin)
+			if waited := time.Since(begun); response.Outcome != wire.OutcomeOverloaded && response.Outcome != wire.OutcomeNotLeader || waited > maxResponseTime {
+				t.Errorf("%s: isolated leader responded with %v after %v, want overloaded or not-leader within %v", name, response, waited, maxResponseTime)
 			}
 		}
 	})
@@ -119,8 +119,8 @@
 		node.controlClient.HintLeader(w.addr(10))
 		begun := time.Now()
 		err := node.SetWeightsVersion(context.Background(), "m", 2)
-		if waited := time.Since(begun); err == nil || errs.KindOf(err) != errs.OutcomeUnknown || waited > answerWithin {
-			t.Errorf("SetWeightsVersion with constant conflicts: got error %v after %v, want an unknown outcome within %v", err, waited, answerWithin)
+		if waited := time.Since(begun); err == nil || errs.KindOf(err) != errs.OutcomeUnknown || waited > maxResponseTime {
+			t.Errorf("SetWeightsVersion with constant conflicts: got error %v after %v, want an unknown outcome within %v", err, waited, maxResponseTime)
 		}
 	})
 }
@@ -130,7 +130,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newIsolationWorld(t, isolationScenario{isolatesLeader: true, direction: isolatedBoth, withSpare: true})
 		defer w.healAndStop()
-		w.startFounders(4)
+		w.startInitialGroup(4)
 		request := followRequest(0, &wire.KnownVersion{Key: routingconfig.DocumentKey, Version: 9})
 		w.waitUntil("leader replicates to the learner", 5*time.Second, func() bool {
 			response, _ := w.node(4).Follow(context.Background(), request)
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -14,12 +14,12 @@
 	"pebbleloom/internal/wire"
 )
 
-// Durations and upper bounds for the isolation of a member. The bounds follow from the default heal bound (12 s)
+// Durations and upper bounds for the isolation of a member. The bounds follow from the default recovery time bound (12 s)
 // and the default time-out of acknowledgements (4 s).
 const (
 	isolationTime   = 20 * time.Second
-	answerWithin    = 950 * time.Millisecond  // time to respond: an operator's client tries another node after about 1 s
-	maxServeTime    = 1600 * time.Millisecond // time to respond to any request: serveTimeoutRatio of the heal bound, plus a tick
+	maxResponseTime = 950 * time.Millisecond  // time to respond: an operator's client tries another node after about 1 s
+	maxServeTime    = 1600 * time.Millisecond // time to respond to any request: serveTimeoutRatio of the recovery time bound, plus a tick
 	maxFailFastTime = 450 * time.Millisecond  // time to fail after long isolation: the client shortens its time-out for unresponsive nodes
 	maxStepDownTime = 2300 * time.Millisecond // time until a leader without a quorum steps down: two election time-outs, plus some ticks
 	maxFailoverTime = 6 * time.Second         // time until the others accept changes: step-down of a leader, election and restart
@@ -129,8 +129,8 @@
 func (w *isolationWorld) checkNoWeightsChange(attempt int) {
 	ctx, begun := context.Background(), time.Now()
 	err := w.node(w.isolatedMachine).SetWeightsVersion(ctx, "m", uint64(100+attempt))
-	if waited := time.Since(begun); err == nil || errs.KindOf(err).HTTPStatus != 503 || waited > answerWithin {
-		w.t.Errorf("at %v: isolated member responded to a weights change after %v with error %v, want status 503 within %v", w.elapsed(), waited, err, answerWithin)
+	if waited := time.Since(begun); err == nil || errs.KindOf(err).HTTPStatus != 503 || waited > maxResponseTime {
+		w.t.Errorf("at %v: isolated member responded to a weights change after %v with error %v, want status 503 within %v", w.elapsed(), waited, err, maxResponseTime)
 	}
 	switch err := w.node(w.isolatedMachine).SetWeightsVersion(ctx, "m", 1); {
 	case err == nil:
--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -203,8 +203,8 @@
 func (w *isolationWorld) putConfig(machine int, base uint64, config []byte) error {
 	begun := time.Now()
 	version, err := w.node(machine).PutRoutingConfig(context.Background(), base, config, false)
-	if waited := time.Since(begun); waited > answerWithin {
-		w.t.Errorf("at %v: machine %d took %v to respond to a change, want at most %v", w.elapsed(), machine, waited, answerWithin)
+	if waited := time.Since(begun); waited > maxResponseTime {
+		w.t.Errorf("at %v: machine %d took %v to respond to a change, want at most %v", w.elapsed(), machine, waited, maxResponseTime)
 	}
 	if err != nil && errs.KindOf(err).HTTPStatus != 503 {
 		w.t.Errorf("at %v: machine %d rejected a change on base version %d, want success or status 503: %v", w.elapsed(), machine, base, err)
@@ -221,8 +221,8 @@
 	ackedBefore := w.newestAcked()
 	begun := time.Now()
 	_, version, err := w.node(machine).ReadRoutingConfig(context.Background())
-	if waited := time.Since(begun); waited > answerWithin {
-		w.t.Errorf("at %v: machine %d took %v to respond to a read, want at most %v", w.elapsed(), machine, waited, answerWithin)
+	if waited := time.Since(begun); waited > maxResponseTime {
+		w.t.Errorf("at %v: machine %d took %v to respond to a read, want at most %v", w.elapsed(), machine, waited, maxResponseTime)
 	}
 	if err == nil && version < ackedBefore {
 		w.t.Errorf("at %v: stale read: machine %d returned version %d after version %d was acknowledged", w.elapsed(), machine, version, ackedBefore)
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -11,10 +11,10 @@
 )
 
 // joinIntervalRatio is the interval between checks whether this member has to request to join its group, as a
-// fraction of settings.Bounds.Heal, the configured time to restore service after a fault.
+// fraction of settings.Bounds.Recovery, the configured time to restore service after a fault.
 const joinIntervalRatio = 1.0 / 30
 
-// joinTimeoutRatio is the time-out of a request to join or leave the group, as a fraction of settings.Bounds.Heal,
+// joinTimeoutRatio is the time-out of a request to join or leave the group, as a fraction of settings.Bounds.Recovery,
 // the configured time to restore service after a fault.
 const joinTimeoutRatio = 1.0 / 30
 
@@ -47,8 +47,8 @@
 func (n *Node) joinLoop() {
 	bounds := n.process.Settings.Bounds
 	shard := n.shards[0]
-	for failures := 0; n.process.Ctx.Err() == nil; clock.Sleep(n.process.Ctx, bounds.Heal(joinIntervalRatio)) {
-		ctx, cancel := context.WithTimeout(n.process.Ctx, bounds.Heal(queryTimeoutRatio))
+	for failures := 0; n.process.Ctx.Err() == nil; clock.Sleep(n.process.Ctx, bounds.Recovery(joinIntervalRatio)) {
+		ctx, cancel := context.WithTimeout(n.process.Ctx, bounds.Recovery(queryTimeoutRatio))
 		action := query(ctx, shard, noRejoinAction, shard.rejoinAction)
 		cancel()
 		switch action {
@@ -160,7 +160,7 @@
 
 // sendJoin sends one join request for the member self to the control node at an address.
 func (n *Node) sendJoin(addr, self string) (*wire.JoinResponse, error) {
-	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
+	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Recovery(joinTimeoutRatio))
 	defer cancel()
 	return n.clients.ControlNode(addr).Join(ctx, &wire.JoinRequest{Name: self, Zone: n.process.Settings.Zone})
 }
--- a/internal/control/controlstate/leave.go
+++ b/internal/control/controlstate/leave.go
@@ -24,7 +24,7 @@
 	ctx, cancel := context.WithTimeout(ctx, settings.Fraction(n.process.Settings.Site.GraceMs, leaveTimeoutRatio))
 	defer cancel()
 	for ctx.Err() == nil && !n.tryLeave(ctx) {
-		clock.Sleep(ctx, n.process.Settings.Bounds.Heal(groupTick/2))
+		clock.Sleep(ctx, n.process.Settings.Bounds.Recovery(groupTick/2))
 	}
 	n.membership.Leave()
 }
@@ -37,7 +37,7 @@
 	if progress.done || progress.isLeader || progress.leader == "" {
 		return progress.done
 	}
-	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
+	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Recovery(joinTimeoutRatio))
 	defer cancel()
 	leader := n.clients.ControlNode(controlclient.MemberAddr(progress.leader))
 	response, err := leader.Join(ctx, &wire.JoinRequest{Name: progress.self, Leaving: true})
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -32,7 +32,7 @@
 // status of the shards cannot be read.
 func (n *Node) sumOverShards(value func(*wire.ShardStatus) float64) func() float64 {
 	return func() (total float64) {
-		ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(queryTimeoutRatio))
+		ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Recovery(queryTimeoutRatio))
 		defer cancel()
 		response, err := n.Status(ctx, &wire.StatusRequest{})
 		if err != nil {
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -40,7 +40,7 @@
 // maxLongPollTime limits the wait time that a client may request in a long poll (Watch and Follow).
 const maxLongPollTime = time.Minute
 
-// serveTimeoutRatio is the time-out for serving a change or a read, as a fraction of settings.Bounds.Heal, the
+// serveTimeoutRatio is the time-out for serving a change or a read, as a fraction of settings.Bounds.Recovery, the
 // configured time to restore service after a fault. The context of a request does not end when a network partition
 // separates its caller from this node, so without a time-out the request would block later ones.
 const serveTimeoutRatio = 1.0 / 8
@@ -48,7 +48,7 @@
 // serveContext returns a context that limits the time for serving a change or a read. The time-out grows with the
 // size of the request body, in bytes.
 func (n *Node) serveContext(ctx context.Context, size int) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(serveTimeoutRatio*(1+float64(size)/timeoutBodyBytes)))
+	return context.WithTimeout(ctx, n.process.Settings.Bounds.Recovery(serveTimeoutRatio*(1+float64(size)/timeoutBodyBytes)))
 }
 
 // Deliver accepts a batch of consensus messages from a peer. Messages are dropped if this node has no member of
--- a/internal/control/controlstate/node_history_test.go
+++ b/internal/control/controlstate/node_history_test.go
@@ -354,7 +354,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster = newNodeHistoryCluster(t, seed)
 		defer cluster.stopAll()
-		cluster.startFounders(historyMachines)
+		cluster.startInitialGroup(historyMachines)
 		ctx, stop := context.WithCancel(context.Background())
 		clients := cluster.startHistoryClients(ctx)
 		defer clients.Wait()
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -26,8 +26,8 @@
 	return openShard(context.Background(), config, disk, func() string { return "new" }, &clock.Manual{}, hclog.NewNullLogger(), func(*wire.Message) {})
 }
 
-// openRecorded opens the data directory in testdata/recorded-1, which a control node of the first release has written.
-func openRecorded(t *testing.T) *shard {
+// openFirstReleaseShard opens the data directory in testdata/recorded-1, which a control node of the first release has written.
+func openFirstReleaseShard(t *testing.T) *shard {
 	t.Helper()
 	disk := newSimDisk()
 	files, err := filepath.Glob("testdata/recorded-1/*")
@@ -49,7 +49,7 @@
 // The data directory of a control node of the first release must remain readable. The one in testdata/recorded-1 contains
 // version 4 of the configuration.
 func TestFirstReleaseDataIsReadable(t *testing.T) {
-	replica := openRecorded(t)
+	replica := openFirstReleaseShard(t)
 	status := replica.core.Status()
 	if status.Blank || status.LastIndex < 4 || status.Term == 0 {
 		t.Fatalf("status of the recovered member: %+v, want a member that is not blank, with a term and at least 4 log entries", status)
--- a/internal/control/controlstate/repeated_step_test.go
+++ b/internal/control/controlstate/repeated_step_test.go
@@ -84,7 +84,7 @@
 // recordedConfiguration returns the configuration on the recorded disk of a control machine of the first release.
 func recordedConfiguration(t *testing.T) []byte {
 	t.Helper()
-	replica := openRecorded(t)
+	replica := openFirstReleaseShard(t)
 	for _, entry := range replica.core.UnappliedEntries() {
 		replica.applyEntry(entry)
 	}
--- a/internal/control/controlstate/repeated_weights_test.go
+++ b/internal/control/controlstate/repeated_weights_test.go
@@ -19,7 +19,7 @@
 func TestRepeatedWeightsVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cluster, ctx := newTestCluster(t), context.Background()
-		cluster.startFounders(5)
+		cluster.startInitialGroup(5)
 		defer func() { cluster.stopAll() }()
 		var nodes []*Node
 		for i := range 5 {
--- a/internal/control/controlstate/restore.go
+++ b/internal/control/controlstate/restore.go
@@ -22,12 +22,12 @@
 // performs the restore on the surviving member.
 
 // memberReportTimeoutRatio is the time-out for querying other control nodes before a group is restored or before
-// the disk of a member outside a restored group is replaced, as a fraction of settings.Bounds.Heal, the configured
+// the disk of a member outside a restored group is replaced, as a fraction of settings.Bounds.Recovery, the configured
 // time to restore service after a fault.
 const memberReportTimeoutRatio = 1.0 / 12
 
 // restoreNoticeIntervalRatio is the interval at which the leader of a restored group sends notices to control
-// nodes outside the group, as a fraction of settings.Bounds.Heal, the configured time to restore service after a
+// nodes outside the group, as a fraction of settings.Bounds.Recovery, the configured time to restore service after a
 // fault.
 const restoreNoticeIntervalRatio = 1.0 / 12
 
@@ -193,7 +193,7 @@
 // queryMemberReports requests a memberReport from all control nodes that this one knows. answered includes the
 // report of this node; silent contains the addresses of the nodes that did not respond.
 func (n *Node) queryMemberReports(ctx context.Context) (self memberReport, answered []memberReport, silent []string) {
-	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(memberReportTimeoutRatio))
+	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Recovery(memberReportTimeoutRatio))
 	defer cancel()
 	self, _ = queryMemberReport(ctx, n)
 	answered = []memberReport{self}
@@ -288,7 +288,7 @@
 // confirmed.
 func (n *Node) replaceSupersededDisk() {
 	shard := n.shards[0]
-	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Heal(memberReportTimeoutRatio))
+	ctx, cancel := context.WithTimeout(n.process.Ctx, n.process.Settings.Bounds.Recovery(memberReportTimeoutRatio))
 	defer cancel()
 	generation := query(ctx, shard, 0, func() uint64 { return shard.supersededBy })
 	for _, addr := range n.controlClient.Addresses() {
@@ -302,7 +302,7 @@
 // servesGeneration reports whether the control node at an address leads a group of the given restore generation or
 // a later one, as confirmed by a quorum.
 func (n *Node) servesGeneration(ctx context.Context, addr string, generation uint64) bool {
-	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Heal(joinTimeoutRatio))
+	ctx, cancel := context.WithTimeout(ctx, n.process.Settings.Bounds.Recovery(joinTimeoutRatio))
 	defer cancel()
 	client := n.clients.ControlNode(addr)
 	follow, err := client.Follow(ctx, &wire.FollowRequest{})
--- a/internal/control/controlstate/restore_return_test.go
+++ b/internal/control/controlstate/restore_return_test.go
@@ -50,7 +50,7 @@
 func runReturnScenario(t *testing.T, scenario returnScenario) {
 	cluster := newTestCluster(t)
 	defer cluster.stopAll()
-	cluster.startFounders(3)
+	cluster.startInitialGroup(3)
 	cluster.putEverywhere(1)
 	cluster.stop(1)
 	cluster.putVersion(2) // machine 1 does not receive this version before the restore
@@ -131,7 +131,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		defer cluster.stopAll()
-		cluster.startFounders(3)
+		cluster.startInitialGroup(3)
 		cluster.putVersion(1)
 		erroneous := &wire.Message{Kind: wire.MessageKind_RESTORE_NOTICE, From: "10.0.0.9:7360/1", RestoreGeneration: restoredTokenStep * 7}
 		for i := 1; i <= 3; i++ {
--- a/internal/control/controlstate/restore_test.go
+++ b/internal/control/controlstate/restore_test.go
@@ -75,7 +75,7 @@
 func startSurvivor(t *testing.T) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t)
-	cluster.startFounders(3)
+	cluster.startInitialGroup(3)
 	cluster.putEverywhere(1)
 	cluster.stop(2)
 	cluster.stop(3)
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		defer cluster.stopAll()
-		cluster.startFounders(3)
+		cluster.startInitialGroup(3)
 		cluster.putVersion(1)
 		survivor := cluster.leader()
 		others := slices.DeleteFunc([]int{1, 2, 3}, func(i int) bool { return i == survivor })
@@ -165,7 +165,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		defer cluster.stopAll()
-		cluster.startFounders(3)
+		cluster.startInitialGroup(3)
 		leader := cluster.leader()
 		grant := &wire.Grant{Lease: "site", Holder: "x", TtlNs: uint64(time.Second)}
 		var granted *wire.ChangeResponse
@@ -219,7 +219,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		cluster := newTestCluster(t)
 		defer cluster.stopAll()
-		cluster.startFounders(3)
+		cluster.startInitialGroup(3)
 		cluster.putEverywhere(1)
 		if report, err := cluster.node(1).RestoreGroup(context.Background(), ""); err != nil || !strings.Contains(fmt.Sprint(report.Objections), "a majority of the members answers") {
 			t.Errorf("dry run of a restore while a majority responds: got %+v, error %v; want an objection", report, err)
--- a/internal/control/controlstate/second_loss_join_test.go
+++ b/internal/control/controlstate/second_loss_join_test.go
@@ -29,9 +29,9 @@
 		if !r.isHealthy(node) || r.now < join.nextAttempt {
 			continue
 		}
-		join.nextAttempt = r.now + bounds.Heal(joinIntervalRatio)
+		join.nextAttempt = r.now + bounds.Recovery(joinIntervalRatio)
 		if node.shard.needsJoin() {
-			join.nextAttempt += r.requestJoin(node, join, bounds.Heal(joinTimeoutRatio))
+			join.nextAttempt += r.requestJoin(node, join, bounds.Recovery(joinTimeoutRatio))
 		}
 	}
 }
--- a/internal/control/controlstate/shard_status.go
+++ b/internal/control/controlstate/shard_status.go
@@ -8,7 +8,7 @@
 )
 
 // queryTimeoutRatio is the time-out of this node's internal queries to a shard's goroutine, as a fraction of
-// settings.Bounds.Heal, the configured time to restore service after a fault.
+// settings.Bounds.Recovery, the configured time to restore service after a fault.
 const queryTimeoutRatio = 1.0 / 24
 
 // queryStatus returns the status of this node's member of a shard, listed under the given name. If the shard's
--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -29,8 +29,8 @@
 
 // Time-outs of simulated clients.
 const (
-	answerTimeout = 10 * time.Second       // maximum wait for the response to a request
-	pollTime      = 300 * time.Millisecond // duration of a long poll if there is no newer version
+	responseTimeout = 10 * time.Second       // maximum wait for the response to a request
+	pollTime        = 300 * time.Millisecond // duration of a long poll if there is no newer version
 )
 
 // simBase is the common part of the simulators of a shard (shardSim) and of a group (groupSim): virtual time,
@@ -204,7 +204,7 @@
 }
 
 // awaitResponse calls done with the response: in the next step if there is one already, otherwise when it arrives on
-// the pending channel. It gives up if the process that received the request ends first, or after answerTimeout.
+// the pending channel. It gives up if the process that received the request ends first, or after responseTimeout.
 func (s *simBase) awaitResponse(response *wire.ChangeResponse, pending <-chan *wire.ChangeResponse, isSameProcess func() bool, done func(*wire.ChangeResponse)) {
 	startedAt := s.now
 	s.inProgress = append(s.inProgress, func() bool {
@@ -212,7 +212,7 @@
 			select {
 			case response = <-pending:
 			default:
-				return isSameProcess() && s.now-startedAt < answerTimeout
+				return isSameProcess() && s.now-startedAt < responseTimeout
 			}
 		}
 		if isSameProcess() {
--- a/internal/control/controlstate/sim_disk_test.go
+++ b/internal/control/controlstate/sim_disk_test.go
@@ -10,10 +10,10 @@
 // simDisk is a disk in memory that can simulate a full disk, a slow disk or a loss of power. Every successful write is
 // synced when it returns.
 type simDisk struct {
-	files       map[string][]byte
-	failWrites  bool   // every write fails, as on a full disk
-	powerBudget int    // bytes that can still be written before the power fails; negative: it does not fail
-	beforeWrite func() // called before every write
+	files               map[string][]byte
+	failWrites          bool   // every write fails, as on a full disk
+	bytesUntilPowerLoss int    // bytes that can still be written before the power fails; negative: it does not fail
+	beforeWrite         func() // called before every write
 }
 
 // corruptSnapshots flips a bit in each snapshot file of a disk, so that no snapshot can be decoded.
@@ -27,7 +27,7 @@
 }
 
 // newSimDisk returns an empty disk.
-func newSimDisk() *simDisk { return &simDisk{files: map[string][]byte{}, powerBudget: -1} }
+func newSimDisk() *simDisk { return &simDisk{files: map[string][]byte{}, bytesUntilPowerLoss: -1} }
 
 var errPowerLost, errDiskFull = errors.New("simulated loss of power"), errors.New("simulated disk is full")
 
@@ -45,20 +45,20 @@
 		d.files[name] = append(d.files[name], appended[:len(appended)/2]...)
 		return errDiskFull
 	}
-	if d.powerBudget >= 0 && len(appended) > d.powerBudget {
-		d.files[name] = append(d.files[name], appended[:d.powerBudget]...)
-		d.powerBudget = 0
+	if d.bytesUntilPowerLoss >= 0 && len(appended) > d.bytesUntilPowerLoss {
+		d.files[name] = append(d.files[name], appended[:d.bytesUntilPowerLoss]...)
+		d.bytesUntilPowerLoss = 0
 		return errPowerLost
 	}
 	d.files[name] = append(d.files[name], appended...)
-	if d.powerBudget >= 0 {
-		d.powerBudget -= len(appended)
+	if d.bytesUntilPowerLoss >= 0 {
+		d.bytesUntilPowerLoss -= len(appended)
 	}
 	return nil
 }
 
 func (d *simDisk) Write(name string, appended []byte) error {
-	if d.powerBudget == 0 {
+	if d.bytesUntilPowerLoss == 0 {
 		return errPowerLost
 	}
 	if d.failWrites {
--- a/internal/control/controlstate/sim_group_clients_test.go
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -45,7 +45,7 @@
 			}
 			return false
 		default:
-			return node.generation == generation && s.now-startedAt < answerTimeout
+			return node.generation == generation && s.now-startedAt < responseTimeout
 		}
 	})
 }
--- a/internal/control/controlstate/sim_shard_faults_test.go
+++ b/internal/control/controlstate/sim_shard_faults_test.go
@@ -17,7 +17,7 @@
 	{"partitions end", func(s *shardSim, _ *shardSimNode) { clear(s.partitioned) }},
 	{"partitions end", func(s *shardSim, _ *shardSimNode) { clear(s.partitioned) }},
 	{"power loss", func(s *shardSim, node *shardSimNode) {
-		node.disk.powerBudget = s.random.IntN(3000)
+		node.disk.bytesUntilPowerLoss = s.random.IntN(3000)
 		s.count("scheduled power loss")
 	}},
 	{"full disk", func(s *shardSim, node *shardSimNode) {
--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -99,7 +99,7 @@
 			}
 			return false
 		default:
-			return node.generation == generation && s.now-startedAt < answerTimeout
+			return node.generation == generation && s.now-startedAt < responseTimeout
 		}
 	})
 }
--- a/internal/control/controlstate/sim_shard_test.go
+++ b/internal/control/controlstate/sim_shard_test.go
@@ -86,7 +86,7 @@
 	if len(node.disk.files) == 0 {
 		node.incarnation = fmt.Sprintf("%s/%d", node.name, node.generation)
 	}
-	node.disk.powerBudget, node.disk.failWrites = -1, false
+	node.disk.bytesUntilPowerLoss, node.disk.failWrites = -1, false
 	node.disk.beforeWrite = func() { // the shard's goroutine is blocked during a write
 		if node.maxWriteTime > 0 {
 			node.frozenUntil = max(node.frozenUntil, s.now+s.randomBelow(node.maxWriteTime))
--- a/internal/control/controlstate/start_fixed.go
+++ b/internal/control/controlstate/start_fixed.go
@@ -16,7 +16,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing of a node with fixed members. The ratios are fractions of settings.Bounds.Heal, the configured time to
+// Timing of a node with fixed members. The ratios are fractions of settings.Bounds.Recovery, the configured time to
 // restore service after a fault.
 const (
 	fixedTickRatio           = 1.0 / 240 // interval between ticks of each consensus core
@@ -54,7 +54,7 @@
 		}
 	})
 	node.registerMetrics()
-	process.Every(process.Settings.Bounds.Heal(seedRefreshIntervalRatio), func() { node.refreshSeeds(client) })
+	process.Every(process.Settings.Bounds.Recovery(seedRefreshIntervalRatio), func() { node.refreshSeeds(client) })
 	process.Ready.Store(true)
 	process.Log.Info("serving", "shards", len(node.shards), "incarnation", node.incarnation)
 	return nil
@@ -80,7 +80,7 @@
 // openFixedShards opens and runs the shards that this node is a member of.
 func (n *Node) openFixedShards() {
 	bounds := n.process.Settings.Bounds
-	tick := bounds.Heal(fixedTickRatio)
+	tick := bounds.Recovery(fixedTickRatio)
 	for shardID := range uint32(controlclient.ShardCount) {
 		config := n.fixedShardConfig(shardID) // draws a random seed for every shard, even if this node is not a member of it
 		if !slices.Contains(config.Members, config.Self) {
@@ -94,7 +94,7 @@
 			continue
 		}
 		shard.claimRetention = bounds.RequestIDRetention(1)
-		shard.confirmTimeout = bounds.Heal(serveTimeoutRatio * confirmTimeoutRatio)
+		shard.confirmTimeout = bounds.Recovery(serveTimeoutRatio * confirmTimeoutRatio)
 		n.shards[shardID] = shard
 		n.process.Go(func() { shard.run(tick) })
 	}
--- a/internal/control/controlstate/start_group.go
+++ b/internal/control/controlstate/start_group.go
@@ -27,7 +27,7 @@
 func StartGroup(process *daemon.Process, codec backend.Codec, newOperatorHandler func(*Node) http.Handler) error {
 	node := newGroupNode(process)
 	shard := node.openGroupMember(codec)
-	tick := process.Settings.Bounds.Heal(groupTick)
+	tick := process.Settings.Bounds.Recovery(groupTick)
 	process.Go(func() { shard.run(tick) })
 	if err := node.serveGroup(newOperatorHandler); err != nil {
 		return err
--- a/internal/control/controlstate/test_cluster_state_test.go
+++ b/internal/control/controlstate/test_cluster_state_test.go
@@ -47,9 +47,9 @@
 	c.unreachable[c.addr(i)] = unreachable
 }
 
-// startFounders performs the first start of a site with the given number of machines, and waits until three of them form
+// startInitialGroup performs the first start of a site with the given number of machines, and waits until three of them form
 // a group with a leader. It returns the time that this took.
-func (c *testCluster) startFounders(machines int) time.Duration {
+func (c *testCluster) startInitialGroup(machines int) time.Duration {
 	c.t.Helper()
 	for i := range machines {
 		c.start(i+1, true)
@@ -61,7 +61,7 @@
 // machine is a caught-up spare.
 func (c *testCluster) startWithSpare() {
 	c.t.Helper()
-	c.startFounders(4)
+	c.startInitialGroup(4)
 	c.putVersion(1)
 	c.awaitSpare()
 }
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -10,7 +10,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Limits of the transport between members of a group. The ratios are fractions of settings.Bounds.Heal, the
+// Limits of the transport between members of a group. The ratios are fractions of settings.Bounds.Recovery, the
 // configured time to restore service after a fault.
 const (
 	maxOutboxes          = 16       // maximum number of addresses that have message queues at one time
@@ -113,7 +113,7 @@
 
 // timeout returns the time-out of a Deliver request with a payload of size bytes.
 func (p *peerSender) timeout(size int) time.Duration {
-	return p.node.process.Settings.Bounds.Heal(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
+	return p.node.process.Settings.Bounds.Recovery(sendTimeoutRatio + megabyteTimeoutRatio*float64(size)/(1<<20))
 }
 
 // deliver sends consensus messages to the peer in one Deliver request. Messages of a failed request are not sent
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -113,7 +113,7 @@
 	runTransportTest(t, func(sender *transport, replica *shard, member *stalledMember, _ *testCluster) {
 		member.stalled = make(chan struct{})
 		sender.send(largeMessage())
-		clock.Sleep(context.Background(), 5*time.Second) // with the heal bound of 12 s, the time-out for 600 KiB is about 7.5 s
+		clock.Sleep(context.Background(), 5*time.Second) // with the recovery time bound of 12 s, the time-out for 600 KiB is about 7.5 s
 		if replica.commands.Len() != 0 {
 			t.Errorf("%d failures of a large message reported to the core after 5s, want 0 before its time-out of about 7.5s", replica.commands.Len())
 		}
--- a/internal/control/operatorapi/group_members.go
+++ b/internal/control/operatorapi/group_members.go
@@ -32,7 +32,7 @@
 // queryControlNodes asks all control nodes concurrently for their status and membership, under one short
 // timeout.
 func (s *groupServer) queryControlNodes(ctx context.Context, view clustermembership.View) []controlNode {
-	ctx, cancel := context.WithTimeout(ctx, s.bounds.Heal(statusTimeoutRatio))
+	ctx, cancel := context.WithTimeout(ctx, s.bounds.Recovery(statusTimeoutRatio))
 	defer cancel()
 	var nodes []controlNode
 	for _, node := range view.WithRole(clustermembership.RoleControlNode) {
--- a/internal/control/operatorapi/index.go
+++ b/internal/control/operatorapi/index.go
@@ -50,7 +50,7 @@
 	for _, element := range chain {
 		keys = append(keys, element.Key)
 	}
-	found := promptindex.NewShards(s.view().Nodes).Lookup(ctx, keys, s.clients.PromptIndex, s.bounds.Heal(lookupTimeoutRatio))
+	found := promptindex.NewShards(s.view().Nodes).Lookup(ctx, keys, s.clients.PromptIndex, s.bounds.Recovery(lookupTimeoutRatio))
 	response := &operator.Found{Prefixes: []operator.FoundPrefixesItem{}}
 	for _, element := range chain {
 		item := newPrefixItem(element.Key, found[element.Key])
@@ -88,7 +88,7 @@
 		keys[i] = promptindex.PartKey(salt, id)
 	}
 	indexNodes := promptindex.ServingNodes(s.view().Nodes)
-	found := promptindex.NewShards(indexNodes).Lookup(ctx, keys, s.clients.PromptIndex, s.bounds.Heal(lookupTimeoutRatio))
+	found := promptindex.NewShards(indexNodes).Lookup(ctx, keys, s.clients.PromptIndex, s.bounds.Recovery(lookupTimeoutRatio))
 	response := &operator.Found{Prefixes: []operator.FoundPrefixesItem{}}
 	for _, key := range keys {
 		response.Prefixes = append(response.Prefixes, newPrefixItem(key, found[key]))
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -25,7 +25,7 @@
 // maxBodyBytes limits a request's body: twice the largest configuration, to allow for the JSON around it.
 const maxBodyBytes = 2 * serviceconfig.MaxBytes
 
-// Timeouts of calls to a single node, as ratios of the recovery bound in the settings (Bounds.Heal).
+// Timeouts of calls to a single node, as ratios of the recovery bound in the settings (Bounds.Recovery).
 const (
 	statusTimeoutRatio = 1.0 / 12 // for reading the node's status, or its list of nodes or workers
 	lookupTimeoutRatio = 1.0 / 24 // for looking up one request's routing or one prompt's cached prefixes
--- a/internal/control/operatorapi/status.go
+++ b/internal/control/operatorapi/status.go
@@ -79,7 +79,7 @@
 
 // readReplicas asks a control node for the status of its shard replicas.
 func (s *Server) readReplicas(ctx context.Context, addr string) ([]*wire.ShardStatus, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.bounds.Heal(statusTimeoutRatio))
+	ctx, cancel := context.WithTimeout(ctx, s.bounds.Recovery(statusTimeoutRatio))
 	defer cancel()
 	response, err := s.clients.ControlNode(addr).Status(ctx, &wire.StatusRequest{})
 	if err != nil {
--- a/internal/control/operatorapi/views.go
+++ b/internal/control/operatorapi/views.go
@@ -52,7 +52,7 @@
 func (s *Server) ListNodes(ctx context.Context) (*operator.NodeList, error) {
 	var view *wire.Heartbeat
 	seenBy, err := s.firstResponding(clustermembership.RoleControlNode, func(addr string) (err error) {
-		ctx, cancel := context.WithTimeout(ctx, s.bounds.Heal(statusTimeoutRatio))
+		ctx, cancel := context.WithTimeout(ctx, s.bounds.Recovery(statusTimeoutRatio))
 		defer cancel()
 		view, err = s.clients.Membership(addr).Exchange(ctx, &wire.Heartbeat{Format: clustermembership.FormatVersion, FullView: true})
 		return err
@@ -81,7 +81,7 @@
 func (s *Server) readUpdates(ctx context.Context) (seenBy string, snapshot *updatestream.Snapshot, err error) {
 	var feed *wire.FeedResponse
 	seenBy, err = s.firstResponding(clustermembership.RoleNodeAgent, func(addr string) (err error) {
-		ctx, cancel := context.WithTimeout(ctx, s.bounds.Heal(statusTimeoutRatio))
+		ctx, cancel := context.WithTimeout(ctx, s.bounds.Recovery(statusTimeoutRatio))
 		defer cancel()
 		feed, err = s.clients.NodeAgent(addr).Feed(ctx, &wire.FeedRequest{})
 		return err
@@ -167,7 +167,7 @@
 }
 
 func (s *Server) explainAt(ctx context.Context, addr, requestID string) ([]*wire.Decision, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.bounds.Heal(lookupTimeoutRatio))
+	ctx, cancel := context.WithTimeout(ctx, s.bounds.Recovery(lookupTimeoutRatio))
 	defer cancel()
 	response, err := s.clients.NodeAgent(addr).Explain(ctx, &wire.ExplainRequest{RequestId: requestID})
 	if err != nil {
--- a/internal/control/placementcontroller/acquire_test.go
+++ b/internal/control/placementcontroller/acquire_test.go
@@ -23,7 +23,7 @@
 		process := daemon.NewIn(daemon.Environment{Clock: clk}, "placement", settings.Process{Name: "core-1", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}})
 		defer process.Stop(0)
 		controller := &Controller{process: process, clock: clk}
-		lease := controlclient.NewLease(nil, clk, "d", 1, "core-1/1", process.Settings.Bounds.Heal(settings.LeaseRatio))
+		lease := controlclient.NewLease(nil, clk, "d", 1, "core-1/1", process.Settings.Bounds.Recovery(settings.LeaseRatio))
 		lease.HandleResponse(clk.Now(), &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 4})
 		service := &serviceController{name: "s", lease: lease, placement: &placement.Placement{Service: "s"}}
 		snapshot := &updatestream.Snapshot{
--- a/internal/control/placementcontroller/actions.go
+++ b/internal/control/placementcontroller/actions.go
@@ -22,7 +22,7 @@
 // reports whether this changed the retirement. The lease is checked immediately before each action, and
 // all actions must end within the timeout of an order.
 func (b *actionBatch) execute(actions []retire.Action) (recorded bool, err error) {
-	ctx, cancel := context.WithTimeout(b.process.Ctx, b.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio))
+	ctx, cancel := context.WithTimeout(b.process.Ctx, b.process.Settings.Bounds.Recovery(settings.OrderTimeoutRatio))
 	defer cancel()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
--- a/internal/control/placementcontroller/controller.go
+++ b/internal/control/placementcontroller/controller.go
@@ -7,7 +7,7 @@
 // only onto the version that was read. A previous lease holder can therefore change nothing.
 //
 // Durations are ratios of two fields of settings.Bounds: WeightsMs, the time after which no request may start
-// on superseded weights, and HealMs, the time within which service is restored after a fault.
+// on superseded weights, and RecoveryMs, the time within which service is restored after a fault.
 package placementcontroller
 
 import (
@@ -31,7 +31,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing of the controller, as ratios of the heal bound (settings.Bounds.HealMs).
+// Timing of the controller, as ratios of the recovery time bound (settings.Bounds.RecoveryMs).
 const (
 	reconcileRatio    = 1.0 / 24 // interval between two reconcile steps of a service, and between two lease renewals
 	updateWaitRatio   = 1.0 / 12 // how long a node agent may hold a long poll for updates
@@ -102,7 +102,7 @@
 		Clock:        controller.clock,
 		Log:          process.Log,
 		NodeAgent:    controller.nodeAgent,
-		LongPollTime: bounds.Heal(updateWaitRatio),
+		LongPollTime: bounds.Recovery(updateWaitRatio),
 		OnSnapshot:   updatestream.OnSeedsChanged(controller.members.SetSeeds),
 	})
 	process.Meter.Gauge("pebbleloom_retirement_held", "nodes that block a retirement which this controller carries out", controller.countBlockedNodes)
@@ -111,7 +111,7 @@
 	if err := process.Serve(process.Settings.Listen, mux); err != nil {
 		return err
 	}
-	process.Every(bounds.Heal(reconcileRatio), controller.assignServices)
+	process.Every(bounds.Recovery(reconcileRatio), controller.assignServices)
 	process.Ready.Store(true)
 	return nil
 }
@@ -162,7 +162,7 @@
 // delays neither the renewal of its lease nor other services.
 func (c *Controller) startService(name string) *serviceController {
 	ctx, cancel := context.WithCancel(c.process.Ctx)
-	ttl := c.process.Settings.Bounds.Heal(settings.LeaseRatio)
+	ttl := c.process.Settings.Bounds.Recovery(settings.LeaseRatio)
 	svc := &serviceController{
 		name:              name,
 		cancel:            cancel,
@@ -183,7 +183,7 @@
 // is done.
 func (c *Controller) runPeriodically(ctx context.Context, step func()) {
 	c.process.Go(func() {
-		ticker := clock.NewTicker(c.process.Settings.Bounds.Heal(reconcileRatio))
+		ticker := clock.NewTicker(c.process.Settings.Bounds.Recovery(reconcileRatio))
 		defer ticker.Stop()
 		for ctx.Err() == nil {
 			step()
--- a/internal/control/placementcontroller/orders.go
+++ b/internal/control/placementcontroller/orders.go
@@ -47,7 +47,7 @@
 // no other. The lease is checked immediately before each order is sent. The timeout of an order is shorter
 // than the time between the lease's end on this machine and its earliest acquisition by another one.
 func (c *Controller) sendOrders(lease *controlclient.Lease, workers []*wire.Worker, weights uint64) error {
-	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio))
+	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Recovery(settings.OrderTimeoutRatio))
 	defer cancel()
 	results := make(chan error, len(workers))
 	for _, worker := range workers {
--- a/internal/control/placementcontroller/orders_test.go
+++ b/internal/control/placementcontroller/orders_test.go
@@ -33,7 +33,7 @@
 		process := daemon.NewIn(environment, "placement", settings.Process{Name: "core-1", Bounds: bounds, Options: []string{"log=off"}})
 		defer process.Stop(0)
 		controller := &Controller{process: process, clock: clk, backends: contract.NewBackends(process.Dial)}
-		ttl := bounds.Heal(settings.LeaseRatio)
+		ttl := bounds.Recovery(settings.LeaseRatio)
 		lease := controlclient.NewLease(nil, clk, "d", 1, "core-1/1", ttl)
 		requestedAt := clk.Now()
 		lease.HandleResponse(requestedAt, &wire.ChangeResponse{Outcome: wire.OutcomeDone, Fence: 4})
@@ -42,7 +42,7 @@
 			workers = append(workers, &wire.Worker{Name: fmt.Sprint("w", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1)})
 		}
 		start := time.Now()
-		if err := controller.sendOrders(lease, workers, 2); err == nil || time.Since(start) != bounds.Heal(settings.OrderTimeoutRatio) || sent.Load() != 18 {
+		if err := controller.sendOrders(lease, workers, 2); err == nil || time.Since(start) != bounds.Recovery(settings.OrderTimeoutRatio) || sent.Load() != 18 {
 			t.Errorf("orders to 18 silent workers: error %v after %v, %d sent, want all sent and a timeout of one order", err, time.Since(start), sent.Load())
 		}
 		last := time.NewTimer(requestedAt + ttl - time.Duration(float64(ttl)*settings.LeaseMarginRatio) - clk.Now() - 1)
--- a/internal/control/placementcontroller/placement.go
+++ b/internal/control/placementcontroller/placement.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// recomputeRatio is the interval between full computations of a placement, as a ratio of the heal bound.
+// recomputeRatio is the interval between full computations of a placement, as a ratio of the recovery time bound.
 const recomputeRatio = 0.5
 
 // defaultFetchTolerance is the value of Inputs.FetchTolerance for a service that configures none.
@@ -63,7 +63,7 @@
 	now time.Duration) (*placement.Placement, bool) {
 	hot := c.hotEntries(svc.name)
 	names, mode, old := workerNames(workers), placementMode(config), svc.placement
-	if old != nil && now-svc.recomputedAt <= c.process.Settings.Bounds.Heal(recomputeRatio) && slices.Equal(names, old.Workers) && old.Mode == mode {
+	if old != nil && now-svc.recomputedAt <= c.process.Settings.Bounds.Recovery(recomputeRatio) && slices.Equal(names, old.Workers) && old.Mode == mode {
 		return SwapInBurst(old, hot)
 	}
 	inputs := Inputs{
--- a/internal/control/placementcontroller/proof.go
+++ b/internal/control/placementcontroller/proof.go
@@ -23,7 +23,7 @@
 // and verifies the seal of each answer, which names the weights that produced it. The loaded models that a
 // worker reports are not sufficient proof: it may answer under other weights.
 func (c *Controller) proveNode(ctx context.Context, retirement *retire.Retirement, action retire.Action, addr string) error {
-	wait := c.process.Settings.Bounds.Heal(settings.OrderTimeoutRatio)
+	wait := c.process.Settings.Bounds.Recovery(settings.OrderTimeoutRatio)
 	noAdapter := retire.AdapterBuild{} // stands for the request under the base model alone
 	for i, adapter := range append([]retire.AdapterBuild{noAdapter}, action.ProofSet.Adapters...) {
 		request := contract.StartRequest{
--- a/internal/control/placementcontroller/queries.go
+++ b/internal/control/placementcontroller/queries.go
@@ -26,7 +26,7 @@
 // queryRole calls all nodes of a role concurrently, with a common timeout, and passes their responses to
 // handle one after the other. Nodes that fail or do not respond in time are skipped.
 func queryRole[T any](c *Controller, role string, call func(ctx context.Context, addr string) (T, error), handle func(T)) {
-	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(queryTimeoutRatio))
+	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Recovery(queryTimeoutRatio))
 	defer cancel()
 	nodes := c.members.View().WithRole(role)
 	responses := make(chan T, len(nodes))
@@ -107,5 +107,5 @@
 	queryRole(c, clustermembership.RolePromptIndex, call, func(response *wire.HottestResponse) {
 		all = append(all, response)
 	})
-	return promptindex.MergeHot(all)
+	return promptindex.MergeHotPrefixes(all)
 }
--- a/internal/control/placementcontroller/retirement.go
+++ b/internal/control/placementcontroller/retirement.go
@@ -14,7 +14,7 @@
 )
 
 // repairIntervalRatio is the minimum interval between repairs of a service's workers while no retirement is
-// active, as a ratio of the heal bound.
+// active, as a ratio of the recovery time bound.
 const repairIntervalRatio = 1.0 / 6
 
 // storedRetirements holds what readRetirements found of a service's retirements.
@@ -117,7 +117,7 @@
 // base models. It runs while no retirement is active.
 func (c *Controller) repairWorkers(svc *serviceController, snapshot *updatestream.Snapshot, retired []string) error {
 	now := c.clock.Now()
-	interval := c.process.Settings.Bounds.Heal(repairIntervalRatio)
+	interval := c.process.Settings.Bounds.Recovery(repairIntervalRatio)
 	if len(snapshot.Config.Adapters) == 0 || svc.repairedAt != 0 && now-svc.repairedAt < interval {
 		return nil
 	}
@@ -135,7 +135,7 @@
 // concurrently for their state. It also returns their addresses by name; listed is false if the platform's
 // list cannot be read.
 func (c *Controller) observeWorkers(service string) (nodes []retire.Node, addrs map[string]string, listed bool) {
-	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Heal(queryTimeoutRatio))
+	ctx, cancel := context.WithTimeout(c.process.Ctx, c.process.Settings.Bounds.Recovery(queryTimeoutRatio))
 	defer cancel()
 	workers, err := c.backends.List(ctx, c.process.Settings.WorkerList)
 	if err != nil {
--- a/internal/control/placementcontroller/rollout.go
+++ b/internal/control/placementcontroller/rollout.go
@@ -12,7 +12,7 @@
 // Timing and concurrency of a rollout. With larger batches a rollout ends sooner, but fewer workers stay in
 // service.
 const (
-	// Durations as ratios of the heal bound (settings.Bounds.HealMs).
+	// Durations as ratios of the recovery time bound (settings.Bounds.RecoveryMs).
 	cordonRatio       = 0.125 // time between cordoning a batch and ordering it, in which proxies learn of the cordon
 	batchTimeoutRatio = 0.25  // time after which a cordoned batch is abandoned and the next one begins
 
@@ -40,8 +40,8 @@
 	outdated, batch := r.outdatedWorkers(workers, want)
 	if len(r.Batch) > 0 {
 		elapsed := now - r.CordonedAt
-		if len(batch) > 0 && elapsed < bounds.Heal(batchTimeoutRatio) {
-			if elapsed >= bounds.Heal(cordonRatio) {
+		if len(batch) > 0 && elapsed < bounds.Recovery(batchTimeoutRatio) {
+			if elapsed >= bounds.Recovery(cordonRatio) {
 				return batch, false
 			}
 			return nil, false
@@ -88,6 +88,6 @@
 	if r.AllAtOnce {
 		return outdated
 	}
-	batches := max(1, int(left/bounds.Heal(batchTimeoutRatio)))
+	batches := max(1, int(left/bounds.Recovery(batchTimeoutRatio)))
 	return min((outdated+batches-1)/batches, max(1, int(float64(workers)*maxConcurrencyRatio)))
 }
--- a/internal/control/placementcontroller/rollout_test.go
+++ b/internal/control/placementcontroller/rollout_test.go
@@ -41,7 +41,7 @@
 			}
 			largest = max(largest, len(rollout.Batch))
 			for _, worker := range due {
-				if now-cordonedAt[worker.Name] < bounds.Heal(cordonRatio) {
+				if now-cordonedAt[worker.Name] < bounds.Recovery(cordonRatio) {
 					t.Fatalf("worker %s got its order only %v after it was cordoned, want the time that proxies need to learn of the cordon", worker.Name, now-cordonedAt[worker.Name])
 				}
 				if orders[worker.Name]++; worker.Name != "w03" || orders[worker.Name] > 2 {
--- a/internal/control/routingconfig/plan.go
+++ b/internal/control/routingconfig/plan.go
@@ -35,17 +35,17 @@
 
 // Route sends requests for a host and path prefix to one or more services.
 type Route struct {
-	Name, Host, Prefix string
-	Kind               Kind
-	Timeout            time.Duration     // timeout of one attempt to send a request to a worker
-	LatencyTarget      time.Duration     // response time up to which a response counts as fully successful
-	MaxEventGap        time.Duration     // time between two events of a stream up to which the later event counts as on time
-	Priority           int               // priority of the route's requests; 0 is the highest
-	Split              []WeightedService // services that share the route's requests, with their weights
-	MaxAttempts        int               // maximum number of workers that one request may be sent to
-	Public             bool              // whether requests of the route are accepted without a tenant's API key
-	NamesPromptParts   bool              // whether requests of the route carry the IDs of their prompt parts
-	Resumable          bool              // whether an event stream of the route may be resumed on another worker
+	Name, Host, Prefix   string
+	Kind                 Kind
+	Timeout              time.Duration     // timeout of one attempt to send a request to a worker
+	LatencyTarget        time.Duration     // response time up to which a response counts as fully successful
+	MaxEventGap          time.Duration     // time between two events of a stream up to which the later event counts as on time
+	Priority             int               // priority of the route's requests; 0 is the highest
+	Split                []WeightedService // services that share the route's requests, with their weights
+	MaxAttempts          int               // maximum number of workers that one request may be sent to
+	Public               bool              // whether requests of the route are accepted without a tenant's API key
+	CarriesPromptPartIDs bool              // whether requests of the route carry the IDs of their prompt parts
+	Resumable            bool              // whether an event stream of the route may be resumed on another worker
 }
 
 // WeightedService is a service with its weight within a route.
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -10,7 +10,7 @@
 
 // Limits that each HTTP server applies to the header of a request before it calls the handler.
 const (
-	headerTimeoutRatio = 0.5 // timeout for reading the header of a request, as a ratio of Bounds.HealMs
+	headerTimeoutRatio = 0.5 // timeout for reading the header of a request, as a ratio of Bounds.RecoveryMs
 	maxHeaderBytes     = 16 << 10
 )
 
@@ -28,7 +28,7 @@
 	if err != nil {
 		return errs.WrapAs(err, errs.BadInput, "listen at "+addr)
 	}
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: p.Settings.Bounds.Heal(headerTimeoutRatio), MaxHeaderBytes: maxHeaderBytes}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: p.Settings.Bounds.Recovery(headerTimeoutRatio), MaxHeaderBytes: maxHeaderBytes}
 	p.mu.Lock()
 	p.servers = append(p.servers, server)
 	p.mu.Unlock()
--- a/internal/data/agent/documents.go
+++ b/internal/data/agent/documents.go
@@ -81,19 +81,19 @@
 	if t.isOutOfContact(now) {
 		since = max(t.snapshot.ProofAt, now-t.bounds.Weights(assumedElapsedRatio))
 	}
-	namedAt, earlier := map[string]time.Duration{}, map[string][]fleet.NamedVersion{}
+	namedAt, earlier := map[string]time.Duration{}, map[string][]fleet.TargetVersion{}
 	for model, version := range configured {
 		namedAt[model], earlier[model] = since, t.snapshot.EarlierVersions[model]
-		previous, ok := t.snapshot.NamedVersions[model]
+		previous, ok := t.snapshot.TargetVersions[model]
 		switch {
 		case ok && previous == version:
-			namedAt[model] = t.snapshot.NamedAt[model]
+			namedAt[model] = t.snapshot.TargetSetAt[model]
 		case ok:
-			before := fleet.NamedVersion{Version: previous, At: t.snapshot.NamedAt[model]}
+			before := fleet.TargetVersion{Version: previous, At: t.snapshot.TargetSetAt[model]}
 			earlier[model] = t.addEarlierVersion(earlier[model], before, now)
 		}
 	}
-	t.snapshot.NamedVersions, t.snapshot.NamedAt, t.snapshot.EarlierVersions = configured, namedAt, earlier
+	t.snapshot.TargetVersions, t.snapshot.TargetSetAt, t.snapshot.EarlierVersions = configured, namedAt, earlier
 }
 
 // maxEarlierVersions is the maximum number of earlier versions of the weights that are kept for one model.
@@ -104,7 +104,7 @@
 // successor was configured, because it no longer has any effect. If more than maxEarlierVersions are left, the oldest
 // is dropped and its successor takes over its earlier instant, so that the time of the successor ends too early rather
 // than too late.
-func (t *table) addEarlierVersion(before []fleet.NamedVersion, version fleet.NamedVersion, now time.Duration) []fleet.NamedVersion {
+func (t *table) addEarlierVersion(before []fleet.TargetVersion, version fleet.TargetVersion, now time.Duration) []fleet.TargetVersion {
 	all := append(slices.Clone(before), version)
 	for len(all) > 1 && now-all[1].At >= t.bounds.Weights(1) {
 		all = all[1:]
--- a/internal/data/agent/restored_test.go
+++ b/internal/data/agent/restored_test.go
@@ -74,7 +74,7 @@
 	}
 	older := newDocument(t, fleet.WeightsKey, 8, fleet.Weights{Versions: map[string]uint64{"m": 3}})
 	changed, err := state.applyResponse(restoredResponse(planDocument(6), older), 7, startTime+3, startTime+3)
-	if err != nil || !changed || state.snapshot.Plan.Version != 6 || state.snapshot.NamedVersions["m"] != 3 || len(state.snapshot.Placements) != 0 {
+	if err != nil || !changed || state.snapshot.Plan.Version != 6 || state.snapshot.TargetVersions["m"] != 3 || len(state.snapshot.Placements) != 0 {
 		t.Fatalf("response of the restored group: got changed %v, error %v, snapshot %+v; want changed, plan 6, weights version 3 and no placements", changed, err, state.snapshot)
 	}
 	if state.snapshot.ProofAt != startTime+3 {
--- a/internal/data/agent/table.go
+++ b/internal/data/agent/table.go
@@ -21,7 +21,7 @@
 
 const (
 	// edgeMemoryRatio is how long an edge machine is counted after it was last seen alive, as a multiple of the
-	// heal bound (the time within which service is restored after a failure).
+	// recovery time bound (the time within which service is restored after a failure).
 	edgeMemoryRatio = 5
 	// joiningRatio is how long after its start a node may not know all other nodes yet, as a fraction of the leave
 	// bound (the longest time for which a worker may still get requests after it has left).
@@ -132,7 +132,7 @@
 func (t *table) forgetDocuments() {
 	clear(t.versions)
 	t.snapshot.Placements = nil
-	t.snapshot.NamedVersions, t.snapshot.NamedAt, t.snapshot.EarlierVersions = nil, nil, nil
+	t.snapshot.TargetVersions, t.snapshot.TargetSetAt, t.snapshot.EarlierVersions = nil, nil, nil
 }
 
 // updateProof sets ProofAt of the snapshot to the instant up to which the plan in use is proved to have been the
@@ -154,7 +154,7 @@
 		}
 	}
 	if now-t.snapshot.ProofAt <= t.bounds.Config(outOfContactRatio) { // an agent without contact to the control nodes can't distinguish dead edge machines from unreachable ones, so it forgets none
-		maps.DeleteFunc(t.edgeSeenAt, func(_ string, seenAt time.Duration) bool { return now-seenAt > t.bounds.Heal(edgeMemoryRatio) })
+		maps.DeleteFunc(t.edgeSeenAt, func(_ string, seenAt time.Duration) bool { return now-seenAt > t.bounds.Recovery(edgeMemoryRatio) })
 	}
 	edges := max(1, len(t.edgeSeenAt))
 	isJoining := now-t.startedAt < t.bounds.Leave(joiningRatio)
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// NamedAt is the instant at which a version of the weights was configured, from which the weights bound (the longest
+// TargetSetAt is the instant at which a version of the weights was configured, from which the weights bound (the longest
 // time for which requests may still start on superseded weights) is counted. An agent that was out of contact with the
 // control nodes when a version was configured uses an earlier instant than that of the response, and the bound of an
 // earlier version is never extended.
@@ -147,30 +147,30 @@
 		state.applyResponse(newFollowResponse(threeMembers[0], true, newDocument(t, fleet.WeightsKey, v, fleet.Weights{Versions: named})), 1, now, now)
 	}
 	configureWeights(1, startTime, map[string]uint64{"m": 1})
-	if at := state.snapshot.NamedAt["m"]; at != startTime-bounds.Weights(0.5) {
-		t.Fatalf("weights configured before the agent started: NamedAt is %v, want %v", at, startTime-bounds.Weights(0.5))
+	if at := state.snapshot.TargetSetAt["m"]; at != startTime-bounds.Weights(0.5) {
+		t.Fatalf("weights configured before the agent started: TargetSetAt is %v, want %v", at, startTime-bounds.Weights(0.5))
 	}
 	now := startTime + time.Minute
 	state.applyResponse(newFollowResponse(threeMembers[1], true, planDocument(1)), 0, now, now)
 	state.applyResponse(newFollowResponse(threeMembers[0], true), 1, now, now)
 	configureWeights(2, now+1, map[string]uint64{"m": 2, "n": 7})
 	configureWeights(3, now+2, map[string]uint64{"m": 2, "n": 8})
-	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now+1 || namedAt["n"] != now+2 {
-		t.Fatalf("weights configured while in contact: NamedAt is %v, want m at %v and n at %v", namedAt, now+1, now+2)
+	if namedAt := state.snapshot.TargetSetAt; namedAt["m"] != now+1 || namedAt["n"] != now+2 {
+		t.Fatalf("weights configured while in contact: TargetSetAt is %v, want m at %v and n at %v", namedAt, now+1, now+2)
 	}
-	if earlier := state.snapshot.EarlierVersions; len(earlier["m"]) != 1 || earlier["m"][0].Version != 1 || len(earlier["n"]) != 1 || earlier["n"][0] != (fleet.NamedVersion{Version: 7, At: now + 1}) {
+	if earlier := state.snapshot.EarlierVersions; len(earlier["m"]) != 1 || earlier["m"][0].Version != 1 || len(earlier["n"]) != 1 || earlier["n"][0] != (fleet.TargetVersion{Version: 7, At: now + 1}) {
 		t.Fatalf("earlier weights versions after m and n changed once: got %v, want version 1 of m and version 7 of n, configured at %v", earlier, now+1)
 	}
 	configureWeights(4, now+bounds.Config(2), map[string]uint64{"m": 3})
-	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 2 || earlier[1] != (fleet.NamedVersion{Version: 2, At: now + 1}) {
+	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 2 || earlier[1] != (fleet.TargetVersion{Version: 2, At: now + 1}) {
 		t.Fatalf("earlier weights versions of m after it changed twice: got %v, want versions 1 and 2, the latter configured at %v", earlier, now+1)
 	}
-	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now || len(namedAt) != 1 {
-		t.Fatalf("weights configured while out of contact since %v: NamedAt is %v, want m at that instant alone", now, namedAt)
+	if namedAt := state.snapshot.TargetSetAt; namedAt["m"] != now || len(namedAt) != 1 {
+		t.Fatalf("weights configured while out of contact since %v: TargetSetAt is %v, want m at that instant alone", now, namedAt)
 	}
 	configureWeights(5, now+bounds.Weights(3), map[string]uint64{"m": 4})
-	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now+bounds.Weights(2.5) {
-		t.Fatalf("weights configured while out of contact for three times the weights bound: NamedAt is %v, want m at %v", namedAt, now+bounds.Weights(2.5))
+	if namedAt := state.snapshot.TargetSetAt; namedAt["m"] != now+bounds.Weights(2.5) {
+		t.Fatalf("weights configured while out of contact for three times the weights bound: TargetSetAt is %v, want m at %v", namedAt, now+bounds.Weights(2.5))
 	}
 	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 1 || earlier[0].Version != 3 {
 		t.Fatalf("earlier weights versions of m after the weights bound of version 3 expired: got %v, want version 3 alone", earlier)
@@ -219,7 +219,7 @@
 	if state.snapshot.EdgeCount != 3 {
 		t.Fatalf("edge machines counted right after two of three died: got %d, want 3", state.snapshot.EdgeCount)
 	}
-	now += state.bounds.Heal(edgeMemoryRatio) + 1
+	now += state.bounds.Recovery(edgeMemoryRatio) + 1
 	if state.applyMembership(membershipOf(3, 2), now); state.snapshot.EdgeCount != 3 {
 		t.Fatalf("edge machines counted without contact to the control nodes, long after two of three died: got %d, want 3", state.snapshot.EdgeCount)
 	}
@@ -227,7 +227,7 @@
 	if state.applyMembership(membershipOf(3, 2), now); state.snapshot.EdgeCount != 1 {
 		t.Fatalf("edge machines counted with contact to the control nodes, long after two of three died: got %d, want 1", state.snapshot.EdgeCount)
 	}
-	if state.applyMembership(membershipOf(3, 3), now+state.bounds.Heal(2*edgeMemoryRatio)); state.snapshot.EdgeCount != 1 {
+	if state.applyMembership(membershipOf(3, 3), now+state.bounds.Recovery(2*edgeMemoryRatio)); state.snapshot.EdgeCount != 1 {
 		t.Fatalf("edge machines counted after all died: got %d, want the minimum of 1", state.snapshot.EdgeCount)
 	}
 }
--- a/internal/data/callerproxy/admission.go
+++ b/internal/data/callerproxy/admission.go
@@ -8,7 +8,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// claimRetryAfterRatio is the Retry-After of a request whose ID cannot be claimed, as a fraction of Bounds.Heal, the
+// claimRetryAfterRatio is the Retry-After of a request whose ID cannot be claimed, as a fraction of Bounds.Recovery, the
 // bound on recovery time.
 const claimRetryAfterRatio = 1.0 / 12
 
@@ -61,7 +61,7 @@
 	nonce, granted, err := req.proxy.claims.acquire(req.ctx, claimKey(req.tenant, id))
 	if err != nil {
 		req.claimNonce = nonce // the claim may have been granted, so release has to give it up
-		return reject(errs.NotExecuted, id, req.proxy.bounds.Heal(claimRetryAfterRatio), "cannot claim the ID of the at-most-once request: %v", err)
+		return reject(errs.NotExecuted, id, req.proxy.bounds.Recovery(claimRetryAfterRatio), "cannot claim the ID of the at-most-once request: %v", err)
 	}
 	if !granted {
 		return reject(errs.MayHaveExecuted, id, 0, "an at-most-once request with the same ID was accepted earlier")
--- a/internal/data/callerproxy/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// claimTimeoutRatio is the timeout of a control state command with claims, as a fraction of Bounds.Heal,
+	// claimTimeoutRatio is the timeout of a control state command with claims, as a fraction of Bounds.Recovery,
 	// the bound on recovery time.
 	claimTimeoutRatio = 1.0 / 6
 	// maxClaimsPerCommand is the maximum number of claims sent to a control state shard in one command.
@@ -74,7 +74,7 @@
 		return clustermembership.View{}
 	}
 	bounds := process.Settings.Bounds
-	c := &claimer{control: controlclient.New(process.Settings.Core, view, rpcClients, bounds), timeout: bounds.Heal(claimTimeoutRatio)}
+	c := &claimer{control: controlclient.New(process.Settings.Core, view, rpcClients, bounds), timeout: bounds.Recovery(claimTimeoutRatio)}
 	c.lastNonce.Store(seed)
 	for shard := range c.queues {
 		c.queues[shard] = queue.NewRing[pendingClaim](bounds.MaxConcurrentRequests)
--- a/internal/data/callerproxy/promptindex.go
+++ b/internal/data/callerproxy/promptindex.go
@@ -17,7 +17,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timeouts and intervals of the prompt index client, as fractions of Bounds.Heal, the bound on recovery time.
+// Timeouts and intervals of the prompt index client, as fractions of Bounds.Recovery, the bound on recovery time.
 const (
 	lookupTimeoutRatio    = 1.0 / 400 // timeout of a lookup; waiting longer is not worthwhile, since the prefix can be recomputed
 	flushIntervalRatio    = 1.0 / 48  // interval at which counted accesses are sent to the index nodes
@@ -58,7 +58,7 @@
 // newPromptIndex creates the client of the prompt index and starts its background lookups and flushes.
 func newPromptIndex(process *daemon.Process, processClock clock.Clock) *promptIndex {
 	bounds := process.Settings.Bounds
-	counter := indexclient.NewAccessCounter(reporterPrefix+process.Settings.Name, uint64(processClock.Now()), bounds.Heal(resendHalfWindowRatio))
+	counter := indexclient.NewAccessCounter(reporterPrefix+process.Settings.Name, uint64(processClock.Now()), bounds.Recovery(resendHalfWindowRatio))
 	index := &promptIndex{
 		clients:        daemon.NewClients(process),
 		bounds:         bounds,
@@ -68,7 +68,7 @@
 	}
 	process.OnStop(index.accesses.Stop)
 	process.Go(func() { index.sendLookups(process.Ctx) })
-	process.Every(bounds.Heal(flushIntervalRatio), func() { index.flushAccesses(process.Ctx) })
+	process.Every(bounds.Recovery(flushIntervalRatio), func() { index.flushAccesses(process.Ctx) })
 	return index
 }
 
@@ -126,7 +126,7 @@
 	if shards := idx.shards.Load(); shards != nil {
 		idx.lookupBatches.Add(1)
 		idx.lookupKeys.Add(uint64(len(keys)))
-		results = shards.Lookup(ctx, keys, idx.clients.PromptIndex, idx.bounds.Heal(lookupTimeoutRatio))
+		results = shards.Lookup(ctx, keys, idx.clients.PromptIndex, idx.bounds.Recovery(lookupTimeoutRatio))
 	}
 	for _, request := range batch {
 		request.result <- results
@@ -189,7 +189,7 @@
 
 // sendBatch sends one batch of accesses to an index node and records whether the node has acknowledged it.
 func (idx *promptIndex) sendBatch(ctx context.Context, node, addr string, batch *wire.CountRequest) {
-	ctx, cancel := context.WithTimeout(ctx, idx.bounds.Heal(flushTimeoutRatio))
+	ctx, cancel := context.WithTimeout(ctx, idx.bounds.Recovery(flushTimeoutRatio))
 	defer cancel()
 	response, err := idx.clients.PromptIndex(addr).Count(ctx, batch)
 	idx.accesses.Ask(func(counter *indexclient.AccessCounter) {
--- a/internal/data/callerproxy/request.go
+++ b/internal/data/callerproxy/request.go
@@ -18,7 +18,7 @@
 	// of Bounds.Config, the bound on configuration staleness.
 	recheckRatio = 0.02
 	// failedAttemptsRetryAfterRatio is the Retry-After of a request whose attempts have all failed, as a
-	// fraction of Bounds.Heal, the bound on recovery time.
+	// fraction of Bounds.Recovery, the bound on recovery time.
 	failedAttemptsRetryAfterRatio = 1.0 / 24
 )
 
@@ -186,9 +186,9 @@
 		p.stats.retries.Add(1)
 		return nil
 	case !req.mayHaveExecuted || !expired && !req.atMostOnce:
-		return reject(errs.NotExecuted, id, p.bounds.Heal(failedAttemptsRetryAfterRatio), "attempt on worker %s failed: %v", worker, err)
+		return reject(errs.NotExecuted, id, p.bounds.Recovery(failedAttemptsRetryAfterRatio), "attempt on worker %s failed: %v", worker, err)
 	case req.atMostOnce:
 		return reject(errs.MayHaveExecuted, id, 0, "attempt on worker %s failed: %v", worker, err)
 	}
-	return reject(errs.DeadlineExceeded, id, p.bounds.Heal(failedAttemptsRetryAfterRatio), "worker %s did not start the response within the request's time limit", worker)
+	return reject(errs.DeadlineExceeded, id, p.bounds.Recovery(failedAttemptsRetryAfterRatio), "worker %s did not start the response within the request's time limit", worker)
 }
--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -47,7 +47,7 @@
 // process's sequence numbers from those of earlier processes with the same name. Accesses are kept for
 // resending for at most two half windows.
 //
-// Example: c := indexclient.NewAccessCounter("edge/edge-1", uint64(clock.Now()), bounds.Heal(1.25))
+// Example: c := indexclient.NewAccessCounter("edge/edge-1", uint64(clock.Now()), bounds.Recovery(1.25))
 func NewAccessCounter(sender string, incarnation uint64, halfWindow time.Duration) *AccessCounter {
 	return &AccessCounter{
 		sender:         sender,
--- a/internal/data/indexclient/batch.go
+++ b/internal/data/indexclient/batch.go
@@ -105,7 +105,7 @@
 		if !response.Warm && len(response.Results[i].Holders) == 0 {
 			continue
 		}
-		r.found[key], r.isFinal[key] = promptindex.MergeFound(r.found[key], response.Results[i]), response.Warm
+		r.found[key], r.isFinal[key] = promptindex.MergeLookupResults(r.found[key], response.Results[i]), response.Warm
 	}
 }
 
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -17,27 +17,27 @@
 	"pebbleloom/internal/wire"
 )
 
-// Timing, as fractions of the heal bound (the time within which service is restored after a failure) unless
+// Timing, as fractions of the recovery time bound (the time within which service is restored after a failure) unless
 // the comment says otherwise.
 const (
-	// flushRatio is the interval at which counted accesses are sent to the index, as a fraction of the heal bound. A
+	// flushRatio is the interval at which counted accesses are sent to the index, as a fraction of the recovery time bound. A
 	// longer interval saves calls; a shorter one lets other edge machines find newly cached parts sooner.
 	flushRatio = 1.0 / 60
-	// flushTimeoutRatio is the timeout of the call that sends one batch of accesses, as a fraction of the heal bound.
+	// flushTimeoutRatio is the timeout of the call that sends one batch of accesses, as a fraction of the recovery time bound.
 	flushTimeoutRatio = 1.0 / 24
 	// resendWindowRatio is half of the time for which accesses are kept, to be resent to an index node that has lost
-	// its state, as a multiple of the heal bound.
+	// its state, as a multiple of the recovery time bound.
 	resendWindowRatio = 1.25
-	// cacheLifetimeRatio is the lifetime of a cached lookup result, as a fraction of the heal bound. A longer lifetime
+	// cacheLifetimeRatio is the lifetime of a cached lookup result, as a fraction of the recovery time bound. A longer lifetime
 	// saves calls; with a shorter one it is noticed sooner that a worker has evicted a part.
 	cacheLifetimeRatio = 1.0 / 48
 	// lateNodeRatio is how long an index node is only called as a last resort after it responded late, or before it had
-	// collected the contents of the workers' caches, as a fraction of the heal bound.
+	// collected the contents of the workers' caches, as a fraction of the recovery time bound.
 	lateNodeRatio = 1.0 / 12
 	// lateProbeRatio is the minimum time between two calls to an index node that responded late, as a fraction of the
-	// heal bound.
+	// recovery time bound.
 	lateProbeRatio = 1.0 / 96
-	// firstAttemptRatio is the fraction of a lookup's timeout (not of the heal bound) after which the first
+	// firstAttemptRatio is the fraction of a lookup's timeout (not of the recovery time bound) after which the first
 	// attempt is abandoned, so that time is left to call the other nodes assigned to the keys.
 	firstAttemptRatio = 0.6
 )
@@ -113,7 +113,7 @@
 	client.actor = queue.NewActor(newTable(client, incarnation), 1024)
 	process.OnStop(client.actor.Stop)
 	process.Go(client.run)
-	process.Every(bounds.Heal(flushRatio), client.flush)
+	process.Every(bounds.Recovery(flushRatio), client.flush)
 	process.Meter.Counter("pebbleloom_seek_calls_total", "lookup calls to the index", func() float64 { return float64(client.lookupCalls.Load()) })
 	return client
 }
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -143,7 +143,7 @@
 		if found = client.Lookup(context.Background(), []prefix.Key{newKey(3)}, lookupWait); len(found) != 1 || len(index.called) != 1 {
 			t.Errorf("second lookup of a key: got %d results after calls of %v, want one cached result and no second call", len(found), index.called)
 		}
-		advance(client.bounds.Heal(cacheLifetimeRatio))
+		advance(client.bounds.Recovery(cacheLifetimeRatio))
 		if client.Lookup(context.Background(), []prefix.Key{newKey(3)}, lookupWait); len(index.called) != 2 {
 			t.Errorf("lookup after the cached result expired: index nodes called so far %v, want two calls", index.called)
 		}
@@ -160,7 +160,9 @@
 		index.unblock = make(chan struct{})
 		var wg sync.WaitGroup
 		lookUp := func(i int) {
-			wg.Go(func() { client.Lookup(context.Background(), []prefix.Key{newKey(i), newKey(0)}, client.bounds.Heal(1)) })
+			wg.Go(func() {
+				client.Lookup(context.Background(), []prefix.Key{newKey(i), newKey(0)}, client.bounds.Recovery(1))
+			})
 			synctest.Wait()
 		}
 		for i := range maxConcurrentBatches + 21 {
@@ -229,7 +231,7 @@
 			client.RecordAccesses("llm", newPart(1), "w1", "")
 		}
 		client.RecordAccesses("llm", newPart(1), "w2", "store")
-		advance(client.bounds.Heal(flushRatio))
+		advance(client.bounds.Recovery(flushRatio))
 		for _, node := range serving {
 			batches := index.batches[node.Addr]
 			if len(batches) != 1 || len(batches[0].Accesses) != 1 || batches[0].Sequence != 1 || batches[0].Accesses[0].Count != 4 ||
@@ -237,16 +239,16 @@
 				t.Fatalf("batches sent to index node %s: got %v, want one with sequence 1 and four accesses to one key, presumably held by w1, w2 and store", node.Addr, batches)
 			}
 		}
-		advance(client.bounds.Heal(3 * flushRatio))
+		advance(client.bounds.Recovery(3 * flushRatio))
 		if len(index.batches[serving[0].Addr]) != 1 {
 			t.Errorf("batches sent to index node %s after flushes without new accesses: got %d in total, want still 1", serving[0].Addr, len(index.batches[serving[0].Addr]))
 		}
 		index.setBehavior(serving[0].Addr, "errors")
 		client.RecordAccesses("llm", newPart(2), "w1", "")
-		advance(client.bounds.Heal(flushRatio))
+		advance(client.bounds.Recovery(flushRatio))
 		client.RecordAccesses("llm", newPart(3), "w1", "")
 		index.setBehavior(serving[0].Addr, "")
-		advance(client.bounds.Heal(2 * flushRatio))
+		advance(client.bounds.Recovery(2 * flushRatio))
 		batches := index.batches[serving[0].Addr][1:]
 		if len(batches) != 2 || batches[0].Sequence != 2 || batches[1].Sequence != 3 || string(batches[0].Accesses[0].Key) != string(newPart(2)[0].Key[:]) {
 			t.Errorf("batches acknowledged after a failed call: got %v, want sequence 2 with the access to key 2, then sequence 3", batches)
@@ -259,12 +261,12 @@
 	index := &fakeIndex{}
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
 		client.RecordAccesses("llm", newPart(1), "w1", "")
-		advance(client.bounds.Heal(flushRatio))
+		advance(client.bounds.Recovery(flushRatio))
 		index.mu.Lock()
 		index.resendWindow = true
 		index.mu.Unlock()
 		client.RecordAccesses("llm", newPart(2), "w1", "")
-		advance(client.bounds.Heal(2 * flushRatio))
+		advance(client.bounds.Recovery(2 * flushRatio))
 		resent := 0
 		for _, batches := range index.batches {
 			if len(batches) == 3 {
@@ -287,17 +289,17 @@
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
 		all := client.nodes()
 		client.RecordAccesses("llm", newPart(1), "w1", "")
-		advance(client.bounds.Heal(flushRatio))
+		advance(client.bounds.Recovery(flushRatio))
 		without := slices.DeleteFunc(slices.Clone(all), func(n *wire.Node) bool { return n.Name == serving[0].Name })
 		setNodes := func(nodes []*wire.Node) {
 			client.actor.Ask(func(*table) { client.nodes = func() []*wire.Node { return nodes } })
 		}
 		setNodes(without)
 		client.RecordAccesses("llm", newPart(2), "w1", "")
-		advance(client.bounds.Heal(2 * flushRatio))
+		advance(client.bounds.Recovery(2 * flushRatio))
 		setNodes(all)
 		client.RecordAccesses("llm", newPart(3), "w1", "")
-		advance(client.bounds.Heal(2 * flushRatio))
+		advance(client.bounds.Recovery(2 * flushRatio))
 		batches := index.batches[serving[0].Addr]
 		if len(batches) != 2 || batches[1].Sequence != 2 {
 			t.Errorf("batches sent to an index node that left and returned: got %v, want two with sequences 1 and 2", batches)
@@ -326,7 +328,7 @@
 		for _, node := range serving {
 			index.setBehavior(node.Addr, "")
 		}
-		advance(client.bounds.Heal(lateProbeRatio))
+		advance(client.bounds.Recovery(lateProbeRatio))
 		if client.Lookup(context.Background(), newKeys(1), lookupWait) == nil {
 			t.Error("lookup after the index nodes recovered: got nil, want a result from a probe of a late node")
 		}
@@ -347,7 +349,7 @@
 		for _, n := range serving {
 			index.setBehavior(n.Addr, "")
 		}
-		advance(client.bounds.Heal(lateNodeRatio))
+		advance(client.bounds.Recovery(lateNodeRatio))
 		if found := client.Lookup(context.Background(), newKeys(5), lookupWait); len(found) != 5 || len(found[newKey(3)].GetHolders()) != 1 {
 			t.Errorf("lookup after the index nodes learned the workers' caches: got %d results, %d holders of key 3; want 5 results and one holder", len(found), len(found[newKey(3)].GetHolders()))
 		}
--- a/internal/data/indexclient/flush.go
+++ b/internal/data/indexclient/flush.go
@@ -49,7 +49,7 @@
 
 // sendBatch sends one batch of accesses to an index node and records whether it was acknowledged.
 func (c *Client) sendBatch(node, addr string, batch *wire.CountRequest) {
-	ctx, cancel := context.WithTimeout(c.ctx, c.bounds.Heal(flushTimeoutRatio))
+	ctx, cancel := context.WithTimeout(c.ctx, c.bounds.Recovery(flushTimeoutRatio))
 	defer cancel()
 	response, err := c.connect(addr).Count(ctx, batch)
 	c.actor.Ask(func(t *table) {
--- a/internal/data/indexclient/table.go
+++ b/internal/data/indexclient/table.go
@@ -26,7 +26,7 @@
 	accesses   *AccessCounter
 }
 
-// cachedAnswer is a lookup result that is reused for cacheLifetimeRatio times the heal bound (the time within which
+// cachedAnswer is a lookup result that is reused for cacheLifetimeRatio times the recovery time bound (the time within which
 // service is restored after a failure).
 type cachedAnswer struct {
 	found *wire.LookupResult
@@ -46,7 +46,7 @@
 		lateUntil: map[string]time.Duration{},
 		probeAt:   map[string]time.Duration{},
 		cached:    map[prefix.Key]cachedAnswer{},
-		accesses:  NewAccessCounter(client.name, incarnation, client.bounds.Heal(resendWindowRatio)),
+		accesses:  NewAccessCounter(client.name, incarnation, client.bounds.Recovery(resendWindowRatio)),
 	}
 }
 
@@ -87,7 +87,7 @@
 			return calls
 		}
 		if t.lateUntil[node] > now {
-			t.probeAt[node] = now + t.client.bounds.Heal(lateProbeRatio)
+			t.probeAt[node] = now + t.client.bounds.Recovery(lateProbeRatio)
 		}
 		call := nodeCall{node: node, addr: shards.Addr(node)}
 		var rest []prefix.Key
@@ -148,12 +148,12 @@
 
 // recordResult records whether a call to an index node succeeded: the node responded in time with a result for every
 // key, and had collected the contents of the workers' caches. Otherwise the node counts as late for lateNodeRatio times
-// the heal bound (the time within which service is restored after a failure).
+// the recovery time bound (the time within which service is restored after a failure).
 func (t *table) recordResult(node string, succeeded bool, now time.Duration) {
 	if succeeded {
 		delete(t.lateUntil, node)
 	} else {
-		t.lateUntil[node] = now + t.client.bounds.Heal(lateNodeRatio)
+		t.lateUntil[node] = now + t.client.bounds.Recovery(lateNodeRatio)
 	}
 }
 
@@ -161,7 +161,7 @@
 func (t *table) cachedAnswers(keys []prefix.Key, now time.Duration) map[prefix.Key]*wire.LookupResult {
 	var answers map[prefix.Key]*wire.LookupResult
 	for _, key := range keys {
-		if answer, ok := t.cached[key]; ok && now-answer.at < t.client.bounds.Heal(cacheLifetimeRatio) {
+		if answer, ok := t.cached[key]; ok && now-answer.at < t.client.bounds.Recovery(cacheLifetimeRatio) {
 			if answers == nil {
 				answers = make(map[prefix.Key]*wire.LookupResult, len(keys))
 			}
@@ -176,7 +176,7 @@
 func (t *table) cacheAnswers(found map[prefix.Key]*wire.LookupResult, now time.Duration) {
 	if len(t.cached)+len(found) > maxCachedAnswers {
 		for key, answer := range t.cached {
-			if now-answer.at >= t.client.bounds.Heal(cacheLifetimeRatio) {
+			if now-answer.at >= t.client.bounds.Recovery(cacheLifetimeRatio) {
 				delete(t.cached, key)
 			}
 		}
--- a/internal/data/nodeagent/agent.go
+++ b/internal/data/nodeagent/agent.go
@@ -41,10 +41,10 @@
 	// worker still gets requests (Bounds.Leave).
 	probeTimeoutRatio = 0.25
 	// placementPollRatio is the interval between two requests for the placement of a service's prompt prefixes, as a
-	// ratio of the recovery time bound (Bounds.Heal).
+	// ratio of the recovery time bound (Bounds.Recovery).
 	placementPollRatio = 1.0 / 12
 	// placementTimeoutRatio is the timeout of one request for the placement of a service's prompt prefixes, as a ratio of
-	// the recovery time bound (Bounds.Heal).
+	// the recovery time bound (Bounds.Recovery).
 	placementTimeoutRatio = 1.0 / 24
 )
 
@@ -131,7 +131,7 @@
 	}
 	process.Every(bounds.Leave(workerPollRatio), agent.refreshWorkers)
 	process.Every(bounds.Leave(workerPollRatio), agent.probeWorkers)
-	process.Every(bounds.Heal(placementPollRatio), agent.followPlacements)
+	process.Every(bounds.Recovery(placementPollRatio), agent.followPlacements)
 	agent.addMetrics()
 	return agent.serve()
 }
--- a/internal/data/nodeagent/follow.go
+++ b/internal/data/nodeagent/follow.go
@@ -110,7 +110,7 @@
 // followPlacement requests the placement of one service's prompt prefixes from a control state shard member, if it is
 // newer than knownVersion. The member responds at once, also if it has no newer one.
 func (a *Agent) followPlacement(addr string, shard uint32, service string, knownVersion uint64) {
-	ctx, cancel := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Heal(placementTimeoutRatio))
+	ctx, cancel := context.WithTimeout(a.process.Ctx, a.process.Settings.Bounds.Recovery(placementTimeoutRatio))
 	defer cancel()
 	response, err := a.clients.ControlNode(addr).Watch(ctx, &wire.WatchRequest{Shard: shard, Key: "placement/" + service, KnownVersion: knownVersion})
 	if err != nil || response.Outcome != wire.OutcomeUpdated || response.Document.GetVersion() <= knownVersion {
--- a/internal/data/nodeagent/outcomes.go
+++ b/internal/data/nodeagent/outcomes.go
@@ -9,7 +9,7 @@
 
 const (
 	// outcomeDecayRatio is the time in which the weight of an attempt in the recent outcomes of a worker decays to 1/e,
-	// as a ratio of the recovery time bound (Bounds.Heal).
+	// as a ratio of the recovery time bound (Bounds.Recovery).
 	outcomeDecayRatio = 1.0
 	// linkDecay is the factor by which the tokens and times of earlier prefix fetches over a class of network links are
 	// multiplied when a new fetch report is added to them.
@@ -55,7 +55,7 @@
 		outcomes = &recentOutcomes{}
 		s.outcomes[report.Worker] = outcomes
 	}
-	outcomes.decay(a.clock.Now(), a.process.Settings.Bounds.Heal(outcomeDecayRatio))
+	outcomes.decay(a.clock.Now(), a.process.Settings.Bounds.Recovery(outcomeDecayRatio))
 	outcomes.succeeded += float64(report.Successes)
 	outcomes.failed += float64(report.Failures)
 }
--- a/internal/data/nodeagent/workers.go
+++ b/internal/data/nodeagent/workers.go
@@ -62,7 +62,7 @@
 	rows := state.workers.Rows(draining, a.clock.Now())
 	for _, row := range rows {
 		if outcomes := state.outcomes[row.Name]; outcomes != nil {
-			outcomes.decay(a.clock.Now(), a.process.Settings.Bounds.Heal(outcomeDecayRatio))
+			outcomes.decay(a.clock.Now(), a.process.Settings.Bounds.Recovery(outcomeDecayRatio))
 			row.Successes, row.Failures = outcomes.succeeded, outcomes.failed
 		}
 	}
--- a/internal/data/promptindex/accesses.go
+++ b/internal/data/promptindex/accesses.go
@@ -14,7 +14,7 @@
 	// proxies whose load reports are stored.
 	maxReporters = 1024
 	// reporterRetentionRatio is how long a sender of access counts must have sent no batch before its deduplication state
-	// may be dropped in favor of a new sender, as a ratio of the recovery time bound (Bounds.Heal). Senders stop retrying
+	// may be dropped in favor of a new sender, as a ratio of the recovery time bound (Bounds.Recovery). Senders stop retrying
 	// a batch earlier than that.
 	reporterRetentionRatio = 1.0
 )
@@ -97,7 +97,7 @@
 			oldest, oldestAt = name, r.lastBatchAt
 		}
 	}
-	if now-oldestAt < c.bounds.Heal(reporterRetentionRatio) {
+	if now-oldestAt < c.bounds.Recovery(reporterRetentionRatio) {
 		return false
 	}
 	delete(c.reporters, oldest)
--- a/internal/data/promptindex/core.go
+++ b/internal/data/promptindex/core.go
@@ -3,7 +3,7 @@
 // recently. It caches no KV data itself and writes nothing to disk.
 //
 // Core is the state machine, which performs no I/O. Node serves it over RPC. Start feeds it from the numbered
-// cache reports of workers, StartSite from the cache events of workers and stores. Shards assigns keys to index
+// cache reports of workers, StartWithCacheEvents from the cache events of workers and stores. Shards assigns keys to index
 // nodes.
 package promptindex
 
@@ -158,7 +158,7 @@
 		c.removeIfUnused(key, e, now)
 	}
 	for name, w := range c.workers {
-		if !listed[name] && now-w.respondedAt > c.bounds.Heal(maxReportAgeRatio) {
+		if !listed[name] && now-w.respondedAt > c.bounds.Recovery(maxReportAgeRatio) {
 			delete(c.workers, name)
 		}
 	}
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -94,22 +94,22 @@
 	core := NewCore(bounds, anyKey)
 	applyReport(core, contract.CacheReports{Incarnation: "i", Complete: true}, 1)
 	recordPresumedHolder(core, 1, 1)
-	if got := holdersOf(core, 1, bounds.Heal(0.4)); got != "worker:1 " {
+	if got := holdersOf(core, 1, bounds.Recovery(0.4)); got != "worker:1 " {
 		t.Errorf("holders of a prefix that a worker is presumed to cache, after 0.4 of the recovery time bound without confirmation: got %q, want \"worker:1 \" (presumed)", got)
 	}
-	if got := holdersOf(core, 1, bounds.Heal(0.6)); got != "" {
+	if got := holdersOf(core, 1, bounds.Recovery(0.6)); got != "" {
 		t.Errorf("holders of a prefix that a worker is presumed to cache, after 0.6 of the recovery time bound without confirmation: got %q, want none", got)
 	}
-	applyReport(core, contract.CacheReports{Incarnation: "i", Number: 1, Reports: []contract.CacheReport{{Number: 1, Added: []contract.CachedPrefix{cachedPrefix(1)}}}}, bounds.Heal(1))
-	if got := holdersOf(core, 1, bounds.Heal(3)); got != "worker:2 " {
+	applyReport(core, contract.CacheReports{Incarnation: "i", Number: 1, Reports: []contract.CacheReport{{Number: 1, Added: []contract.CachedPrefix{cachedPrefix(1)}}}}, bounds.Recovery(1))
+	if got := holdersOf(core, 1, bounds.Recovery(3)); got != "worker:2 " {
 		t.Errorf("holders of a prefix that a worker reported as cached, after twice the recovery time bound without further reports: got %q, want \"worker:2 \" (confirmed)", got)
 	}
-	if got := holdersOf(core, 1, bounds.Heal(4)); got != "" {
+	if got := holdersOf(core, 1, bounds.Recovery(4)); got != "" {
 		t.Errorf("holders of a prefix that a worker reported as cached, after 3 times the recovery time bound without further reports: got %q, want none", got)
 	}
-	applyReport(core, contract.CacheReports{Incarnation: "i", Complete: true, Number: 1, Cached: []contract.CachedPrefix{cachedPrefix(1)}}, bounds.Heal(4))
-	applyReport(core, contract.CacheReports{Incarnation: "j"}, bounds.Heal(4))
-	if got := holdersOf(core, 1, bounds.Heal(4)); got != "" {
+	applyReport(core, contract.CacheReports{Incarnation: "i", Complete: true, Number: 1, Cached: []contract.CachedPrefix{cachedPrefix(1)}}, bounds.Recovery(4))
+	applyReport(core, contract.CacheReports{Incarnation: "j"}, bounds.Recovery(4))
+	if got := holdersOf(core, 1, bounds.Recovery(4)); got != "" {
 		t.Errorf("holders of a prefix that the previous incarnation of a worker cached, after a response of the new incarnation: got %q, want none", got)
 	}
 	if !core.NextReport("worker", "s").Full {
@@ -171,7 +171,7 @@
 	if h := hotness(core); h != maxReporters || len(core.reporters) != maxReporters {
 		t.Errorf("after each of 1074 senders sent a batch of 1 access to the same key twice: got hotness %v and deduplication state of %d senders, want 1024 of each (the maximum number of senders)", h, len(core.reporters))
 	}
-	if core.RecordAccesses(newRequest("new", 1, 1), bounds.Heal(2)); core.reporters["new"] == nil || len(core.reporters) != maxReporters {
+	if core.RecordAccesses(newRequest("new", 1, 1), bounds.Recovery(2)); core.reporters["new"] == nil || len(core.reporters) != maxReporters {
 		t.Error("a new sender of access counts did not replace one of the 1024 known senders, which had sent no batch for twice the recovery time bound")
 	}
 }
--- a/internal/data/promptindex/eventfollower.go
+++ b/internal/data/promptindex/eventfollower.go
@@ -11,33 +11,33 @@
 	"pebbleloom/internal/rendezvous"
 )
 
-// Intervals and timeouts of the polls of workers and stores, as ratios of the recovery time bound (Bounds.Heal). They
+// Intervals and timeouts of the polls of workers and stores, as ratios of the recovery time bound (Bounds.Recovery). They
 // limit the number of calls, because each call takes resources of the worker.
 const (
 	// tickRatio is the interval between two checks for workers and stores that are due to be polled, as a ratio of the
-	// recovery time bound (Bounds.Heal).
+	// recovery time bound (Bounds.Recovery).
 	tickRatio = 1.0 / 48
 	// pollRatio is the interval between two polls of one worker or store, as a ratio of the recovery time bound
-	// (Bounds.Heal). A longer interval saves calls; with a shorter one the index learns earlier what a worker has
+	// (Bounds.Recovery). A longer interval saves calls; with a shorter one the index learns earlier what a worker has
 	// evicted.
 	pollRatio = 1.0 / 24
 	// firstPollRatio is the maximum delay until a newly listed worker or store is first polled, as a ratio of the
-	// recovery time bound (Bounds.Heal).
+	// recovery time bound (Bounds.Recovery).
 	firstPollRatio = 1.0 / 96
 	// longPollRatio is how long a worker or store may hold a request for cache events until it has one to report, as a
-	// ratio of the recovery time bound (Bounds.Heal).
+	// ratio of the recovery time bound (Bounds.Recovery).
 	longPollRatio = 1.0 / 12
 	// responseGraceRatio is how long a response to a poll may take in addition to the long-poll time (longPollRatio), as
-	// a ratio of the recovery time bound (Bounds.Heal).
+	// a ratio of the recovery time bound (Bounds.Recovery).
 	responseGraceRatio = 1.0 / 12
 	// fullListRatio is the minimum interval between two requests for the complete cache of any worker or store, as a
-	// ratio of the recovery time bound (Bounds.Heal). Listing the complete cache slows a worker down.
+	// ratio of the recovery time bound (Bounds.Recovery). Listing the complete cache slows a worker down.
 	fullListRatio = 1.0 / 24
 	// workerFullListRatio is the minimum interval between two requests for the complete cache of the same worker or
-	// store, as a ratio of the recovery time bound (Bounds.Heal). Listing the complete cache slows the worker down.
+	// store, as a ratio of the recovery time bound (Bounds.Recovery). Listing the complete cache slows the worker down.
 	workerFullListRatio = 1.0
 	// sweepRatio is the interval between two sweeps that remove expired holder records and unused entries, as a ratio of
-	// the recovery time bound (Bounds.Heal).
+	// the recovery time bound (Bounds.Recovery).
 	sweepRatio = 1.0
 )
 
@@ -97,11 +97,11 @@
 	isServing bool
 }
 
-// StartSite starts an index node that polls the workers and stores in the current snapshot of the fleet for cache
+// StartWithCacheEvents starts an index node that polls the workers and stores in the current snapshot of the fleet for cache
 // events, until the process stops. The caller must serve the node's Handler.
 //
-// Example: n, err := promptindex.StartSite(process, client, agent.Snapshot)
-func StartSite(process *daemon.Process, client backend.Client, snapshot func() *fleet.Snapshot) (*Node, error) {
+// Example: n, err := promptindex.StartWithCacheEvents(process, client, agent.Snapshot)
+func StartWithCacheEvents(process *daemon.Process, client backend.Client, snapshot func() *fleet.Snapshot) (*Node, error) {
 	// The index stores the keys of all shards, so that an index node that takes over a shard already has entries for its
 	// keys.
 	core := NewCore(process.Settings.Bounds, func(prefix.Key) bool { return true })
@@ -116,7 +116,7 @@
 		nextPollAt: map[string]time.Duration{},
 		fullListAt: map[string]time.Duration{},
 	}
-	process.Every(process.Settings.Bounds.Heal(tickRatio), f.tick)
+	process.Every(process.Settings.Bounds.Recovery(tickRatio), f.tick)
 	n.addMetrics()
 	return n, nil
 }
@@ -166,9 +166,9 @@
 	}
 }
 
-// interval returns the recovery time bound (Bounds.Heal) multiplied by ratio.
+// interval returns the recovery time bound (Bounds.Recovery) multiplied by ratio.
 func (f *eventFollower) interval(ratio float64) time.Duration {
-	return f.node.process.Settings.Bounds.Heal(ratio)
+	return f.node.process.Settings.Bounds.Recovery(ratio)
 }
 
 // poll polls one worker or store if it is due and has no poll in flight. A newly listed one is first polled after a
--- a/internal/data/promptindex/eventfollower_test.go
+++ b/internal/data/promptindex/eventfollower_test.go
@@ -120,7 +120,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		environment := daemon.Environment{Clock: clock.Synctest(), WallClock: time.Now, Seed: func() uint64 { return 1 }}
 		process := daemon.NewIn(environment, "index", settings.Process{Name: "core-0", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}})
-		node, err := StartSite(process, workers, func() *fleet.Snapshot { return snapshot })
+		node, err := StartWithCacheEvents(process, workers, func() *fleet.Snapshot { return snapshot })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -149,7 +149,7 @@
 	bounds := settings.DefaultBounds()
 	workers := &fakeWorkers{}
 	runSite(t, workers, newSnapshot(indexNodes("a")), func(n *Node) {
-		wait(10 * bounds.Heal(pollRatio))
+		wait(10 * bounds.Recovery(pollRatio))
 		for _, a := range []string{"1:1", "1:2", "2:1"} {
 			if workers.eventCalls[a] < 9 || workers.eventCalls[a] > 11 {
 				t.Errorf("number of polls of the worker or store at %s in 10 poll intervals: got %d, want 9 to 11", a, workers.eventCalls[a])
@@ -172,7 +172,7 @@
 	for i := 0; serves(); i++ {
 		nodes[1].Name, nodes[2].Name = fmt.Sprintf("catalogue/b-%d", i), fmt.Sprintf("catalogue/c-%d", i)
 	}
-	runSite(t, workers, newSnapshot(nodes), func(*Node) { wait(bounds.Heal(1)) })
+	runSite(t, workers, newSnapshot(nodes), func(*Node) { wait(bounds.Recovery(1)) })
 	if len(workers.eventCalls) != 0 {
 		t.Errorf("numbers of polls by an index node on standby, by worker address: got %v, want none", workers.eventCalls)
 	}
@@ -182,7 +182,7 @@
 	b := settings.DefaultBounds()
 	workers := &fakeWorkers{hasGap: true}
 	runSite(t, workers, newSnapshot(indexNodes("a")), func(n *Node) {
-		wait(b.Heal(0.9))
+		wait(b.Recovery(0.9))
 		if workers.fullListCalls["1:1"] != 1 || workers.fullListCalls["1:2"] != 1 || workers.fullListCalls["2:1"] != 1 {
 			t.Errorf("calls for the complete cache of 2 workers and a store, by address, within 0.9 of the recovery time bound: got %v, want 1 for each of 1:1, 1:2 and 2:1", workers.fullListCalls)
 		}
@@ -198,19 +198,19 @@
 			a, _ := n.Lookup(context.Background(), &wire.LookupRequest{Keys: [][]byte{up[:]}})
 			return len(a.Results[0].Holders) > 0
 		}
-		if wait(bounds.Heal(0.4)); isUp() {
+		if wait(bounds.Recovery(0.4)); isUp() {
 			t.Error("a store that was never reachable is listed as up, want down")
 		}
 		workers.mu.Lock()
 		workers.unreachable["2:1"] = false
 		workers.mu.Unlock()
-		if wait(bounds.Heal(0.4)); !isUp() {
+		if wait(bounds.Recovery(0.4)); !isUp() {
 			t.Error("a store that became reachable is listed as down, want up")
 		}
 		workers.mu.Lock()
 		workers.unreachable["2:1"] = true
 		workers.mu.Unlock()
-		if wait(bounds.Heal(0.2)); isUp() {
+		if wait(bounds.Recovery(0.2)); isUp() {
 			t.Error("a store that became unreachable is listed as up, want down")
 		}
 	})
--- a/internal/data/promptindex/events_test.go
+++ b/internal/data/promptindex/events_test.go
@@ -181,7 +181,7 @@
 	if got := holdersOfPart(core, "a", 4); got != "store:1 w:1 " {
 		t.Fatalf("presumed holders of a part after the first response of the worker, which has no events: got %q, want \"store:1 w:1 \" (both presumed)", got)
 	}
-	if got := holdersOfPart(core, "a", b.Heal(0.6)); got != "" {
+	if got := holdersOfPart(core, "a", b.Recovery(0.6)); got != "" {
 		t.Fatalf("presumed holders of a part after 0.6 of the recovery time bound without confirmation: got %q, want none", got)
 	}
 }
@@ -198,7 +198,7 @@
 	if core.RecordStoreDown("d"); isUp(3) {
 		t.Error("a store that did not respond to a poll is listed as up, want down")
 	}
-	if core.RecordStoreUp("d", 4); isUp(b.Heal(0.6)) {
+	if core.RecordStoreUp("d", 4); isUp(b.Recovery(0.6)) {
 		t.Error("a store that last responded 0.6 of the recovery time bound ago is listed as up, want down")
 	}
 }
@@ -213,7 +213,7 @@
 	if len(core.entries) != 3 {
 		t.Fatalf("number of index entries after a sweep before any entry has expired: got %d, want 3", len(core.entries))
 	}
-	late := b.Heal(20)
+	late := b.Recovery(20)
 	applyEvents(core, backend.CacheEvents{BootID: 1, NextSequence: 1}, late)
 	core.Sweep(map[string]bool{"w": true}, late)
 	if len(core.entries) != 1 || len(core.workers) != 1 {
--- a/internal/data/promptindex/holdings.go
+++ b/internal/data/promptindex/holdings.go
@@ -20,10 +20,10 @@
 
 const (
 	// presumedLifetimeRatio is how long the record that a worker or store is presumed to cache a prefix is valid without
-	// a report that confirms it, as a ratio of the recovery time bound (Bounds.Heal).
+	// a report that confirms it, as a ratio of the recovery time bound (Bounds.Recovery).
 	presumedLifetimeRatio = 0.5
 	// maxReportAgeRatio is how long the record that a worker or store has reported to cache a prefix is valid after its
-	// last response to a poll, as a ratio of the recovery time bound (Bounds.Heal).
+	// last response to a poll, as a ratio of the recovery time bound (Bounds.Recovery).
 	maxReportAgeRatio = 2.5
 	// minCachedRatio is the share of the tokens of a prompt part that a worker or store must cache to be listed as a
 	// holder. One that lacks fewer than blockTokens tokens is listed in any case.
@@ -59,9 +59,9 @@
 		return false
 	}
 	if h.certainty == Presumed {
-		return now-h.updatedAt < c.bounds.Heal(presumedLifetimeRatio)
+		return now-h.updatedAt < c.bounds.Recovery(presumedLifetimeRatio)
 	}
-	return now-max(w.respondedAt, h.updatedAt) < c.bounds.Heal(maxReportAgeRatio)
+	return now-max(w.respondedAt, h.updatedAt) < c.bounds.Recovery(maxReportAgeRatio)
 }
 
 // Lookup returns for each key the hotness (decayed number of accesses) of its prefix and the workers and stores that
--- a/internal/data/promptindex/loadaggregator.go
+++ b/internal/data/promptindex/loadaggregator.go
@@ -9,7 +9,7 @@
 )
 
 // loadReportLifetimeRatio is how long a proxy's report of worker loads is valid, as a ratio of the recovery time
-// bound (Bounds.Heal). It is four times the interval at which proxies report.
+// bound (Bounds.Recovery). It is four times the interval at which proxies report.
 const loadReportLifetimeRatio = 1.0 / 15
 
 // LoadAggregator adds up the worker loads that proxies report. Each proxy handles only a small share of the traffic,
@@ -37,7 +37,7 @@
 }
 
 // lifetime returns how long a proxy's report of worker loads is valid after it was received.
-func (a *LoadAggregator) lifetime() time.Duration { return a.bounds.Heal(loadReportLifetimeRatio) }
+func (a *LoadAggregator) lifetime() time.Duration { return a.bounds.Recovery(loadReportLifetimeRatio) }
 
 // IsValidReport reports whether loads is not nil and all of its per-worker arrays have the same length.
 //
--- a/internal/data/promptindex/loadaggregator_test.go
+++ b/internal/data/promptindex/loadaggregator_test.go
@@ -19,7 +19,7 @@
 // report is one report lifetime old.
 func newWarmAggregator(now time.Duration) *LoadAggregator {
 	aggregator := NewLoadAggregator(settings.DefaultBounds())
-	aggregator.Record("before", newLoads(0, 0, 0, 0, 0, 0), now-aggregator.bounds.Heal(loadReportLifetimeRatio))
+	aggregator.Record("before", newLoads(0, 0, 0, 0, 0, 0), now-aggregator.bounds.Recovery(loadReportLifetimeRatio))
 	return aggregator
 }
 
@@ -29,13 +29,13 @@
 	b := settings.DefaultBounds()
 	aggregator, now := NewLoadAggregator(b), time.Hour
 	for i := range 3 {
-		at := now + time.Duration(i)*b.Heal(loadReportLifetimeRatio)/2
+		at := now + time.Duration(i)*b.Recovery(loadReportLifetimeRatio)/2
 		aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
 		if total := aggregator.Others("c", 1, at); (total.Reporters > 0) != (i == 2) {
 			t.Errorf("number of proxies whose reports are in the sum of worker loads, %d half report lifetimes after the first report: got %d, want 0 before 2 half lifetimes and at least 1 from then on", i, total.Reporters)
 		}
 	}
-	at := now + 3*b.Heal(loadReportLifetimeRatio)
+	at := now + 3*b.Recovery(loadReportLifetimeRatio)
 	aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), at)
 	if total := aggregator.Others("c", 1, at); total.Reporters > 0 {
 		t.Errorf("number of proxies whose reports are in the sum of worker loads, after 2 report lifetimes without reports: got %d, want 0", total.Reporters)
@@ -64,10 +64,10 @@
 	b := settings.DefaultBounds()
 	aggregator, now := newWarmAggregator(time.Hour), time.Hour
 	aggregator.Record("a", newLoads(1, 7, 1, 10, 8, 0), now)
-	if total := aggregator.Others("b", 1, now+b.Heal(loadReportLifetimeRatio)); total.Reporters != 1 {
+	if total := aggregator.Others("b", 1, now+b.Recovery(loadReportLifetimeRatio)); total.Reporters != 1 {
 		t.Fatalf("sum of the worker loads exactly one report lifetime after the report of a proxy: got %v, want 1 reporter", total)
 	}
-	if total := aggregator.Others("b", 1, now+b.Heal(loadReportLifetimeRatio)+1); total.Reporters != 0 || len(total.WorkerIndexes) != 0 {
+	if total := aggregator.Others("b", 1, now+b.Recovery(loadReportLifetimeRatio)+1); total.Reporters != 0 || len(total.WorkerIndexes) != 0 {
 		t.Fatalf("sum of the worker loads more than one report lifetime after the report of a proxy: got %v, want no reporters and no workers", total)
 	}
 }
@@ -92,8 +92,8 @@
 	if len(aggregator.reports) > maxReporters {
 		t.Fatalf("number of stored load reports after reports of 3072 proxies: got %d, want at most 1024", len(aggregator.reports))
 	}
-	later := now + 3*b.Heal(loadReportLifetimeRatio)
-	aggregator.Record("old", newLoads(1, 0, 1, 0, 0, 0), later-b.Heal(loadReportLifetimeRatio))
+	later := now + 3*b.Recovery(loadReportLifetimeRatio)
+	aggregator.Record("old", newLoads(1, 0, 1, 0, 0, 0), later-b.Recovery(loadReportLifetimeRatio))
 	aggregator.Record("new", newLoads(1, 0, 1, 0, 0, 0), later)
 	if total := aggregator.Others("c", 1, later); total.Reporters != 2 {
 		t.Fatalf("number of proxies whose reports are in the sum of worker loads, after 2 new reports and 1024 expired ones: got %d, want 2", total.Reporters)
--- a/internal/data/promptindex/reportpoller.go
+++ b/internal/data/promptindex/reportpoller.go
@@ -14,16 +14,16 @@
 )
 
 // Intervals and timeouts of the requests to workers and to the node agent, as ratios of the recovery time bound
-// (Bounds.Heal).
+// (Bounds.Recovery).
 const (
 	// reportPollRatio is the interval between two requests to a worker or store for its cache reports, as a ratio of the
-	// recovery time bound (Bounds.Heal).
+	// recovery time bound (Bounds.Recovery).
 	reportPollRatio = 1.0 / 12
 	// reportTimeoutRatio is the timeout of one request to a worker or store for its cache reports, as a ratio of the
-	// recovery time bound (Bounds.Heal).
+	// recovery time bound (Bounds.Recovery).
 	reportTimeoutRatio = 1.0 / 6
 	// updateLongPollRatio is how long the node agent may hold a request for an update of the worker list and the
-	// configuration until there is one, as a ratio of the recovery time bound (Bounds.Heal).
+	// configuration until there is one, as a ratio of the recovery time bound (Bounds.Recovery).
 	updateLongPollRatio = 1.0 / 24
 )
 
@@ -68,10 +68,10 @@
 		Clock:        process.Clock,
 		Log:          process.Log,
 		NodeAgent:    func() wire.NodeAgent { return clients.NodeAgent(settings.NodeAgent) },
-		LongPollTime: settings.Bounds.Heal(updateLongPollRatio),
+		LongPollTime: settings.Bounds.Recovery(updateLongPollRatio),
 		OnSnapshot:   updatestream.OnSeedsChanged(member.SetSeeds),
 	})
-	process.Every(settings.Bounds.Heal(reportPollRatio), poller.poll)
+	process.Every(settings.Bounds.Recovery(reportPollRatio), poller.poll)
 	process.Go(func() { <-process.Draining; member.Leave() })
 	poller.addMetrics()
 	mux := http.NewServeMux()
@@ -138,7 +138,7 @@
 // pollWorker sends one request for cache reports to a worker or store and applies the response to the index.
 func (p *reportPoller) pollWorker(addr string, request ReportRequest) {
 	process := p.node.process
-	ctx, cancel := context.WithTimeout(process.Ctx, process.Settings.Bounds.Heal(reportTimeoutRatio))
+	ctx, cancel := context.WithTimeout(process.Ctx, process.Settings.Bounds.Recovery(reportTimeoutRatio))
 	defer cancel()
 	response, err := p.backends.CachedPrefixes(ctx, addr, request.After, request.Full)
 	p.node.actor.Ask(func(c *Core) {
--- a/internal/data/promptindex/shards.go
+++ b/internal/data/promptindex/shards.go
@@ -129,7 +129,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				for i, key := range nodeKeys {
-					found[key], isFinal[key] = MergeFound(found[key], response.Results[i]), response.Warm
+					found[key], isFinal[key] = MergeLookupResults(found[key], response.Results[i]), response.Warm
 				}
 			})
 		}
@@ -153,11 +153,11 @@
 	return response
 }
 
-// MergeFound merges the lookup results a (may be nil) and b of two index nodes for the same key. For a worker or store
+// MergeLookupResults merges the lookup results a (may be nil) and b of two index nodes for the same key. For a worker or store
 // that is a holder in both, the certainty (presumed or confirmed) in b is used.
 //
-// Example: found[key] = promptindex.MergeFound(found[key], response.Results[i])
-func MergeFound(a, b *wire.LookupResult) *wire.LookupResult {
+// Example: found[key] = promptindex.MergeLookupResults(found[key], response.Results[i])
+func MergeLookupResults(a, b *wire.LookupResult) *wire.LookupResult {
 	if a == nil {
 		return b
 	}
@@ -170,11 +170,11 @@
 	return merged
 }
 
-// MergeHot merges the hottest entries (those with the highest decayed number of accesses) that several index nodes
+// MergeHotPrefixes merges the hottest entries (those with the highest decayed number of accesses) that several index nodes
 // report. Two nodes count the accesses to each entry; the higher hotness is used. The result is sorted by key.
 //
-// Example: hot := promptindex.MergeHot(responses)
-func MergeHot(responses []*wire.HottestResponse) []*wire.HotPrefix {
+// Example: hot := promptindex.MergeHotPrefixes(responses)
+func MergeHotPrefixes(responses []*wire.HottestResponse) []*wire.HotPrefix {
 	byKey := map[string]*wire.HotPrefix{}
 	for _, response := range responses {
 		for _, hot := range response.Prefixes {
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -88,7 +88,7 @@
 )
 
 // HTTP limits of the client listener if the first routing plan sets none or comes too late, and of the readiness
-// listener (readyHeaderTimeoutRatio). The time-outs are fractions of Bounds.HealMs, the time within which service must
+// listener (readyHeaderTimeoutRatio). The time-outs are fractions of Bounds.RecoveryMs, the time within which service must
 // be restored after a fault.
 const (
 	defaultHeaderBytes      = 16 << 10
@@ -156,7 +156,7 @@
 func (s *server) serveReadinessOn(listener net.Listener) {
 	readinessServer := &http.Server{
 		Handler:           http.HandlerFunc(s.serveReadiness),
-		ReadHeaderTimeout: s.process.Settings.Bounds.Heal(readyHeaderTimeoutRatio),
+		ReadHeaderTimeout: s.process.Settings.Bounds.Recovery(readyHeaderTimeoutRatio),
 		ErrorLog:          discardLogger(),
 	}
 	s.process.Go(func() { s.serveHTTP(readinessServer, listener) })
@@ -214,8 +214,8 @@
 	}
 	return routingconfig.Limits{
 		HeaderBytes:   defaultHeaderBytes,
-		HeaderTimeout: bounds.Heal(headerTimeoutRatio),
-		IdleTimeout:   bounds.Heal(idleConnTimeoutRatio),
+		HeaderTimeout: bounds.Recovery(headerTimeoutRatio),
+		IdleTimeout:   bounds.Recovery(idleConnTimeoutRatio),
 	}
 }
 
--- a/internal/data/selection/attempts.go
+++ b/internal/data/selection/attempts.go
@@ -91,7 +91,7 @@
 
 // dropAbandoned removes attempts in flight that are so old that their outcome won't be recorded anymore.
 func (t *table) dropAbandoned(now time.Duration) {
-	if now-t.lastSweep < t.bounds.Heal(recordTuning.lifetimeRatio) {
+	if now-t.lastSweep < t.bounds.Recovery(recordTuning.lifetimeRatio) {
 		return
 	}
 	t.lastSweep = now
@@ -188,12 +188,12 @@
 		t.recordSuccess(worker, now)
 		worker.service.meanAttemptMs = movingAverage(worker.service.meanAttemptMs, milliseconds(now-ended.sentAt), loadTuning.sampleWeight)
 	case NoFreeSlot:
-		worker.noFreeSlotUntil = now + t.bounds.Heal(avoidanceTuning.noFreeSlotRatio)
+		worker.noFreeSlotUntil = now + t.bounds.Recovery(avoidanceTuning.noFreeSlotRatio)
 	case NotReady:
-		worker.notReadyUntil = now + t.bounds.Heal(avoidanceTuning.notReadyRatio)
+		worker.notReadyUntil = now + t.bounds.Recovery(avoidanceTuning.notReadyRatio)
 		worker.notReadyVersion = choice.Weights
 	case Misdirected:
-		worker.ejectedUntil = max(worker.ejectedUntil, now+t.bounds.Heal(avoidanceTuning.misdirectedRatio))
+		worker.ejectedUntil = max(worker.ejectedUntil, now+t.bounds.Recovery(avoidanceTuning.misdirectedRatio))
 	case Failed:
 		t.recordFailure(worker, now)
 	case TimedOut:
--- a/internal/data/selection/backlog_test.go
+++ b/internal/data/selection/backlog_test.go
@@ -32,7 +32,7 @@
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID == home {
 		t.Errorf("right after a late first response event of worker %s: selected it again, want another worker", home)
 	}
-	edge.now += 8 * edge.bounds.Heal(loadTuning.decayRatio)
+	edge.now += 8 * edge.bounds.Recovery(loadTuning.decayRatio)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home {
 		t.Errorf("after the recorded lateness of the home worker's first response event decayed to about 0: selected %s, want home worker %s", choice.Worker.ID, home)
 	}
@@ -69,7 +69,7 @@
 // backlogged, workers on older weights are selected instead.
 func TestPromptsAreNotAssignedToBackloggedWorkers(t *testing.T) {
 	snapshot := newFleet(18)
-	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
+	snapshot.TargetVersions["m"], snapshot.TargetSetAt["m"] = 2, processStart+time.Minute
 	for i := range 6 {
 		snapshot.Workers[i].Weights = map[string]uint64{"m": 2}
 	}
@@ -129,7 +129,7 @@
 // wait at the workers on newer weights is longer than that.
 func TestAssignmentToNewWeightsCostsNoMoreThanPrefill(t *testing.T) {
 	snapshot := newFleet(18)
-	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
+	snapshot.TargetVersions["m"], snapshot.TargetSetAt["m"] = 2, processStart+time.Minute
 	for i := range 12 {
 		snapshot.Workers[i].Weights = map[string]uint64{"m": 2}
 	}
--- a/internal/data/selection/ejection.go
+++ b/internal/data/selection/ejection.go
@@ -10,9 +10,9 @@
 func (t *table) recordFailure(w *workerStats, now time.Duration) {
 	w.failureRatio = movingAverage(w.failureRatio, 1, ejectionTuning.sampleWeight)
 	doublings := math.Exp2(float64(min(w.recentFailures, ejectionTuning.maxDoublings)))
-	ejectionTime := float64(t.bounds.Heal(ejectionTuning.baseTimeRatio)) * doublings * (1 + ejectionTuning.failureMultiple*w.failureRatio)
+	ejectionTime := float64(t.bounds.Recovery(ejectionTuning.baseTimeRatio)) * doublings * (1 + ejectionTuning.failureMultiple*w.failureRatio)
 	w.recentFailures++
-	w.ejectionTime = time.Duration(min(ejectionTime, float64(t.bounds.Heal(ejectionTuning.maxTimeRatio))))
+	w.ejectionTime = time.Duration(min(ejectionTime, float64(t.bounds.Recovery(ejectionTuning.maxTimeRatio))))
 	w.ejectedUntil = max(w.ejectedUntil, now+w.ejectionTime)
 }
 
@@ -83,7 +83,7 @@
 }
 
 func (t *table) outcomeDecayTime() time.Duration {
-	return t.bounds.Heal(ejectionTuning.outcomeDecayRatio)
+	return t.bounds.Recovery(ejectionTuning.outcomeDecayRatio)
 }
 
 // ejectIfSuspect ejects a worker whose failure ratio, over the recent attempts of all edge machines, is much
@@ -103,7 +103,7 @@
 	if ratio <= max(ejectionTuning.minFailureRatio, ejectionTuning.peerMultiple*peersRatio) {
 		return
 	}
-	suspectTime := t.bounds.Heal(ejectionTuning.suspectTimeRatio)
+	suspectTime := t.bounds.Recovery(ejectionTuning.suspectTimeRatio)
 	worker.failureRatio = max(worker.failureRatio, ratio)
 	worker.ejectionTime = max(worker.ejectionTime, suspectTime)
 	worker.ejectedUntil = max(worker.ejectedUntil, now+suspectTime)
--- a/internal/data/selection/ejection_test.go
+++ b/internal/data/selection/ejection_test.go
@@ -51,8 +51,8 @@
 	for range 9 {
 		edge.recordFailure(worker, edge.now)
 	}
-	if worker.ejectedUntil-edge.now > edge.bounds.Heal(ejectionTuning.maxTimeRatio) {
-		t.Errorf("worker ejected for %v after 13 failures, want at most %v", worker.ejectedUntil-edge.now, edge.bounds.Heal(ejectionTuning.maxTimeRatio))
+	if worker.ejectedUntil-edge.now > edge.bounds.Recovery(ejectionTuning.maxTimeRatio) {
+		t.Errorf("worker ejected for %v after 13 failures, want at most %v", worker.ejectedUntil-edge.now, edge.bounds.Recovery(ejectionTuning.maxTimeRatio))
 	}
 	edge.now = worker.ejectedUntil + time.Minute
 	for range 20 {
--- a/internal/data/selection/estimator.go
+++ b/internal/data/selection/estimator.go
@@ -65,5 +65,5 @@
 
 // slownessWeight returns the factor by which a worker's slowness has decayed since its last sample.
 func (t *table) slownessWeight(w *workerStats, now time.Duration) float64 {
-	return decayWeight(now-w.slownessAt, t.bounds.Heal(estimatorTuning.slownessDecayRatio))
+	return decayWeight(now-w.slownessAt, t.bounds.Recovery(estimatorTuning.slownessDecayRatio))
 }
--- a/internal/data/selection/loadsharing_test.go
+++ b/internal/data/selection/loadsharing_test.go
@@ -23,7 +23,7 @@
 	// The load aggregator returns no loads until it has received reports for some time, so record two earlier
 	// reports.
 	for _, ratio := range []float64{1.0 / 15, 1.0 / 30} {
-		sharing.aggregator.Record("before", &wire.WorkerLoads{}, sharing.now-settings.DefaultBounds().Heal(ratio))
+		sharing.aggregator.Record("before", &wire.WorkerLoads{}, sharing.now-settings.DefaultBounds().Recovery(ratio))
 	}
 	snapshot := newFleet(workers)
 	snapshot.EdgeCount = edges
@@ -90,7 +90,7 @@
 		t.Errorf("worker w3, which failed requests of 3 edge machines, was selected for %d of 300 requests, want 0", n)
 	}
 	// Advance the clock until the ejection of worker w3 has ended.
-	sharing.now += settings.DefaultBounds().Heal(2)
+	sharing.now += settings.DefaultBounds().Recovery(2)
 	if n := sharing.countSelected(300)["w3"]; n == 0 {
 		t.Error("after the ejection of worker w3 ended, it was selected for 0 of 300 requests, want at least 1")
 	}
--- a/internal/data/selection/overload_test.go
+++ b/internal/data/selection/overload_test.go
@@ -33,7 +33,7 @@
 	}
 	// Advance the clock until the recorded lateness of the workers' first response events has decayed to about 0;
 	// no event was received in the meantime.
-	edge.now += 9 * edge.bounds.Heal(loadTuning.decayRatio)
+	edge.now += 9 * edge.bounds.Recovery(loadTuning.decayRatio)
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 13000), edge.found, nil, edge.now); !ok {
 		t.Error("after the recorded lateness of the first response events of all workers decayed to about 0: no worker selected, want one")
 	}
--- a/internal/data/selection/partrecord.go
+++ b/internal/data/selection/partrecord.go
@@ -113,13 +113,13 @@
 	if !ok {
 		return false
 	}
-	isSaved := part.savedAt != 0 && s.now-part.savedAt <= t.bounds.Heal(recordTuning.savedRatio)
+	isSaved := part.savedAt != 0 && s.now-part.savedAt <= t.bounds.Recovery(recordTuning.savedRatio)
 	if len(s.group.stores) > 0 && !isSaved {
 		return false
 	}
 	for _, holder := range part.holders {
 		index, isCandidate := s.group.index[holder.worker]
-		if !isCandidate || !holder.confirmed || s.now-holder.recordedAt >= t.bounds.Heal(recordTuning.lookupRatio) {
+		if !isCandidate || !holder.confirmed || s.now-holder.recordedAt >= t.bounds.Recovery(recordTuning.lookupRatio) {
 			continue
 		}
 		if s.versions.byCandidate[index] == version && s.now >= s.group.candidates[index].stats.ejectedUntil {
--- a/internal/data/selection/partrecord_test.go
+++ b/internal/data/selection/partrecord_test.go
@@ -17,7 +17,7 @@
 	first := edge.mustSelect(t, request)
 	edge.serve(request, first, 150*time.Millisecond)
 	holder := otherWorker(first.Worker.ID)
-	edge.now += edge.bounds.Heal(recordTuning.indexLagRatio)
+	edge.now += edge.bounds.Recovery(recordTuning.indexLagRatio)
 	edge.setHolders("p", promptindex.Confirmed, holder)
 	from := holder + ":1"
 	for range 30 {
@@ -38,7 +38,7 @@
 	request := edge.newRequest("p", 13000)
 	first := edge.mustSelect(t, request)
 	edge.serve(request, first, 150*time.Millisecond)
-	edge.now += edge.bounds.Heal(recordTuning.indexLagRatio)
+	edge.now += edge.bounds.Recovery(recordTuning.indexLagRatio)
 	edge.found[promptindex.PartKey(CacheSalt("m", 1, nil), "p")] = &wire.LookupResult{}
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != first.Worker.ID && choice.Fetch != first.Worker.Addr {
 		t.Errorf("prompt index knows no worker that caches the part: selected %s, fetching from %q; want %s, which prefilled the part, or a fetch from it", choice.Worker.ID, choice.Fetch, first.Worker.ID)
--- a/internal/data/selection/promptstate.go
+++ b/internal/data/selection/promptstate.go
@@ -110,19 +110,19 @@
 		s.addHolder(prompt, stores, part, holderEvidence{id: holder.Worker, isConfirmed: holder.State == promptindex.Confirmed})
 	}
 	known, isKnown := t.parts.get(key)
-	lifetime := t.bounds.Heal(recordTuning.lifetimeRatio)
+	lifetime := t.bounds.Recovery(recordTuning.lifetimeRatio)
 	if found.GetHotness() > 0 {
 		// If the prompt index knows the part, it is more accurate than records of this edge machine that are
 		// older than the lag of the index.
-		lifetime = t.bounds.Heal(recordTuning.indexLagRatio)
+		lifetime = t.bounds.Recovery(recordTuning.indexLagRatio)
 	}
-	prefillTime := t.bounds.Heal(recordTuning.prefillRatio)
+	prefillTime := t.bounds.Recovery(recordTuning.prefillRatio)
 	for _, holder := range known.holders {
 		if age := s.now - holder.recordedAt; holder.worker != "" && age < lifetime {
 			s.addHolder(prompt, stores, part, holderEvidence{holder.worker, holder.confirmed, !holder.confirmed && age < prefillTime})
 		}
 	}
-	if age := s.now - known.savedAt; known.savedAt > 0 && age < t.bounds.Heal(recordTuning.savedRatio) {
+	if age := s.now - known.savedAt; known.savedAt > 0 && age < t.bounds.Recovery(recordTuning.savedRatio) {
 		s.addHolder(prompt, stores, part, holderEvidence{known.savedIn, false, age < prefillTime})
 	}
 	if index != len(parts)-1 {
--- a/internal/data/selection/scorer.go
+++ b/internal/data/selection/scorer.go
@@ -140,7 +140,7 @@
 
 // setTarget sets the latency target of the request and the costs that are derived from it.
 func (s *scorer) setTarget() {
-	s.targetMs = milliseconds(s.table.bounds.Heal(loadTuning.defaultTargetRatio))
+	s.targetMs = milliseconds(s.table.bounds.Recovery(loadTuning.defaultTargetRatio))
 	if s.request.Route != nil && s.request.Route.LatencyTarget > 0 {
 		s.targetMs = milliseconds(s.request.Route.LatencyTarget)
 	}
@@ -197,7 +197,7 @@
 // that no cached parts are shared.
 func (s *scorer) cacheSalt(version uint64) string {
 	salt := CacheSalt(s.model, version, s.request.Tenant)
-	if !s.versions.reported && s.snapshot.NamedVersions[s.model] > 0 {
+	if !s.versions.reported && s.snapshot.TargetVersions[s.model] > 0 {
 		salt += "/" + url.QueryEscape(s.request.ID)
 	}
 	return salt
--- a/internal/data/selection/selector.go
+++ b/internal/data/selection/selector.go
@@ -48,7 +48,7 @@
 	if len(keys) == 0 {
 		return nil
 	}
-	minWait, maxWait := s.bounds.Heal(indexWaitTuning.minRatio), s.bounds.Heal(indexWaitTuning.maxRatio)
+	minWait, maxWait := s.bounds.Recovery(indexWaitTuning.minRatio), s.bounds.Recovery(indexWaitTuning.maxRatio)
 	wait := maxWait
 	if request.Route != nil && request.Route.LatencyTarget > 0 {
 		wait = time.Duration(float64(request.Route.LatencyTarget) * indexWaitTuning.targetRatio)
--- a/internal/data/selection/selector_test.go
+++ b/internal/data/selection/selector_test.go
@@ -27,7 +27,7 @@
 }
 
 func newFleet(n int) *fleet.Snapshot {
-	snapshot := &fleet.Snapshot{EdgeCount: 9, NamedVersions: map[string]uint64{}, NamedAt: map[string]time.Duration{}, Placements: map[string]*placement.Placement{},
+	snapshot := &fleet.Snapshot{EdgeCount: 9, TargetVersions: map[string]uint64{}, TargetSetAt: map[string]time.Duration{}, Placements: map[string]*placement.Placement{},
 		Plan: &routingconfig.Plan{Services: []routingconfig.Service{
 			{Name: "llm", Engine: &routingconfig.Engine{Slots: 128, CapacityTokens: 300000, TokenBytes: 18432, LinkMbps: 370000, Models: []string{"m"}}},
 			{Name: "app"},
@@ -43,7 +43,7 @@
 	return &testEdge{table: newTable(settings.DefaultBounds(), processStart), snapshot: snapshot, now: processStart + time.Minute, found: map[prefix.Key]*wire.LookupResult{}}
 }
 
-var route = &routingconfig.Route{Kind: routingconfig.EventStream, LatencyTarget: 400 * time.Millisecond, Priority: 4, NamesPromptParts: true}
+var route = &routingconfig.Route{Kind: routingconfig.EventStream, LatencyTarget: 400 * time.Millisecond, Priority: 4, CarriesPromptPartIDs: true}
 
 func (e *testEdge) newRequest(shared string, tokens int) *Request {
 	e.requestCount++
@@ -156,7 +156,7 @@
 		t.Errorf("worker %s, which caches the part, is overloaded: selected %s, fetching from %q; want another worker, fetching from %q", home, choice.Worker.ID, choice.Fetch, home+":1")
 	}
 	// Advance the clock until the workers' load reports have decayed.
-	edge.now += edge.bounds.Heal(1)
+	edge.now += edge.bounds.Recovery(1)
 	if choice := edge.mustSelect(t, edge.newRequest("p", 13000)); choice.Worker.ID != home {
 		t.Errorf("after the workers' load reports decayed: selected %s, want %s, which caches the part", choice.Worker.ID, home)
 	}
@@ -321,7 +321,7 @@
 	if n := lookupCount(edge.newRequest("p", 1000)); n != 0 {
 		t.Errorf("prompt whose shared part was just prefilled: %d prompt index keys to look up, want 0", n)
 	}
-	edge.now += edge.bounds.Heal(recordTuning.lookupRatio)
+	edge.now += edge.bounds.Recovery(recordTuning.lookupRatio)
 	if lookupCount(edge.newRequest("p", 1000)) == 0 {
 		t.Error("prompt whose shared part was last sent longer ago than recordTuning.lookupRatio allows: no prompt index keys to look up, want some")
 	}
--- a/internal/data/selection/tuning.go
+++ b/internal/data/selection/tuning.go
@@ -2,7 +2,7 @@
 
 // This file declares the parameters of the worker selection, one struct for each concern. They are read-only,
 // and TestTuningIsInRange checks each against the range in its comment. "Recovery time limit" is
-// settings.Bounds.HealMs, the time within which service is restored after a fault; "latency target" is that of
+// settings.Bounds.RecoveryMs, the time within which service is restored after a fault; "latency target" is that of
 // the request's route.
 
 // affinityParameters weigh the cost of additional copies of a prompt part in the workers' caches. A part that
--- a/internal/data/selection/versions.go
+++ b/internal/data/selection/versions.go
@@ -55,7 +55,7 @@
 // over, even if yet another version was named in the meantime.
 func (t *table) oldestAllowedVersion(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) (oldest uint64) {
 	if !t.olderVersionAllowed(snapshot, model, versions, now) {
-		return snapshot.NamedVersions[model]
+		return snapshot.TargetVersions[model]
 	}
 	for _, named := range snapshot.EarlierVersions[model] {
 		if now >= t.rolloutLimitAppliesFrom && now-named.At >= t.bounds.Weights(rolloutTuning.olderVersionRatio) {
@@ -71,15 +71,15 @@
 // the limit has already elapsed (package agent, which supplies the snapshot, assumes half): then an older
 // version is allowed only while no worker serves the named one.
 func (t *table) olderVersionAllowed(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) bool {
-	named := snapshot.NamedVersions[model]
+	named := snapshot.TargetVersions[model]
 	if named == 0 {
 		return true
 	}
-	namedAt, ok := snapshot.NamedAt[model]
+	namedAt, ok := snapshot.TargetSetAt[model]
 	if !ok || now < t.rolloutLimitAppliesFrom {
 		return true
 	}
-	isInherited := namedAt-t.startedAt < t.bounds.Heal(rolloutTuning.inheritedRatio)
+	isInherited := namedAt-t.startedAt < t.bounds.Recovery(rolloutTuning.inheritedRatio)
 	if isInherited && slices.ContainsFunc(versions.distinct, func(version uint64) bool { return version >= named }) {
 		return false
 	}
--- a/internal/data/selection/versions_test.go
+++ b/internal/data/selection/versions_test.go
@@ -52,7 +52,7 @@
 // were named; then only workers on the newer weights are.
 func TestOlderWeightsEndWithinTheirBound(t *testing.T) {
 	snapshot := newFleet(9)
-	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
+	snapshot.TargetVersions["m"], snapshot.TargetSetAt["m"] = 2, processStart+time.Minute
 	edge := newEdge(snapshot)
 	if n := edge.countOlder(); n != 60 {
 		t.Errorf("no worker serves weights version 2: %d of 60 requests assigned to older weights, want 60", n)
@@ -60,11 +60,11 @@
 	if edge.upgrade(snapshot, 6); edge.countOlder() > 30 {
 		t.Errorf("6 of 9 workers serve weights version 2: %d of 60 requests assigned to older weights, want at most 30", edge.countOlder())
 	}
-	edge.now = snapshot.NamedAt["m"] + edge.bounds.Weights(0.84)
+	edge.now = snapshot.TargetSetAt["m"] + edge.bounds.Weights(0.84)
 	if edge.upgrade(snapshot, 1); edge.countOlder() == 0 {
 		t.Error("1 of 9 workers serves weights version 2, named 0.84 of the rollout time limit ago, less than the 0.85 after which older weights are excluded: 0 of 60 requests assigned to older weights, want some")
 	}
-	edge.now = snapshot.NamedAt["m"] + edge.bounds.Weights(0.86)
+	edge.now = snapshot.TargetSetAt["m"] + edge.bounds.Weights(0.86)
 	if n := edge.countOlder(); n != 0 {
 		t.Errorf("1 of 9 workers serves weights version 2, named 0.86 of the rollout time limit ago, more than the 0.85 after which older weights are excluded: %d of 60 requests assigned to older weights, want 0", n)
 	}
@@ -78,7 +78,7 @@
 // know how much of the rollout time limit has passed.
 func TestNewProcessBoundsOlderWeights(t *testing.T) {
 	snapshot := newFleet(9)
-	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart
+	snapshot.TargetVersions["m"], snapshot.TargetSetAt["m"] = 2, processStart
 	edge := newEdge(snapshot)
 	edge.now = processStart + time.Second
 	if edge.upgrade(snapshot, 1); edge.countOlder() != 0 {
@@ -96,7 +96,7 @@
 	// Package agent, which supplies the snapshot, assumes that half of the rollout time limit had passed before
 	// the process started. Until 0.85 of the limit has, older weights are allowed if no worker serves newer
 	// ones.
-	snapshot.NamedAt["m"] = processStart - edge.bounds.Weights(0.5)
+	snapshot.TargetSetAt["m"] = processStart - edge.bounds.Weights(0.5)
 	edge.upgrade(snapshot, 0)
 	for ratio, want := range map[float64]bool{0.01: true, 0.34: true, 0.36: false} {
 		edge.now = processStart + edge.bounds.Weights(ratio)
@@ -108,7 +108,7 @@
 
 func TestCordonedAndNotReadyWorkersAreAvoided(t *testing.T) {
 	snapshot := newFleet(4)
-	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 2, processStart+time.Minute
+	snapshot.TargetVersions["m"], snapshot.TargetSetAt["m"] = 2, processStart+time.Minute
 	snapshot.Placements["llm"] = &placement.Placement{Cordoned: []string{"w0", "w1"}}
 	edge := newEdge(snapshot)
 	selected := func() map[string]int {
@@ -143,7 +143,7 @@
 		t.Errorf("worker w3 serves weights version 2, after it rejected an attempt for version 1: selected %s on version %d, want w3 on version 2", choice.Worker.ID, choice.Weights)
 	}
 	edge.snapshot = snapshot
-	edge.now += edge.bounds.Heal(avoidanceTuning.notReadyRatio)
+	edge.now += edge.bounds.Recovery(avoidanceTuning.notReadyRatio)
 	if byWorker := selected(); byWorker["w3"] == 0 {
 		t.Errorf("after the time for which w3 is avoided as not ready: number of selections by worker: %v, want some of w3", byWorker)
 	}
@@ -207,7 +207,7 @@
 	for i := range snapshot.Workers {
 		snapshot.Workers[i].Weights = nil
 	}
-	snapshot.NamedVersions["m"] = 1
+	snapshot.TargetVersions["m"] = 1
 	edge = newEdge(snapshot)
 	if first, second := edge.mustSelect(t, edge.newRequest("p", 100)), edge.mustSelect(t, edge.newRequest("p", 100)); first.Salt == second.Salt {
 		t.Errorf("no worker reports its weights version: two requests have the same cache salt %q, want distinct salts", first.Salt)
@@ -257,8 +257,8 @@
 	// newFleet returns workers that serve version 1 of the weights; one of them is changed to version 2 below.
 	snapshot := newFleet(4)
 	first, second := processStart+time.Minute, processStart+time.Minute+settings.DefaultBounds().Weights(0.6)
-	snapshot.NamedVersions["m"], snapshot.NamedAt["m"] = 3, second
-	snapshot.EarlierVersions = map[string][]fleet.NamedVersion{"m": {{Version: 2, At: first}}}
+	snapshot.TargetVersions["m"], snapshot.TargetSetAt["m"] = 3, second
+	snapshot.EarlierVersions = map[string][]fleet.TargetVersion{"m": {{Version: 2, At: first}}}
 	snapshot.Workers = append([]fleet.Worker(nil), snapshot.Workers...)
 	snapshot.Workers[0].Weights = map[string]uint64{"m": 2}
 	edge := newEdge(snapshot)
--- a/internal/data/selection/workerstats.go
+++ b/internal/data/selection/workerstats.go
@@ -32,8 +32,8 @@
 }
 
 func newServiceStats(bounds settings.Bounds) *serviceStats {
-	firstEventMs := milliseconds(bounds.Heal(estimatorTuning.priorFirstEventRatio))
-	msPerToken := milliseconds(bounds.Heal(estimatorTuning.priorTokenRatio))
+	firstEventMs := milliseconds(bounds.Recovery(estimatorTuning.priorFirstEventRatio))
+	msPerToken := milliseconds(bounds.Recovery(estimatorTuning.priorTokenRatio))
 	stats := &serviceStats{
 		firstEventMs:      firstEventMs,
 		msPerToken:        msPerToken,
@@ -161,7 +161,7 @@
 	}
 	weight := 0.0
 	if w.hasReported {
-		weight = decayWeight(now-w.reportedAt, t.bounds.Heal(loadTuning.decayRatio))
+		weight = decayWeight(now-w.reportedAt, t.bounds.Recovery(loadTuning.decayRatio))
 	}
 	return weight*w.othersLoad + (1-weight)*w.service.meanOthersLoad + float64(w.inFlight)
 }
@@ -171,7 +171,7 @@
 // edge machines, from the lateness of the most recent first response event, and from the lateness of first
 // response events that have not been received yet.
 func (t *table) backlogMs(w *workerStats, now time.Duration) float64 {
-	decayTime := t.bounds.Heal(loadTuning.decayRatio)
+	decayTime := t.bounds.Recovery(loadTuning.decayRatio)
 	ms := milliseconds(max(0, w.prefillUntil-now))
 	if w.hasReported {
 		ms = max(ms, decayWeight(now-w.reportedAt, decayTime)*w.othersPendingTokens*w.service.msPerToken)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -43,9 +43,9 @@
 	Versions map[string]uint64 `json:"named"`
 }
 
-// NamedVersion is a version of a model's weights that workers should load, and the time at which this process first
+// TargetVersion is a version of a model's weights that workers should load, and the time at which this process first
 // received it.
-type NamedVersion struct {
+type TargetVersion struct {
 	Version uint64
 	At      time.Duration // time at which this process first received Version, on its own clock
 }
@@ -58,12 +58,12 @@
 	Workers    []Worker
 	Placements map[string]*placement.Placement // placement of prompt prefixes, by service
 
-	NamedVersions map[string]uint64        // version of the weights that workers should load, by model
-	NamedAt       map[string]time.Duration // time at which this process first received each target version, by model
+	TargetVersions map[string]uint64        // version of the weights that workers should load, by model
+	TargetSetAt    map[string]time.Duration // time at which this process first received each target version, by model
 	// EarlierVersions lists, by model and oldest first, superseded target versions of the weights. Within
 	// Bounds.WeightsMs after one of them was received, requests stop starting on versions before it, even if another
 	// target version has been set in the meantime.
-	EarlierVersions map[string][]NamedVersion
+	EarlierVersions map[string][]TargetVersion
 
 	Nodes     []*wire.Node // members of the cluster, as the cluster membership reports them
 	EdgeCount int          // number of edge machines, including those lost recently; at least 1
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -9,7 +9,7 @@
 	KeyRevocationMs       int `json:"key_ms"`      // longest time that a revoked API key is still accepted
 	LeaveMs               int `json:"leave_ms"`    // longest time that a worker still gets requests after it has left the site
 	WeightsMs             int `json:"weights_ms"`  // longest time that requests still start on superseded weights
-	HealMs                int `json:"heal_ms"`     // longest time until service is restored after a fault
+	RecoveryMs            int `json:"heal_ms"`     // longest time until service is restored after a fault
 	RetryPercent          int `json:"try_share"`   // retries that are allowed, as a percentage of the requests
 	RetryWindowMs         int `json:"try_span_ms"` // interval over which retries are counted; used only by checks of the test bed
 	RetryAllowance        int `json:"try_allow"`   // retries per service in the entire site that are allowed in addition to RetryPercent
@@ -23,7 +23,7 @@
 //
 // Example: process.Bounds = settings.DefaultBounds()
 func DefaultBounds() Bounds {
-	return Bounds{ConfigMs: 2000, KeyRevocationMs: 5000, LeaveMs: 3000, WeightsMs: 20000, HealMs: 12000,
+	return Bounds{ConfigMs: 2000, KeyRevocationMs: 5000, LeaveMs: 3000, WeightsMs: 20000, RecoveryMs: 12000,
 		RetryPercent: 20, RetryWindowMs: 10000, RetryAllowance: 10, RequestIDRetentionMs: 1800000,
 		MaxBodyKB: 512, MaxConcurrentRequests: 256, MaxIndexEntries: 60000}
 }
@@ -32,15 +32,15 @@
 // first order of the next holder. A holder stops sending orders LeaseMarginRatio of a lease before its lease ends, the
 // next holder starts LeaseMarginRatio of a lease after that end, and an order times out after OrderTimeoutRatio.
 const (
-	LeaseRatio        = 1.0 / 4  // duration of a lease, as a ratio of Bounds.HealMs
+	LeaseRatio        = 1.0 / 4  // duration of a lease, as a ratio of Bounds.RecoveryMs
 	LeaseMarginRatio  = 1.0 / 8  // safety margin before and after the end of a lease, as a ratio of the lease's duration
-	OrderTimeoutRatio = 1.0 / 24 // timeout of an order to a worker, as a ratio of Bounds.HealMs
+	OrderTimeoutRatio = 1.0 / 24 // timeout of an order to a worker, as a ratio of Bounds.RecoveryMs
 )
 
 // handoverGap returns the shortest time between the arrival of a lease holder's last order at a worker and the first
 // order that the next holder sends.
 func (b Bounds) handoverGap() time.Duration {
-	return b.Heal(2*LeaseMarginRatio*LeaseRatio) - b.Heal(OrderTimeoutRatio)
+	return b.Recovery(2*LeaseMarginRatio*LeaseRatio) - b.Recovery(OrderTimeoutRatio)
 }
 
 // Fraction multiplies a number of milliseconds by a ratio and returns the result as a duration.
@@ -67,10 +67,10 @@
 // Example: heartbeatInterval := bounds.Leave(0.1)
 func (b Bounds) Leave(ratio float64) time.Duration { return Fraction(b.LeaveMs, ratio) }
 
-// Heal returns Bounds.HealMs, the longest time until service is restored after a fault, multiplied by a ratio.
+// Recovery returns Bounds.RecoveryMs, the longest time until service is restored after a fault, multiplied by a ratio.
 //
-// Example: lease := bounds.Heal(settings.LeaseRatio)
-func (b Bounds) Heal(ratio float64) time.Duration { return Fraction(b.HealMs, ratio) }
+// Example: lease := bounds.Recovery(settings.LeaseRatio)
+func (b Bounds) Recovery(ratio float64) time.Duration { return Fraction(b.RecoveryMs, ratio) }
 
 // RequestIDRetention returns Bounds.RequestIDRetentionMs, the shortest time that the IDs of at-most-once requests are
 // remembered, multiplied by a ratio.
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -43,7 +43,7 @@
 
 func decodeBounds(raw map[string]json.RawMessage, file string, b *Bounds, faults *errs.Batch) {
 	fields := map[string]*int{"setup_ms": &b.ConfigMs, "key_ms": &b.KeyRevocationMs, "leave_ms": &b.LeaveMs,
-		"weights_ms": &b.WeightsMs, "heal_ms": &b.HealMs, "try_share": &b.RetryPercent, "try_span_ms": &b.RetryWindowMs,
+		"weights_ms": &b.WeightsMs, "heal_ms": &b.RecoveryMs, "try_share": &b.RetryPercent, "try_span_ms": &b.RetryWindowMs,
 		"try_allow": &b.RetryAllowance, "once_ms": &b.RequestIDRetentionMs, "body_kb": &b.MaxBodyKB,
 		"waiting": &b.MaxConcurrentRequests, "entries": &b.MaxIndexEntries}
 	for _, key := range maputil.SortedKeys(raw) {
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -31,14 +31,14 @@
 	parser.String(&f.NodeAgent, "", "node-agent", "address (IP:port) of the node agent on the same machine")
 	parser.String(&f.WorkerList, "", "worker-list", "address (IP:port) of the platform's worker list")
 	parser.String(&f.options, "", "options", "program-specific options key=value, comma-separated")
-	AddFirstNames(parser)
+	AddFormerNames(parser)
 }
 
-// AddFirstNames adds, for each renamed flag of a parser, a hidden flag with its former name, which sets the same
+// AddFormerNames adds, for each renamed flag of a parser, a hidden flag with its former name, which sets the same
 // value. Scripts that use former names keep working; --help doesn't list them.
 //
-// Example: settings.AddFirstNames(parser)
-func AddFirstNames(parser *flaggy.Parser) {
+// Example: settings.AddFormerNames(parser)
+func AddFormerNames(parser *flaggy.Parser) {
 	for _, flag := range slices.Clone(parser.Flags) {
 		for _, renamed := range programs.Flags() {
 			if flag.LongName != renamed.Name {
--- a/internal/settings/process_test.go
+++ b/internal/settings/process_test.go
@@ -36,7 +36,7 @@
 	if process.NodeAgent != "127.0.0.1:8" || process.WorkerList != "127.0.0.1:9" || process.AdvertisedAddr() != "127.0.0.1:2" || process.Option("k", "") != "v" {
 		t.Errorf("settings file with every key: decoded %+v, want the node agent, worker list, advertised address and option of the file", process)
 	}
-	want := Bounds{ConfigMs: 2001, KeyRevocationMs: 5001, LeaveMs: 3001, WeightsMs: 20001, HealMs: 12001, RetryPercent: 21, RetryWindowMs: 10001,
+	want := Bounds{ConfigMs: 2001, KeyRevocationMs: 5001, LeaveMs: 3001, WeightsMs: 20001, RecoveryMs: 12001, RetryPercent: 21, RetryWindowMs: 10001,
 		RetryAllowance: 11, RequestIDRetentionMs: 1800001, MaxBodyKB: 513, MaxConcurrentRequests: 257, MaxIndexEntries: 60001}
 	if process.Bounds != want {
 		t.Errorf("bounds decoded from the settings file: %+v, want %+v", process.Bounds, want)
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -81,13 +81,13 @@
 	v.inRange("key_ms", b.KeyRevocationMs, b.ConfigMs, 120000)
 	v.inRange("leave_ms", b.LeaveMs, 300, 60000)
 	v.inRange("weights_ms", b.WeightsMs, b.ConfigMs, 600000)
-	v.inRange("heal_ms", b.HealMs, 1000, 600000)
+	v.inRange("heal_ms", b.RecoveryMs, 1000, 600000)
 	v.inRange("try_share", b.RetryPercent, 0, 100)
 	v.inRange("try_span_ms", b.RetryWindowMs, 1000, 600000)
 	v.inRange("try_allow", b.RetryAllowance, 0, 10000)
 	v.inRange("once_ms", b.RequestIDRetentionMs, 600000, 86400000) // the minimum retention of request IDs, 10 min, is longer than any request takes
-	if b.HealMs > 0 && b.handoverGap() < b.Heal(OrderTimeoutRatio)/4 {
-		v.invalid("bounds.heal_ms", "recovery time limit of %d ms is too short: the last order of a lease holder could arrive after the first order of the next holder", b.HealMs)
+	if b.RecoveryMs > 0 && b.handoverGap() < b.Recovery(OrderTimeoutRatio)/4 {
+		v.invalid("bounds.heal_ms", "recovery time limit of %d ms is too short: the last order of a lease holder could arrive after the first order of the next holder", b.RecoveryMs)
 	}
 	v.inRange("body_kb", b.MaxBodyKB, 1, 16384)
 	v.inRange("waiting", b.MaxConcurrentRequests, 1, 65536)
--- a/internal/sim/testbed/operatorhistory.go
+++ b/internal/sim/testbed/operatorhistory.go
@@ -83,7 +83,7 @@
 // isChange reports whether a calendar step changes the configuration once it is carried out.
 func isChange(step calendar.Step) bool {
 	switch step.Kind {
-	case calendar.StepNameWeights, calendar.StepDrain, calendar.StepUndrain, calendar.StepSetPercent:
+	case calendar.StepSetWeights, calendar.StepDrain, calendar.StepUndrain, calendar.StepSetPercent:
 		return step.State != calendar.StepPending
 	}
 	return false
--- a/internal/sim/testbed/scenariorun.go
+++ b/internal/sim/testbed/scenariorun.go
@@ -118,7 +118,7 @@
 	if run.scenario.RecoveryMs > 0 {
 		return run.scenario.RecoveryMs
 	}
-	return run.fleet.Site.Processes[0].Settings.Bounds.HealMs
+	return run.fleet.Site.Processes[0].Settings.Bounds.RecoveryMs
 }
 
 // lastStepMs returns when the last step is due, from the start of the steps.
