--- a/internal/data/callerproxy/admission.go
+++ b/internal/data/callerproxy/admission.go
@@ -60,7 +60,7 @@
 	id := req.body.RequestID
 	nonce, granted, err := req.proxy.claims.acquire(req.ctx, claimKey(req.tenant, id))
 	if err != nil {
-		req.claimNonce = nonce // the claim may have been granted, so release has to give it up
+		req.claimNonce = nonce // the claim may have been granted despite the error, so release has to give it up
 		return reject(errs.NotExecuted, id, req.proxy.bounds.Heal(claimRetryAfterRatio), "cannot claim the ID of the at-most-once request: %v", err)
 	}
 	if !granted {
--- a/internal/data/callerproxy/affinity.go
+++ b/internal/data/callerproxy/affinity.go
@@ -12,11 +12,11 @@
 	// affinityPenaltyRatio is the cost added at workers other than the preferred one, as a fraction of the prefill
 	// time of the prefix: they would compute the prefix again, and it would be cached twice.
 	affinityPenaltyRatio = 0.75
-	// sharedAccessRatio is the minimum hotness of an entry that counts as shared between requests, as a fraction
-	// of the hotness of the prompt's first entry.
+	// sharedAccessRatio is the minimum hotness (number of recent accesses) of a prefix entry that counts as shared
+	// between requests, as a fraction of the hotness of the prompt's first entry.
 	sharedAccessRatio = 0.25
-	// sharedMinAccesses is the minimum hotness of an entry that counts as shared between requests. It is above 1,
-	// because one access may be the request's own.
+	// sharedMinAccesses is the minimum hotness (number of recent accesses) of a prefix entry that counts as shared
+	// between requests. It is above 1, because one access may be the request's own.
 	sharedMinAccesses = 1.5
 )
 
@@ -26,8 +26,9 @@
 	tokens int    // length in tokens of the prefix that determines the preference
 }
 
-// affinityFor returns the first worker in the hash ranking of the affinity entry that is not overloaded. There is none
-// if the entry is replicated on all workers or the placement mode does not use the prompt index.
+// affinityFor returns the worker preferred for a prompt: in the hash ranking for the prompt's affinity entry (see
+// affinityEntry), the first worker that is not overloaded. No worker is preferred if the entry is replicated on all
+// workers or the placement mode does not use the prompt index.
 func (q *Query) affinityFor(entries []prefix.Entry, view *selectionView) affinity {
 	key, index, _ := q.affinityEntry(entries)
 	if index < 0 || q.Placement.IsReplicated(key) || !q.usesIndex() {
@@ -42,7 +43,7 @@
 }
 
 // affinityEntry returns the prefix entry that determines the preferred worker of a request: the prefix shared with
-// other requests, or the session's prefix if that is admitted. The index is -1 if the prompt has no entries.
+// other requests, or the session's prefix if that is admitted. The returned index is -1 if entries is empty.
 // Admission follows the rule for user prefixes in the BAT paper (docs/design.md names the source): the session's
 // part must be at least as long as the shared prefix, and be accessed more often than the coldest cached entry.
 // Workers evict on their own, so admission only means that the worker the prefix is assigned to is preferred and
@@ -53,7 +54,7 @@
 	}
 	index = q.sharedPrefixIndex(entries)
 	sharedEntry := entries[index]
-	sessionIndex := len(entries) - 2 // the last entry also contains the request's own question
+	sessionIndex := len(entries) - 2 // the session's prefix is the second to last entry: the last one also contains the request's own question
 	if sessionIndex <= index || q.Placement == nil {
 		return sharedEntry.Key, index, false
 	}
@@ -78,5 +79,6 @@
 	return index
 }
 
-// hotness returns how often an entry was accessed within the prompt index's time window.
+// hotness returns how often a prefix entry was accessed within the time window over which the prompt index counts
+// accesses.
 func (q *Query) hotness(entry prefix.Entry) float64 { return q.LookupResults[entry.Key].GetHotness() }
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -17,8 +17,8 @@
 // requests.
 const (
 	watchIntervalRatio      = 0.2 // interval at which a running attempt checks that its worker still exists
-	failedWorkerPauseRatio  = 0.3 // how long a worker gets no further attempt after a failed one: until its next health check
-	noWorkerRetryAfterRatio = 0.3 // Retry-After of a request for which no worker can be selected
+	failedWorkerPauseRatio  = 0.3 // how long a worker gets no further attempt after a failed one, to cover the time until its next health check
+	noWorkerRetryAfterRatio = 0.3 // Retry-After of a request that is rejected because no worker can be selected
 )
 
 // defaultAnswerChunks is the number of response chunks to generate if the request does not specify it.
@@ -160,8 +160,8 @@
 	}
 }
 
-// headers returns the HTTP headers that name where the worker fetches cached prefixes from and where it copies them
-// to.
+// headers returns the HTTP headers that tell the chosen worker from which addresses to fetch cached prefixes and to
+// which addresses to copy them.
 func (c *Choice) headers() map[string]string {
 	headers := map[string]string{}
 	if c.FetchFrom != "" {
@@ -185,8 +185,8 @@
 	cancel()
 }
 
-// isSameWorker reports whether a listed worker is the one that an attempt was sent to. The incarnation has to
-// match only if it was known when the attempt started.
+// isSameWorker reports whether a listed worker is the one that an attempt was sent to. The incarnations of the worker
+// are compared only if the incarnation was known when the attempt started.
 func isSameWorker(known, started *wire.Worker) bool {
 	return known.Name == started.Name && known.Addr == started.Addr &&
 		(started.Incarnation == "" || known.Incarnation == started.Incarnation)
--- a/internal/data/callerproxy/claim.go
+++ b/internal/data/callerproxy/claim.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// claimTimeoutRatio is the timeout of a control state command with claims, as a fraction of Bounds.Heal,
+	// claimTimeoutRatio is the timeout of a command that sends claims to the control state, as a fraction of Bounds.Heal,
 	// the bound on recovery time.
 	claimTimeoutRatio = 1.0 / 6
 	// maxClaimsPerCommand is the maximum number of claims sent to a control state shard in one command.
@@ -51,7 +51,7 @@
 	result chan claimResult // receives the outcome; nil for a release, which nobody waits for
 }
 
-// claimResult is the outcome of one claim; granted is valid only if err is nil.
+// claimResult is the outcome of one claim on a request ID; granted is valid only if err is nil.
 type claimResult struct {
 	granted bool
 	err     error
--- a/internal/data/callerproxy/decision.go
+++ b/internal/data/callerproxy/decision.go
@@ -14,12 +14,12 @@
 	Config        uint64  `json:"setup_epoch"`          // version of the configuration that the request was routed under
 	Placement     uint64  `json:"placement_epoch"`      // version of the service's placement; 0 if there is none
 	CachedTokens  int     `json:"hit_tokens"`           // prompt tokens that the worker was expected to have in its cache
-	FetchedTokens int     `json:"fetch_tokens"`         // prompt tokens that the worker was directed to fetch from other holders
-	WaitUs        float64 `json:"wait_us"`              // estimated time until a slot is free
-	CostUs        float64 `json:"cost_us"`              // estimated time to first token, including any affinity penalty
-	Replicated    bool    `json:"hot"`                  // the prefix that determines worker affinity is replicated on all workers
-	SessionPrefix bool    `json:"session"`              // worker affinity is determined by the session's prefix rather than the shared prefix
-	FetchSources  string  `json:"fetch_from,omitempty"` // prefix entries to fetch, as a comma-separated list of "index=address"
+	FetchedTokens int     `json:"fetch_tokens"`         // prompt tokens that the worker was directed to fetch from other workers or cache stores
+	WaitUs        float64 `json:"wait_us"`              // estimated time in microseconds until the worker has a free slot
+	CostUs        float64 `json:"cost_us"`              // estimated time to first token in microseconds, including the penalty if another worker is preferred
+	Replicated    bool    `json:"hot"`                  // whether the prefix that determines the preferred worker is replicated on all workers
+	SessionPrefix bool    `json:"session"`              // whether the session's prefix, not the prefix shared with other requests, determines the preferred worker
+	FetchSources  string  `json:"fetch_from,omitempty"` // comma-separated list of "index=address": index of a prefix entry to fetch, and where to fetch it from
 	Node          string  `json:"machine"`              // name of the node that this proxy runs on
 	ShardWorker   string  `json:"home,omitempty"`       // worker preferred by prefix affinity; empty if there is none
 	SaveTargets   string  `json:"save_to,omitempty"`    // comma-separated addresses that the worker copies the prefix to
--- a/internal/data/callerproxy/freshness.go
+++ b/internal/data/callerproxy/freshness.go
@@ -8,9 +8,9 @@
 	"pebbleloom/internal/wire"
 )
 
-// Limits on the age of the proof that a configuration is the latest, as fractions of Bounds.Config, the bound on
-// using an outdated configuration. The time until a request is checked plus the time until a worker begins it stays
-// below that bound.
+// Limits on the age of the proof that a configuration is the latest, and Retry-After times, as fractions of
+// Bounds.Config, the bound on using an outdated configuration. Both age limits are below 1, so that the time until a
+// request is checked plus the time until a worker begins it stays below that bound.
 const (
 	maxProofAgeRatio        = 0.8  // maximum age of a configuration's proof when a request is admitted or an attempt is sent
 	startDeadlineRatio      = 0.95 // maximum age of a configuration's proof when a worker begins an attempt
@@ -51,8 +51,8 @@
 
 // startDeadline returns the latest time at which a worker may begin an attempt. After that, the configuration or the
 // worker's weights might have been superseded for longer than their bounds allow. A worker that does not report its
-// clock cannot enforce the deadline itself and is limited only by the wait time in the start request; the ratios
-// above leave a margin for that.
+// clock cannot enforce the deadline itself and is limited only by the wait time in the start request;
+// startDeadlineRatio and supersededStartRatio are below 1 to leave a margin for that.
 func (req *request) startDeadline(worker *wire.Worker) time.Duration {
 	p := req.proxy
 	deadline := req.snapshot.ProofAt + p.bounds.Config(startDeadlineRatio)
--- a/internal/data/callerproxy/links.go
+++ b/internal/data/callerproxy/links.go
@@ -16,13 +16,14 @@
 	bandwidthSmoothing = 0.1
 )
 
-// linkClass is a class of network links for prefix fetches. All links of a class share one bandwidth estimate.
+// linkClass is a class of network links over which workers fetch cached prefixes. All links of a class share one
+// bandwidth estimate.
 type linkClass string
 
 const (
-	nearLinks  linkClass = "near"  // between workers in the same zone
-	farLinks   linkClass = "far"   // between workers in different zones
-	storeLinks linkClass = "store" // from a cache store to a worker
+	nearLinks  linkClass = "near"  // links between workers in the same zone
+	farLinks   linkClass = "far"   // links between workers in different zones
+	storeLinks linkClass = "store" // links from a cache store to a worker
 )
 
 // bandwidthEstimates are moving averages of the bandwidth of prefix fetches, by link class, in tokens per second.
--- a/internal/data/callerproxy/promptindex.go
+++ b/internal/data/callerproxy/promptindex.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	counterQueueLength   = 1024 // commands queued for the access counter; accesses beyond that are not counted
-	maxLookupsPerBatch   = 64   // requests whose keys are combined into one lookup batch
-	maxConcurrentLookups = 8    // lookup batches in flight at the same time
+	counterQueueLength   = 1024 // capacity of the access counter's command queue; while it is full, accesses are not counted
+	maxLookupsPerBatch   = 64   // maximum number of requests whose keys are combined into one lookup batch
+	maxConcurrentLookups = 8    // maximum number of lookup batches in flight at the same time
 )
 
 // reporterPrefix and the node's name identify this proxy as the sender of access batches to the index nodes. The
@@ -42,10 +42,10 @@
 	bounds         settings.Bounds
 	clock          clock.Clock
 	shards         atomic.Pointer[promptindex.Shards]      // assignment of keys to index nodes; nil until index nodes are known
-	shardLayout    string                                  // index nodes that shards was computed from, to detect changes
+	shardLayout    string                                  // names, addresses and liveness of the index nodes that shards was computed from, to detect changes
 	pendingLookups *queue.Ring[lookupRequest]              // lookups waiting to be batched
-	accesses       *queue.Actor[indexclient.AccessCounter] // accesses not yet acknowledged by the index nodes
-	lookupBatches  atomic.Uint64                           // metric: number of lookup batches
+	accesses       *queue.Actor[indexclient.AccessCounter] // counted accesses to prefix entries that the index nodes have not yet acknowledged
+	lookupBatches  atomic.Uint64                           // metric: number of lookup batches sent to the prompt index
 	lookupKeys     atomic.Uint64                           // metric: number of keys in all lookup batches
 }
 
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -29,7 +29,7 @@
 
 // Capacities of the proxy's in-memory queues, in entries.
 const (
-	trafficQueueLength  = 4096 // pending commands for the actor that guards the traffic table
+	trafficQueueLength  = 4096 // pending commands for the actor that owns the traffic table (Proxy.traffic)
 	decisionQueueLength = 512  // routing decisions not yet reported to the node agent; excess ones are dropped
 )
 
@@ -55,7 +55,7 @@
 	bandwidths bandwidthEstimates
 	stats      stats
 
-	prefillCurve placement.Curve             // prefill time curve used for services without a placement
+	prefillCurve placement.Curve             // prefill time by number of tokens, for services whose placement has not been computed
 	decisions    *queue.Ring[*wire.Decision] // routing decisions waiting to be reported to the node agent
 }
 
--- a/internal/data/callerproxy/request.go
+++ b/internal/data/callerproxy/request.go
@@ -29,17 +29,17 @@
 	body       *caller.Ask // decoded JSON body
 	tenantKey  string
 	tenant     string
-	atMostOnce bool            // the request must not be executed twice, even if the outcome of an attempt is unknown
+	atMostOnce bool            // whether the request must not be executed twice, even if the outcome of an attempt is unknown
 	ctx        context.Context // canceled when waitLimit has elapsed or the client disconnects
 	cancel     context.CancelFunc
 	startedAt  time.Duration // when the request arrived, by the process's clock
 	waitLimit  time.Duration // time limit of the request from startedAt: the client's wait_ms, capped by the configuration
 
 	snapshot             *updatestream.Snapshot    // configuration and workers; its freshness is checked again right before each attempt
-	entries              map[uint64][]prefix.Entry // prefix entries of the prompt, by version of the weights
+	entries              map[uint64][]prefix.Entry // prefix entries of the prompt, by version of the model weights
 	lookupResults        map[prefix.Key]*wire.LookupResult
-	failedWorkers        map[string]bool // names of workers at which an attempt of this request has failed
-	retryTokensDeposited bool            // the first attempt has been credited to the retry budget
+	failedWorkers        map[string]bool // names of the workers at which an attempt of this request has failed
+	retryTokensDeposited bool            // whether the request's first attempt has been credited to the retry budget of its service
 	claimNonce           uint64          // nonce of the claim on the request ID; 0 if there is no claim
 	mayHaveExecuted      bool
 }
@@ -158,7 +158,7 @@
 	if queued > req.timeRemaining() {
 		return false, 0, reject(errs.Overloaded, req.body.RequestID, queued, "expected queueing time of %.0f ms exceeds the request's remaining time", choice.WaitUs/1000)
 	}
-	if p.clock.Now()+queued > deadline { // wait in the proxy rather than in the worker's queue, so that the configuration is checked again
+	if p.clock.Now()+queued > deadline { // wait in the proxy, not in the worker's queue, so that the configuration is checked again before sending
 		return false, p.bounds.Config(recheckRatio), nil
 	}
 	if !req.retryTokensDeposited {
--- a/internal/data/callerproxy/saves.go
+++ b/internal/data/callerproxy/saves.go
@@ -6,8 +6,9 @@
 
 // planSaveTargets decides where the selected worker copies the prefix that determines affinity. A replicated prefix is
 // copied to one more worker that does not hold it. Any other prefix is copied to its preferred worker, if another
-// worker was selected and the prefix is reused. Both kinds are also copied to the stores, a prefix that is not
-// replicated only once it is reused: its only worker may evict it, and a fetch from a store is faster than prefill.
+// worker was selected and the prefix is reused; a session's prefix always counts as reused. In addition, replicated
+// prefixes and reused prefixes are copied to the cache stores, because the only worker that holds a prefix may evict
+// it, and a fetch from a store is faster than prefill.
 func (q *Query) planSaveTargets(choice *Choice, view *selectionView) {
 	key, index, isSession := q.affinityEntry(choice.Entries)
 	if index < 0 || !q.usesIndex() {
--- a/internal/data/callerproxy/select.go
+++ b/internal/data/callerproxy/select.go
@@ -30,7 +30,7 @@
 	FarBandwidth   float64         // fetch bandwidth between workers in different zones, in tokens per second
 	StoreBandwidth float64         // fetch bandwidth from a cache store, in tokens per second
 
-	includeCordoned bool // cordoned workers may be selected, because no other is available
+	includeCordoned bool // whether cordoned workers (see isCordoned) may be selected; set if no other worker is available
 }
 
 // Choice is the result of worker selection: the worker, the expected cost, and which cached prefixes the worker
@@ -39,15 +39,15 @@
 	Worker          *wire.Worker
 	Entries         []prefix.Entry // prefix entries of the prompt under the worker's version of the weights
 	HitTokens       int            // prompt tokens that the worker is expected to have in its cache
-	FetchTokens     int            // prompt tokens that the worker is to fetch from other holders
-	CostUs          float64        // estimated time to first token, including any affinity penalty
-	WaitUs          float64        // part of CostUs: estimated time until a slot is free
-	FetchFrom       string         // prefix entries to fetch, as a comma-separated list of "index=address"
+	FetchTokens     int            // prompt tokens that the worker is to fetch from other workers or cache stores
+	CostUs          float64        // estimated time to first token in microseconds, including the penalty if another worker is preferred
+	WaitUs          float64        // part of CostUs: estimated time in microseconds until the worker has a free slot
+	FetchFrom       string         // comma-separated list of "index=address": index of a prefix entry to fetch, and where to fetch it from
 	SaveAddrs       string         // comma-separated addresses that the worker copies the prefix to
-	SaveNames       []string       // names of the workers and stores in SaveAddrs
+	SaveNames       []string       // names of the workers and cache stores whose addresses are in SaveAddrs
 	SaveEntries     int            // number of leading prefix entries that are copied to SaveAddrs
-	Replicated      bool           // the prefix that determines worker affinity is replicated on all workers
-	SessionPrefix   bool           // worker affinity is determined by the session's prefix rather than the shared prefix
+	Replicated      bool           // whether the prefix that determines the preferred worker is replicated on all workers
+	SessionPrefix   bool           // whether the session's prefix, not the prefix shared with other requests, determines the preferred worker
 	PreferredWorker string         // worker preferred by prefix affinity; empty if there is none
 }
 
@@ -55,10 +55,10 @@
 type candidate struct {
 	worker                 *wire.Worker
 	entries                []prefix.Entry
-	costUs                 float64  // estimated time to first token, including any affinity penalty
-	waitUs                 float64  // part of costUs: estimated time until a slot is free
-	hitTokens, fetchTokens int      // prompt tokens in the worker's cache, and to be fetched from other holders
-	fetchFrom              []string // prefix entries to fetch, as "index=address"
+	costUs                 float64  // estimated time to first token in microseconds, including the penalty if another worker is preferred
+	waitUs                 float64  // part of costUs: estimated time in microseconds until the worker has a free slot
+	hitTokens, fetchTokens int      // prompt tokens in the worker's cache, and prompt tokens to fetch from other workers or cache stores
+	fetchFrom              []string // "index=address" items: index of a prefix entry to fetch, and where to fetch it from
 }
 
 // selectionView holds the data that a selection derives from its query once and uses for every worker.
@@ -81,7 +81,7 @@
 	view := query.newSelectionView()
 	best, preferredWorker := query.lowestCost(view)
 	if best == nil && !query.includeCordoned && query.Placement != nil && len(query.Placement.Cordoned) > 0 {
-		query.includeCordoned = true // a cordoned worker is better than none
+		query.includeCordoned = true // no other worker is available, and a cordoned worker is better than none
 		return Select(query)
 	}
 	if best == nil {
@@ -104,7 +104,7 @@
 // lowestCost returns the candidate with the lowest cost, and the worker that prefix affinity prefers. The candidate
 // is nil if no worker can be selected.
 func (q *Query) lowestCost(view *selectionView) (best *candidate, preferredWorker string) {
-	affinities := map[uint64]affinity{} // by version of the weights, since workers with the same version share their entries
+	affinities := map[uint64]affinity{} // by version of the model weights: workers with the same version have the same prefix entries
 	for _, worker := range q.Workers {
 		entries, ok := q.Entries[worker.Weights]
 		if !ok || q.FailedWorkers[worker.Name] || worker.State != updatestream.WorkerUp || q.isCordoned(worker) {
--- a/internal/data/callerproxy/stream.go
+++ b/internal/data/callerproxy/stream.go
@@ -17,9 +17,9 @@
 // client's connection, so that the client notices the incomplete response.
 type stream struct {
 	proxy        *Proxy
-	id           string // ID of the request
-	worker       string // name of the worker
-	zone         string // zone of the worker
+	id           string // ID of the client's request
+	worker       string // name of the worker that sends the response
+	zone         string // zone of the worker that sends the response
 	snapshot     *updatestream.Snapshot
 	startedAt    time.Duration
 	cancel       func() // cancels the call to the worker
@@ -32,7 +32,7 @@
 
 	mu    sync.Mutex
 	watch *time.Timer // timer of the next check that the worker still exists
-	ended bool        // finish was called: no further check is scheduled
+	ended bool        // whether the attempt has ended; if so, no further check of the worker is scheduled
 }
 
 // readLine reads the next line of the worker's response and verifies it. It returns io.EOF only after the seal.
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// finish ends the attempt and records its result; ok reports whether the worker did not fail it.
+// finish ends the attempt and records its result; ok is false if the worker failed the attempt.
 func (s *stream) finish(ok bool) {
 	s.mu.Lock()
 	s.ended = true
--- a/internal/data/callerproxy/traffic.go
+++ b/internal/data/callerproxy/traffic.go
@@ -33,21 +33,21 @@
 	workers       map[string]*workerState
 	retryBudgets  *retrybudget.ByService
 	meanAttemptUs float64                        // exponential moving average of the duration of successful attempts, in microseconds
-	reports       map[string]*wire.AttemptReport // unreported results, by worker name or "link/" and the link class
+	reports       map[string]*wire.AttemptReport // results not yet reported to the node agent, by worker name, or by "link/" and the link class
 	maxEdgeNodes  int                            // largest number of edge nodes that this process has seen
 }
 
 // tenantState holds the rate limit token bucket and the number of requests in flight of one tenant on this node.
 type tenantState struct {
 	inFlight   int           // requests of the tenant in flight on this node
-	tokens     float64       // requests that may start now; refilled at this node's share of the tenant's rate
-	refilledAt time.Duration // when tokens was last updated
+	tokens     float64       // rate limit tokens, one per request; refilled at this node's share of the tenant's rate limit
+	refilledAt time.Duration // when the number of rate limit tokens was last updated, by the process's clock
 }
 
 // workerState is a worker's load and latest failure as observed by this node's own attempts.
 type workerState struct {
 	attempts int           // number of attempts of this node in flight or waiting at the worker
-	failedAt time.Duration // when the last attempt failed; 0 if none has
+	failedAt time.Duration // when an attempt of this node at the worker last failed, by the process's clock; 0 if none has
 }
 
 func newTrafficTable(bounds settings.Bounds) *trafficTable {
