--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -59,8 +59,8 @@
 	delete(f.proxyFixture.claimedKeys, string(key))
 }
 
-// newProxyFixture starts a proxy with one worker for each failure mode. The proxy's clock is
-// manual and starts at one hour.
+// newProxyFixture starts a proxy with one fake worker for each failure mode. The proxy's clock starts at one hour and
+// advances only when the test advances it.
 func newProxyFixture(t *testing.T, failureModes ...string) *proxyFixture {
 	t.Helper()
 	processSettings := settings.Process{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
@@ -89,7 +89,7 @@
 	proxy := &Proxy{process: process, bounds: processSettings.Bounds, clock: fixture.clock, backends: contract.NewBackends((&net.Dialer{}).DialContext), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](8), claims: fakeClaims{fixture}}
 	proxy.traffic = queue.NewActor(newTrafficTable(processSettings.Bounds), 64)
 	proxy.traffic.Ask(func(table *trafficTable) {
-		for range 100 / proxy.bounds.RetryPercent { // fill the retry budget as a few earlier requests would
+		for range 100 / proxy.bounds.RetryPercent { // deposit what this many earlier requests earn in the service's retry budget: one retry
 			table.retryBudgets.Deposit("s", 1)
 		}
 	})
@@ -200,8 +200,9 @@
 	}
 }
 
-// No attempt starts without a recent proof that the configuration is the latest, with an unknown key, without a route,
-// or without a usable worker. Attempts on superseded weights start only within their time limit.
+// A request is rejected before any attempt starts if there is no recent proof that the configuration is the latest, the
+// tenant key is unknown, the model has no route, or no worker is usable. Attempts on superseded model weights start
+// only within the time limit for such weights.
 func TestWhatIsRejectedBeforeAnAttempt(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(*proxyFixture)
--- a/internal/data/callerproxy/freshness_test.go
+++ b/internal/data/callerproxy/freshness_test.go
@@ -29,8 +29,8 @@
 			}
 		}
 	}
-	if workerStartDeadline(&wire.Worker{}, deadline) != 0 {
-		t.Error("start deadline for a worker that reports no clock is not 0")
+	if got := workerStartDeadline(&wire.Worker{}, deadline); got != 0 {
+		t.Errorf("worker that reports no clock: start deadline is %d, want 0", got)
 	}
 }
 
@@ -60,7 +60,7 @@
 	fixture.proxy.follower = updatestream.NewFixedFollower(func() *updatestream.Snapshot {
 		fixture.mu.Lock()
 		defer fixture.mu.Unlock()
-		if snapshotReads++; snapshotReads > 10 { // the worker disappears from later snapshots
+		if snapshotReads++; snapshotReads > 10 { // from the 11th snapshot on, the worker is no longer listed
 			return &withoutWorkers
 		}
 		return fixture.snapshot
--- a/internal/data/callerproxy/select_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -99,7 +99,7 @@
 	ranked := rankedShardWorkers()
 	query := testQuery(true, map[string]string{ranked[2]: ""})
 	if choice, _ := Select(query); choice.Worker.Name != ranked[2] || choice.HitTokens != 1000 {
-		t.Fatalf("selected %s with %d cached tokens, want %s with 1000, which holds the prefix", choice.Worker.Name, choice.HitTokens, ranked[2])
+		t.Fatalf("selected worker %s with %d cached tokens, want worker %s, which holds the prefix, with 1000", choice.Worker.Name, choice.HitTokens, ranked[2])
 	}
 }
 
@@ -172,7 +172,7 @@
 	query := testQuery(true, map[string]string{"w1": ""})
 	query.NewestWeights, query.Placement.Cordoned = 2, []string{"w1", "w2"}
 	if choice, ok := Select(query); !ok || choice.Worker.Name == "w1" || choice.Worker.Name == "w2" {
-		t.Errorf("w1 and w2 are cordoned: selected %s, want another worker", choice.Worker.Name)
+		t.Errorf("workers w1 and w2 are cordoned: selected %s, want another worker", choice.Worker.Name)
 	}
 	query.Workers = query.Workers[1:3]
 	if choice, ok := Select(query); !ok || choice.Worker.Name != "w1" {
@@ -184,7 +184,7 @@
 	query := testQuery(true, nil)
 	query.Workers[0].Weights, query.Workers[1].State, query.FailedWorkers = 2, 1, map[string]bool{"w2": true}
 	if choice, _ := Select(query); choice.Worker.Name != "w3" {
-		t.Fatalf("w3 is the only selectable worker: selected %s", choice.Worker.Name)
+		t.Fatalf("worker w3 is the only selectable one: selected %s, want w3", choice.Worker.Name)
 	}
 	query.FailedWorkers["w3"] = true
 	if _, ok := Select(query); ok {
--- a/internal/data/callerproxy/target_test.go
+++ b/internal/data/callerproxy/target_test.go
@@ -20,11 +20,11 @@
 		target serviceconfig.Target
 		want   uint64 // expected version of the weights; 0 if the worker cannot serve the target
 	}{
-		"only model of the worker":                          {singleModel, serviceconfig.Target{Model: "lector"}, 4},
+		"the only loaded model":                             {singleModel, serviceconfig.Target{Model: "lector"}, 4},
 		"model that is not loaded":                          {singleModel, serviceconfig.Target{Model: "lector-2"}, 0},
 		"adapter on a worker that reports no loaded models": {singleModel, serviceconfig.Target{Model: "lector", Adapter: "rare", Build: 1}, 0},
-		"first of two loaded models":                        {twoModels, serviceconfig.Target{Model: "lector"}, 4},
-		"second of two loaded models":                       {twoModels, serviceconfig.Target{Model: "lector-2"}, 2},
+		"the first of two loaded models":                    {twoModels, serviceconfig.Target{Model: "lector"}, 4},
+		"the second of two loaded models":                   {twoModels, serviceconfig.Target{Model: "lector-2"}, 2},
 		"adapter on the first loaded model":                 {twoModels, serviceconfig.Target{Model: "lector", Adapter: "rare", Build: 1}, 4},
 		"adapter on the second loaded model":                {twoModels, serviceconfig.Target{Model: "lector-2", Adapter: "rare-2", Build: 7}, 2},
 		"adapter build that is not loaded":                  {twoModels, serviceconfig.Target{Model: "lector-2", Adapter: "rare-2", Build: 8}, 0},
@@ -36,11 +36,11 @@
 		got := uint64(0)
 		if view := workerForTarget(test.worker, test.target); view != nil {
 			if got = view.Weights; view.Name != test.worker.Name || view.Slots != test.worker.Slots || test.worker.Model != "" && view.Model != test.target.Model {
-				t.Errorf("%s: got worker %+v, want its original name and slots, and the target's model", name, view)
+				t.Errorf("target: %s: got worker %+v, want its original name and slots, and the target's model", name, view)
 			}
 		}
 		if got != test.want {
-			t.Errorf("%s: weights version %d, want %d (0: the worker cannot serve the target)", name, got, test.want)
+			t.Errorf("target: %s: got weights version %d, want %d (0: the worker cannot serve the target)", name, got, test.want)
 		}
 	}
 	if twoModels.Weights != 4 || twoModels.Model != "lector" {
@@ -77,6 +77,6 @@
 		seenKeys[key] = true
 	}
 	if target := targetFor(snapshot, &caller.Ask{Model: "none"}); target.Model != "none" {
-		t.Errorf("request for a model without a route: target %+v, want model none", target)
+		t.Errorf("request for model \"none\", which has no route: target %+v, want that model", target)
 	}
 }
--- a/internal/data/callerproxy/testworker_test.go
+++ b/internal/data/callerproxy/testworker_test.go
@@ -10,7 +10,8 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// faultyChunk is the number of the response chunk at which a fake worker misbehaves.
+// faultyChunk is the number of the response chunk at which a fake worker fails, if its failure mode is a fault in the
+// middle of a response.
 const faultyChunk = 2
 
 // worker returns the HTTP handler of a fake worker that fails in the way named by failureMode.
@@ -90,7 +91,7 @@
 	return true
 }
 
-// writeSeal writes the last chunk, which holds the seal over the chunks before it.
+// writeSeal writes the last chunk, which holds the seal: the checksum of the chunks before it.
 func (a *workerResponse) writeSeal() {
 	lastChunk := contract.Chunk{RequestID: a.start.RequestID, Number: a.start.Chunks, Seal: a.seal.Close(), Worker: a.name, Weights: a.start.Weights}
 	switch a.failureMode {
--- a/internal/data/callerproxy/traffic_test.go
+++ b/internal/data/callerproxy/traffic_test.go
@@ -22,11 +22,11 @@
 	random     *rand.Rand
 	tables     [simulatedEdgeNodes]*trafficTable
 	isUp       [simulatedEdgeNodes]bool
-	inFlight   [simulatedEdgeNodes]int // requests in flight, by node
-	live       int                     // number of nodes that are up
-	knownLive  int                     // number of live nodes that the nodes assume; it lags behind live
-	staleUntil time.Duration           // time until which knownLive may be outdated
-	admittedAt []time.Duration         // when each request was admitted
+	inFlight   [simulatedEdgeNodes]int // number of the tenant's requests in flight, by edge node
+	live       int                     // number of edge nodes that are up
+	knownLive  int                     // number of live edge nodes that the nodes assume; it lags behind the field live
+	staleUntil time.Duration           // time until which the nodes may assume an outdated number of live nodes
+	admittedAt []time.Duration         // when each of the tenant's requests was admitted, at any node
 }
 
 func newTenantSimulation(t *testing.T, seed uint64) *tenantSimulation {
