--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -117,8 +117,8 @@
 	return loadgen.NewClient([]string{fixture.server.Listener.Addr().String()}).Send(context.Background(), 0, request)
 }
 
-// Both workers fail in the same way at one step of an attempt. The test checks the outcome that the client
-// receives and how often the request was started: an at-most-once request never more than once.
+// Both workers of a proxy fail in the same way at one step of an attempt. The test checks the outcome that the client
+// receives and how many attempts were started: for an at-most-once request, never more than one.
 func TestEveryStepOfAnAttempt(t *testing.T) {
 	for _, test := range []struct {
 		failureMode                          string
@@ -176,7 +176,7 @@
 			fixture := newProxyFixture(t, failureMode, "healthy")
 			id := fmt.Sprint("r", i)
 			if outcome := fixture.send(id, true); !outcome.Sealed || fixture.attemptsStarted(id) != 1 {
-				t.Errorf("first worker %s: outcome %+v after %d started attempts, want a sealed response after 1", failureMode, outcome, fixture.attemptsStarted(id))
+				t.Errorf("first worker has failure mode %s: outcome %+v after %d started attempts, want a sealed response after 1", failureMode, outcome, fixture.attemptsStarted(id))
 			}
 		}
 	}
@@ -208,15 +208,15 @@
 		prepare func(*proxyFixture)
 		kind    string
 	}{
-		"proof of the configuration too old": {func(fixture *proxyFixture) { fixture.clock.Time += settings.DefaultBounds().Config(0.81) }, "not-run"},
-		"no configuration":                   {func(fixture *proxyFixture) { fixture.snapshot = &updatestream.Snapshot{} }, "not-run"},
+		"proof that the configuration is the latest is too old": {func(fixture *proxyFixture) { fixture.clock.Time += settings.DefaultBounds().Config(0.81) }, "not-run"},
+		"no configuration": {func(fixture *proxyFixture) { fixture.snapshot = &updatestream.Snapshot{} }, "not-run"},
 		"unknown tenant key": {func(fixture *proxyFixture) {
 			fixture.snapshot.Config.Tenants = nil
 			fixture.snapshot.Config.BuildIndex()
 		}, "bad-key"},
 		"no route for the model": {func(fixture *proxyFixture) { fixture.snapshot.Config.Routes = nil }, "no-such-model"},
 		"all workers draining":   {func(fixture *proxyFixture) { fixture.snapshot.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
-		"only superseded weights, at an unknown time": {func(fixture *proxyFixture) {
+		"only workers with weights that were superseded at an unknown time": {func(fixture *proxyFixture) {
 			fixture.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
 		}, "not-run"},
 	} {
@@ -243,8 +243,8 @@
 			config.Routes = nil
 			updated.Config = config.BuildIndex()
 		},
-		"proof of the configuration too old": func(updated *updatestream.Snapshot) { updated.ProofAt = time.Minute },
-		"all workers removed":                func(updated *updatestream.Snapshot) { updated.Workers = nil },
+		"proof that the configuration is the latest is too old": func(updated *updatestream.Snapshot) { updated.ProofAt = time.Minute },
+		"all workers removed": func(updated *updatestream.Snapshot) { updated.Workers = nil },
 	} {
 		fixture := newProxyFixture(t, "aborts-before-response", "aborts-before-response")
 		fixture.onAttemptStarted = func() {
--- a/internal/data/callerproxy/attempt.go
+++ b/internal/data/callerproxy/attempt.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// headers returns the HTTP headers that tell the chosen worker from which addresses to fetch cached prefixes and to
-// which addresses to copy them.
+// headers returns the HTTP headers of a start request that name the addresses from which the chosen worker fetches
+// cached prefixes, and those to which it copies them.
 func (c *Choice) headers() map[string]string {
 	headers := map[string]string{}
 	if c.FetchFrom != "" {
@@ -185,8 +185,8 @@
 	cancel()
 }
 
-// isSameWorker reports whether a listed worker is the one that an attempt was sent to. The incarnations of the worker
-// are compared only if the incarnation was known when the attempt started.
+// isSameWorker reports whether a listed worker is the one that an attempt was sent to. Their incarnations are compared
+// only if the worker's incarnation was known when the attempt started.
 func isSameWorker(known, started *wire.Worker) bool {
 	return known.Name == started.Name && known.Addr == started.Addr &&
 		(started.Incarnation == "" || known.Incarnation == started.Incarnation)
--- a/internal/data/callerproxy/cost.go
+++ b/internal/data/callerproxy/cost.go
@@ -27,9 +27,9 @@
 	return estimate
 }
 
-// planFetches decides which prefix entries the worker fetches from other holders. It walks the entries from the front
-// and stops at the first one that the worker neither holds nor can fetch faster than prefill it. It returns the
-// number of tokens left to prefill and the total fetch time.
+// planFetches decides which prefix entries a worker fetches from other workers or cache stores. It walks the entries
+// from the front and stops at the first one that the worker neither holds nor can fetch faster than prefill it. It
+// returns the number of tokens left to prefill and the total fetch time in microseconds.
 func (q *Query) planFetches(plan *candidate, view *selectionView) (missingTokens int, fetchUs float64) {
 	if len(plan.entries) > 0 {
 		missingTokens = plan.entries[len(plan.entries)-1].CumulativeTokens
@@ -57,8 +57,9 @@
 	return missingTokens, fetchUs
 }
 
-// fastestSource returns the address of the holder of an entry that has the highest bandwidth to a zone, and that
-// bandwidth. Ties go to the lowest address. The address is empty if there is no holder.
+// fastestSource returns the address from which workers of a zone fetch a prefix entry fastest, and the bandwidth from
+// there: that of the worker or cache store holding the entry that has the highest bandwidth to the zone. Ties go to
+// the lowest address. The address is empty if nothing holds the entry.
 func (q *Query) fastestSource(key prefix.Key, zone string, view *selectionView) (source string, bandwidth float64) {
 	for holder := range view.holders[key] {
 		holderBandwidth := q.FarBandwidth
--- a/internal/data/callerproxy/proxy.go
+++ b/internal/data/callerproxy/proxy.go
@@ -29,7 +29,7 @@
 
 // Capacities of the proxy's in-memory queues, in entries.
 const (
-	trafficQueueLength  = 4096 // pending commands for the actor that owns the traffic table (Proxy.traffic)
+	trafficQueueLength  = 4096 // pending commands for the actor that guards the traffic table (Proxy.traffic)
 	decisionQueueLength = 512  // routing decisions not yet reported to the node agent; excess ones are dropped
 )
 
--- a/internal/data/callerproxy/select.go
+++ b/internal/data/callerproxy/select.go
@@ -170,8 +170,8 @@
 	return view
 }
 
-// holders returns the names of the known holders of each entry, according to the prompt index. It is empty if the
-// placement mode does not use the index.
+// holders returns the names of the workers and cache stores that hold each prefix entry, according to the prompt
+// index. The map is empty if the placement mode does not use the index.
 func (q *Query) holders() map[prefix.Key]map[string]bool {
 	holders := map[prefix.Key]map[string]bool{}
 	if !q.usesIndex() {
--- a/internal/data/callerproxy/select_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -129,7 +129,7 @@
 	query.Load = loadFrom(map[string]float64{"w0": 9})
 	choice, _ := Select(query) // 1000 tokens: 100 ms to prefill, 20 ms to fetch within the zone, 50 ms from another zone
 	if choice.Worker.Name != "w2" || choice.FetchTokens != 1000 || choice.FetchFrom != "0=w0:1" {
-		t.Fatalf("holder overloaded: selected %s to fetch %d tokens from %q, want w2 to fetch 1000 from 0=w0:1", choice.Worker.Name, choice.FetchTokens, choice.FetchFrom)
+		t.Fatalf("worker that holds the prefix is overloaded: selected %s to fetch %d tokens from %q, want w2 to fetch 1000 from 0=w0:1", choice.Worker.Name, choice.FetchTokens, choice.FetchFrom)
 	}
 	query.NearBandwidth, query.FarBandwidth = 5000, 5000
 	if choice, _ = Select(query); choice.FetchTokens != 0 || choice.FetchFrom != "" {
