--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -164,7 +164,7 @@
 		t.Errorf("outcome %s after %d started attempts, want %s after %d; contract violations %v, rejection message %q", got, starts, want, wantStarts, outcome.Faults, outcome.Message)
 	}
 	if strings.HasPrefix(got, "not") && outcome.RetryAfterMs <= 0 {
-		t.Error("request rejected as not executed, but without a Retry-After")
+		t.Errorf("request rejected as %s with a Retry-After of %v ms, want more than 0", got, outcome.RetryAfterMs)
 	}
 }
 
--- a/internal/data/callerproxy/select_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -187,7 +187,7 @@
 		t.Fatalf("worker w3 is the only selectable one: selected %s, want w3", choice.Worker.Name)
 	}
 	query.FailedWorkers["w3"] = true
-	if _, ok := Select(query); ok {
-		t.Fatal("a worker was selected although none is selectable")
+	if choice, ok := Select(query); ok {
+		t.Fatalf("worker %s was selected, want none: all four have failed, are suspect or have unusable weights", choice.Worker.Name)
 	}
 }
--- a/internal/data/callerproxy/traffic_test.go
+++ b/internal/data/callerproxy/traffic_test.go
@@ -70,7 +70,7 @@
 		sim.admittedAt = append(sim.admittedAt, now)
 		sim.inFlight[i]++
 	} else if rejected.retryAfter <= 0 {
-		sim.t.Fatal("tenant's request was rejected without a Retry-After")
+		sim.t.Fatalf("seed %d at %v: tenant's request was rejected with Retry-After %v, want more than 0", sim.seed, now, rejected.retryAfter)
 	}
 	if sim.random.IntN(2) == 0 && sim.inFlight[i] > 0 {
 		sim.tables[i].endRequest("t")
@@ -104,8 +104,8 @@
 				count++
 			}
 		}
-		if float64(count) > 1.4*(10*tenantRate)+tenantRate+simulatedEdgeNodes {
-			sim.t.Fatalf("seed %d: %d requests admitted within ten seconds from %v, more than the tenant's rate limit allows", sim.seed, count, from)
+		if limit := 1.4*(10*tenantRate) + tenantRate + simulatedEdgeNodes; float64(count) > limit {
+			sim.t.Fatalf("seed %d: %d of the tenant's requests admitted within ten seconds from %v, want at most %.0f", sim.seed, count, from, limit)
 		}
 	}
 }
