--- a/internal/data/callerproxy/answer_test.go
+++ b/internal/data/callerproxy/answer_test.go
@@ -59,8 +59,8 @@
 	delete(f.proxyFixture.claimedKeys, string(key))
 }
 
-// newProxyFixture starts a proxy with one worker for each failure mode. The proxy's clock is
-// manual and starts at one hour.
+// newProxyFixture starts a proxy with one fake worker for each failure mode. The proxy's clock starts at one hour and
+// advances only when the test advances it.
 func newProxyFixture(t *testing.T, failureModes ...string) *proxyFixture {
 	t.Helper()
 	processSettings := settings.Process{Name: "edge-1", Zone: "d", Listen: "127.0.0.1:1", Bounds: settings.DefaultBounds(), Options: []string{"log=off"}}
@@ -89,7 +89,7 @@
 	proxy := &Proxy{process: process, bounds: processSettings.Bounds, clock: fixture.clock, backends: contract.NewBackends((&net.Dialer{}).DialContext), prefillCurve: placement.Default(), decisions: queue.NewRing[*wire.Decision](8), claims: fakeClaims{fixture}}
 	proxy.traffic = queue.NewActor(newTrafficTable(processSettings.Bounds), 64)
 	proxy.traffic.Ask(func(table *trafficTable) {
-		for range 100 / proxy.bounds.RetryPercent { // fill the retry budget as a few earlier requests would
+		for range 100 / proxy.bounds.RetryPercent { // deposit what this many earlier requests earn in the service's retry budget: one retry
 			table.retryBudgets.Deposit("s", 1)
 		}
 	})
@@ -117,8 +117,8 @@
 	return loadgen.NewClient([]string{fixture.server.Listener.Addr().String()}).Send(context.Background(), 0, request)
 }
 
-// Both workers fail in the same way at one step of an attempt. The test checks the outcome that the client
-// receives and how often the request was started: an at-most-once request never more than once.
+// Both workers of a proxy fail in the same way at one step of an attempt. The test checks the outcome that the client
+// receives and how many attempts were started: for an at-most-once request, never more than one.
 func TestEveryStepOfAnAttempt(t *testing.T) {
 	for _, test := range []struct {
 		failureMode                          string
@@ -164,7 +164,7 @@
 		t.Errorf("outcome %s after %d started attempts, want %s after %d; contract violations %v, rejection message %q", got, starts, want, wantStarts, outcome.Faults, outcome.Message)
 	}
 	if strings.HasPrefix(got, "not") && outcome.RetryAfterMs <= 0 {
-		t.Error("request rejected as not executed, but without a Retry-After")
+		t.Errorf("request rejected as %s with a Retry-After of %v ms, want more than 0", got, outcome.RetryAfterMs)
 	}
 }
 
@@ -176,7 +176,7 @@
 			fixture := newProxyFixture(t, failureMode, "healthy")
 			id := fmt.Sprint("r", i)
 			if outcome := fixture.send(id, true); !outcome.Sealed || fixture.attemptsStarted(id) != 1 {
-				t.Errorf("first worker %s: outcome %+v after %d started attempts, want a sealed response after 1", failureMode, outcome, fixture.attemptsStarted(id))
+				t.Errorf("first worker has failure mode %s: outcome %+v after %d started attempts, want a sealed response after 1", failureMode, outcome, fixture.attemptsStarted(id))
 			}
 		}
 	}
@@ -200,22 +200,23 @@
 	}
 }
 
-// No attempt starts without a recent proof that the configuration is the latest, with an unknown key, without a route,
-// or without a usable worker. Attempts on superseded weights start only within their time limit.
+// A request is rejected before any attempt starts if there is no recent proof that the configuration is the latest, the
+// tenant key is unknown, the model has no route, or no worker is usable. Attempts on superseded model weights start
+// only within the time limit for such weights.
 func TestWhatIsRejectedBeforeAnAttempt(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(*proxyFixture)
 		kind    string
 	}{
-		"proof of the configuration too old": {func(fixture *proxyFixture) { fixture.clock.Time += settings.DefaultBounds().Config(0.81) }, "not-run"},
-		"no configuration":                   {func(fixture *proxyFixture) { fixture.snapshot = &updatestream.Snapshot{} }, "not-run"},
+		"proof that the configuration is the latest is too old": {func(fixture *proxyFixture) { fixture.clock.Time += settings.DefaultBounds().Config(0.81) }, "not-run"},
+		"no configuration": {func(fixture *proxyFixture) { fixture.snapshot = &updatestream.Snapshot{} }, "not-run"},
 		"unknown tenant key": {func(fixture *proxyFixture) {
 			fixture.snapshot.Config.Tenants = nil
 			fixture.snapshot.Config.BuildIndex()
 		}, "bad-key"},
 		"no route for the model": {func(fixture *proxyFixture) { fixture.snapshot.Config.Routes = nil }, "no-such-model"},
 		"all workers draining":   {func(fixture *proxyFixture) { fixture.snapshot.Workers[0].State = updatestream.WorkerDraining }, "not-run"},
-		"only superseded weights, at an unknown time": {func(fixture *proxyFixture) {
+		"only workers with weights that were superseded at an unknown time": {func(fixture *proxyFixture) {
 			fixture.snapshot.Weights = map[string]updatestream.WeightsHistory{"m": {Version: 2}}
 		}, "not-run"},
 	} {
@@ -242,8 +243,8 @@
 			config.Routes = nil
 			updated.Config = config.BuildIndex()
 		},
-		"proof of the configuration too old": func(updated *updatestream.Snapshot) { updated.ProofAt = time.Minute },
-		"all workers removed":                func(updated *updatestream.Snapshot) { updated.Workers = nil },
+		"proof that the configuration is the latest is too old": func(updated *updatestream.Snapshot) { updated.ProofAt = time.Minute },
+		"all workers removed": func(updated *updatestream.Snapshot) { updated.Workers = nil },
 	} {
 		fixture := newProxyFixture(t, "aborts-before-response", "aborts-before-response")
 		fixture.onAttemptStarted = func() {
--- a/internal/data/callerproxy/traffic_test.go
+++ b/internal/data/callerproxy/traffic_test.go
@@ -22,11 +22,11 @@
 	random     *rand.Rand
 	tables     [simulatedEdgeNodes]*trafficTable
 	isUp       [simulatedEdgeNodes]bool
-	inFlight   [simulatedEdgeNodes]int // requests in flight, by node
-	live       int                     // number of nodes that are up
-	knownLive  int                     // number of live nodes that the nodes assume; it lags behind live
-	staleUntil time.Duration           // time until which knownLive may be outdated
-	admittedAt []time.Duration         // when each request was admitted
+	inFlight   [simulatedEdgeNodes]int // number of the tenant's requests in flight, by edge node
+	live       int                     // number of edge nodes that are up
+	knownLive  int                     // number of live edge nodes that the nodes assume; it lags behind the field live
+	staleUntil time.Duration           // time until which the nodes may assume an outdated number of live nodes
+	admittedAt []time.Duration         // when each of the tenant's requests was admitted, at any node
 }
 
 func newTenantSimulation(t *testing.T, seed uint64) *tenantSimulation {
@@ -70,7 +70,7 @@
 		sim.admittedAt = append(sim.admittedAt, now)
 		sim.inFlight[i]++
 	} else if rejected.retryAfter <= 0 {
-		sim.t.Fatal("tenant's request was rejected without a Retry-After")
+		sim.t.Fatalf("seed %d at %v: tenant's request was rejected with Retry-After %v, want more than 0", sim.seed, now, rejected.retryAfter)
 	}
 	if sim.random.IntN(2) == 0 && sim.inFlight[i] > 0 {
 		sim.tables[i].endRequest("t")
@@ -104,8 +104,8 @@
 				count++
 			}
 		}
-		if float64(count) > 1.4*(10*tenantRate)+tenantRate+simulatedEdgeNodes {
-			sim.t.Fatalf("seed %d: %d requests admitted within ten seconds from %v, more than the tenant's rate limit allows", sim.seed, count, from)
+		if limit := 1.4*(10*tenantRate) + tenantRate + simulatedEdgeNodes; float64(count) > limit {
+			sim.t.Fatalf("seed %d: %d of the tenant's requests admitted within ten seconds from %v, want at most %.0f", sim.seed, count, from, limit)
 		}
 	}
 }
