--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -211,7 +211,7 @@
 		return strings.Contains(out, "w1:confirmed") && strings.Contains(out, "w2:confirmed") && strings.Count(out, "\n") == 3
 	})
 	if code, out, stderr := site.runOn(2, "", "index lookup --model daka --tenant walled --part p1"); code != 0 || strings.Contains(out, "confirmed") {
-		t.Errorf("index lookup for an isolated tenant: got exit code %d and output %s%s, want exit code 0 and no holders", code, out, stderr)
+		t.Errorf("index lookup for a tenant whose prompts are cached separately: got exit code %d and output %s%s, want exit code 0 and no worker that caches the prompt", code, out, stderr)
 	}
 }
 
--- a/internal/control/operatorapi/group_unsupported.go
+++ b/internal/control/operatorapi/group_unsupported.go
@@ -26,24 +26,27 @@
 	return nil, unsupported("drain worker", "mark the worker as draining in the platform's worker list, then check it with pebblectl workers")
 }
 
-// insteadOfMoves lists the commands that replace calendar entries on platform sites.
+// insteadOfMoves names the commands to use on platform sites, which have no calendar of scheduled changes of services.
 const insteadOfMoves = "set target weights with pebblectl weights name, change the routing plan with pebblectl config patch"
 
-// ListMoves returns a not-supported error on platform sites.
+// ListMoves rejects a request for the calendar entries (scheduled changes of services) with a not-supported error,
+// because platform sites have no calendar.
 //
 // Example: GET /v1/calendar responds with not-here
 func (s *groupServer) ListMoves(context.Context) (*operator.Moves, error) {
 	return nil, unsupported("calendar", insteadOfMoves)
 }
 
-// WriteMove returns a not-supported error on platform sites.
+// WriteMove rejects a new calendar entry (a scheduled change of a service) with a not-supported error, because platform
+// sites have no calendar.
 //
 // Example: POST /v1/calendar responds with not-here
 func (s *groupServer) WriteMove(context.Context, *operator.NewMove) (*operator.Changed, error) {
 	return nil, unsupported("calendar", insteadOfMoves)
 }
 
-// AskMove returns a not-supported error on platform sites.
+// AskMove rejects a request to pause, resume, cancel or undo a calendar entry (a scheduled change of a service) with a
+// not-supported error, because platform sites have no calendar.
 //
 // Example: POST /v1/calendar/lector-main/spring/pause responds with not-here
 func (s *groupServer) AskMove(context.Context, operator.AskMoveParams) (*operator.Changed, error) {
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -77,8 +77,8 @@
 	return documents, nil
 }
 
-// putServiceDocument writes a document to the shard of a service; the response carries state as its note.
-// what describes the document in error messages.
+// putServiceDocument writes a document to the shard of a service. The response's field note is set to state, the state
+// of the calendar entry or retirement in the document. what describes the document in error messages.
 func (s *Server) putServiceDocument(ctx context.Context, service string, put *wire.Put, dryRun bool, what, state string) (*operator.Changed, error) {
 	request := &wire.ChangeRequest{Shard: controlclient.ShardOf(service), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}, DryRun: dryRun}
 	response, err := s.control.Change(ctx, request)
--- a/internal/data/agent/freshnessproof_test.go
+++ b/internal/data/agent/freshnessproof_test.go
@@ -122,9 +122,9 @@
 	proof := NewFreshnessProof()
 	proof.AddResponse(attestingResponse(threeMembers[0], 1, 1, four...), 7, 10)
 	proof.AddResponse(attestingResponse("1:4/d", 1, 1, four...), 7, 20)
-	proof.AddResponse(attestingResponse(threeMembers[0], 1, 5, threeMembers...), 7, 30) // member 1:1/a reports the later membership without 1:4/d
+	proof.AddResponse(attestingResponse(threeMembers[0], 1, 5, threeMembers...), 7, 30) // the member at address 1:1 reports the later membership, from which the one at 1:4 was removed
 	proof.AddResponse(attestingResponse("1:4/d", 1, 1, four...), 7, 40)
-	proof.AddResponse(attestingResponse(threeMembers[1], 1, 1, four...), 7, 50) // member 1:2/b still reports the membership with 1:4/d
+	proof.AddResponse(attestingResponse(threeMembers[1], 1, 1, four...), 7, 50) // the member at address 1:2 still reports the earlier membership, with the one at 1:4
 	if at := proof.FreshUntil(7); at != 0 {
 		t.Fatalf("attestations of one current member, one removed member and one with an outdated membership: FreshUntil is %v, want 0", at)
 	}
@@ -145,6 +145,6 @@
 	// The leader of term 3 has truncated the uncommitted membership from the log of member 3.
 	proof.AddResponse(attestingResponse("3", 1, 1, old...), 7, 20)
 	if at := proof.FreshUntil(7); at != 0 {
-		t.Fatalf("attestations of members a and 4 for {1,2,3,4,a}, and of 3 for {1,2,3,4}: FreshUntil is %v, want 0, because the quorum {1,2} of {1,2,3} may have acknowledged a newer plan", at)
+		t.Fatalf("two of five members (named a and 4) attested an uncommitted membership, and member 3 an earlier one of four members: FreshUntil is %v, want 0, because members 1 and 2, a quorum of the later committed membership {1,2,3}, may have acknowledged a newer plan", at)
 	}
 }
--- a/internal/data/indexclient/accesscounter_test.go
+++ b/internal/data/indexclient/accesscounter_test.go
@@ -61,11 +61,11 @@
 	addAccess(counter, 1)
 	counter.Acknowledge(testNode, counter.NextBatch(testNode, nil), &wire.CountResponse{Sequence: 1}, isAlwaysAssigned)
 	if batch := counter.NextBatch(testNode, &wire.WorkerLoads{}); batch != nil {
-		t.Errorf("NextBatch without accesses and loads: got %v, want nil", batch)
+		t.Errorf("NextBatch with neither counted accesses nor loads of workers: got %v, want nil", batch)
 	}
 	loads := &wire.WorkerLoads{WorkerIndexes: []uint32{3}}
 	if batch := counter.NextBatch(testNode, loads); batch.GetLoads() != loads || len(batch.Accesses) != 0 {
-		t.Errorf("NextBatch with loads only: got %v, want a batch with loads %v and no accesses", batch, loads)
+		t.Errorf("NextBatch with loads of workers but no counted accesses: got %v, want a batch with the loads %v and no accesses", batch, loads)
 	}
 }
 
--- a/internal/data/indexclient/batch.go
+++ b/internal/data/indexclient/batch.go
@@ -71,8 +71,9 @@
 	}
 }
 
-// joinKeys returns the distinct keys of all lookups, which it also adds to isFinal, and the longest of the
-// lookups' maximum waits.
+// joinKeys returns the distinct keys of all lookups and the longest of the lookups' maximum waits. It also adds each
+// key, with the value false, to isFinal, which records for which keys an index node that knows the contents of the
+// workers' caches has responded.
 func joinKeys(lookups []pendingLookup, isFinal map[prefix.Key]bool) (keys []prefix.Key, wait time.Duration) {
 	for _, lookup := range lookups {
 		wait = max(wait, lookup.wait)
--- a/internal/data/indexclient/client.go
+++ b/internal/data/indexclient/client.go
@@ -20,22 +20,26 @@
 // Timing, as fractions of the heal bound (the time within which service is restored after a failure) unless
 // the comment says otherwise.
 const (
-	// flushRatio is the interval at which counted accesses are sent to the index, as a fraction of the heal bound. A
-	// longer interval saves calls; a shorter one lets other edge machines find newly cached parts sooner.
+	// flushRatio is the interval at which counted accesses are sent to the index, as a fraction of the heal bound (the time
+	// within which service is restored after a failure). A longer interval saves calls; a shorter one lets other edge
+	// machines find newly cached parts sooner.
 	flushRatio = 1.0 / 60
-	// flushTimeoutRatio is the timeout of the call that sends one batch of accesses, as a fraction of the heal bound.
+	// flushTimeoutRatio is the timeout of the call that sends one batch of accesses, as a fraction of the heal bound (the
+	// time within which service is restored after a failure).
 	flushTimeoutRatio = 1.0 / 24
 	// resendWindowRatio is half of the time for which accesses are kept, to be resent to an index node that has lost
-	// its state, as a multiple of the heal bound.
+	// its state, as a multiple of the heal bound (the time within which service is restored after a failure).
 	resendWindowRatio = 1.25
-	// cacheLifetimeRatio is the lifetime of a cached lookup result, as a fraction of the heal bound. A longer lifetime
-	// saves calls; with a shorter one it is noticed sooner that a worker has evicted a part.
+	// cacheLifetimeRatio is the lifetime of a cached lookup result, as a fraction of the heal bound (the time within which
+	// service is restored after a failure). A longer lifetime saves calls; with a shorter one it is noticed sooner that
+	// a worker has evicted a part.
 	cacheLifetimeRatio = 1.0 / 48
 	// lateNodeRatio is how long an index node is only called as a last resort after it responded late, or before it had
-	// collected the contents of the workers' caches, as a fraction of the heal bound.
+	// collected the contents of the workers' caches, as a fraction of the heal bound (the time within which service is
+	// restored after a failure).
 	lateNodeRatio = 1.0 / 12
 	// lateProbeRatio is the minimum time between two calls to an index node that responded late, as a fraction of the
-	// heal bound.
+	// heal bound (the time within which service is restored after a failure).
 	lateProbeRatio = 1.0 / 96
 	// firstAttemptRatio is the fraction of a lookup's timeout (not of the heal bound) after which the first
 	// attempt is abandoned, so that time is left to call the other nodes assigned to the keys.
--- a/internal/data/placement/placement_test.go
+++ b/internal/data/placement/placement_test.go
@@ -7,7 +7,8 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// The expected results of RMax were computed by hand from R_max = α·t·B·(N−1) / (c·S·N).
+// The expected results of RMax, the largest fraction of a request's tokens that may be fetched from other workers,
+// were computed by hand from α·t·B·(N−1) / (c·S·N).
 func TestRMax(t *testing.T) {
 	for _, test := range []struct {
 		name                                           string
@@ -15,11 +16,11 @@
 		workers                                        int
 		want                                           float64
 	}{
-		{"typical values, result between 0 and 1", 0.5, 0.2, 4000, 1000, 4, 0.5 * 0.2 * 4000 * 3 / (1000 * 4)},
+		{"typical values: a part of a request's tokens may be fetched", 0.5, 0.2, 4000, 1000, 4, 0.5 * 0.2 * 4000 * 3 / (1000 * 4)},
 		{"one worker: no other worker to fetch from", 1, 1, 1e6, 10, 1, 0},
 		{"no workers", 1, 1, 1e6, 10, 0, 0},
-		{"high bandwidth: result limited to 1", 1, 1, 1e6, 10, 18, 1},
-		{"requests without a shared part", 1, 1, 1e6, 0, 4, 0},
+		{"bandwidth too high to limit fetching: all tokens of a request may be fetched", 1, 1, 1e6, 10, 18, 1},
+		{"requests without a shared part: no tokens to fetch", 1, 1, 1e6, 0, 4, 0},
 		{"negative prefill time counts as zero", 1, -0.1, 1e6, 10, 4, 0},
 		{"alpha 0 tolerates no fetch", 0, 1, 1e6, 10, 4, 0},
 	} {
@@ -44,12 +45,12 @@
 		want      int
 		wantFirst string
 	}{
-		{"first entry reaches the threshold 0.5", entries(5, 3, 2), 0.5, 1, "a"},
-		{"two most frequent entries reach the threshold 0.8", entries(2, 5, 3), 0.2, 2, "b"},
-		{"R_max 0 replicates all entries", entries(2, 5, 3), 0, 3, "b"},
-		{"R_max 1 still replicates the most frequent entry", entries(2, 5, 3), 1, 1, "b"},
-		{"R_max above 1 still replicates the most frequent entry", entries(2, 5, 3), 1.7, 1, "b"},
-		{"R_max below 0 replicates all entries", entries(2, 5, 3), -0.5, 3, "b"},
+		{"first entry accounts for the required 0.5 of all accesses", entries(5, 3, 2), 0.5, 1, "a"},
+		{"two most frequent entries account for the required 0.8 of all accesses", entries(2, 5, 3), 0.2, 2, "b"},
+		{"no tokens may be fetched from other workers: all entries are replicated", entries(2, 5, 3), 0, 3, "b"},
+		{"all tokens may be fetched from other workers: the most frequent entry is still replicated", entries(2, 5, 3), 1, 1, "b"},
+		{"fraction of fetched tokens limited to 1.7: the most frequent entry is still replicated", entries(2, 5, 3), 1.7, 1, "b"},
+		{"fraction of fetched tokens limited to -0.5: all entries are replicated", entries(2, 5, 3), -0.5, 3, "b"},
 		{"no accesses: no entry is replicated", entries(0, 0), 0.3, 0, "a"},
 		{"no entries", nil, 0.3, 0, ""},
 		{"ties are broken by key", entries(1, 1, 1, 1), 0.5, 2, "a"},
--- a/internal/data/placement/replication.go
+++ b/internal/data/placement/replication.go
@@ -5,8 +5,9 @@
 	"sort"
 )
 
-// cdfTolerance compensates for rounding errors when the summed access frequencies in SelectReplicated reach the
-// threshold 1 − rMax exactly.
+// cdfTolerance compensates for rounding errors in SelectReplicated when the entries summed so far account for exactly
+// the required fraction of all accesses: 1 − rMax, where rMax is the largest fraction of a request's tokens that may be
+// fetched from other workers.
 const cdfTolerance = 1e-12
 
 // RMax returns the largest fraction of a request's tokens that may be fetched from other workers such that
@@ -31,8 +32,9 @@
 }
 
 // SelectReplicated selects the most frequently accessed entries by the CDF scan of the BAT paper: frequencies
-// are summed in descending order until the fraction 1 − rMax of all accesses is reached. It returns the sorted
-// entries and how many of them, from the start, are replicated. Ties are broken by key, so that the result is
+// are summed in descending order until the fraction 1 − rMax of all accesses is reached, where rMax is the largest
+// fraction of a request's tokens that may be fetched from other workers. It returns the sorted entries and how many
+// of them, from the start, are replicated. Ties are broken by key, so that the result is
 // deterministic.
 //
 // Example: sorted, n := placement.SelectReplicated(entries, 0.3)
--- a/internal/runbook/runbook_test.go
+++ b/internal/runbook/runbook_test.go
@@ -111,14 +111,14 @@
 		environment := newEnvironment()
 		environment.rows["workers"] = environment.rows["workers"][1:]
 		if err := sample.Run(start, false, environment, discard); errs.KindOf(err) != errs.CheckFailed || len(environment.actions) > 0 {
-			t.Errorf("run with a failing check: got error %v and actions %v, want kind not-as-due and no actions", err, environment.actions)
+			t.Errorf("run with a failing check: got error %v and actions %v, want an error of kind not-as-due (a check failed) and no actions", err, environment.actions)
 		}
 	})
 	t.Run("rejected confirmation", func(t *testing.T) {
 		environment := newEnvironment()
 		environment.reject = true
 		if err := sample.Run(start, false, environment, discard); errs.KindOf(err) != errs.CheckFailed || len(environment.actions) != 1 {
-			t.Errorf("run with a rejected confirmation: got error %v and actions %v, want kind not-as-due and 1 action", err, environment.actions)
+			t.Errorf("run with a rejected confirmation: got error %v and actions %v, want an error of kind not-as-due (a check failed) and 1 action", err, environment.actions)
 		}
 	})
 	t.Run("wait that exceeds its time limit", func(t *testing.T) {
