--- a/internal/cli/transport.go
+++ b/internal/cli/transport.go
@@ -60,7 +60,6 @@
 	if u := (*url.Error)(nil); errors.As(err, &u) {
 		return errs.WrapAs(err, errs.MayHaveExecuted, "the connection to node "+node+" broke before a complete response")
 	}
-	// The generated API client rejects a request that violates the API schema before sending it.
 	if errs.KindOf(err) == errs.Internal && strings.Contains(err.Error(), "encode request: validate") {
 		return errs.WrapAs(err, errs.BadInput, "command")
 	}
--- a/internal/control/operatorapi/group_unsupported.go
+++ b/internal/control/operatorapi/group_unsupported.go
@@ -7,19 +7,22 @@
 	"pebbleloom/internal/errs"
 )
 
-// unsupported returns the error for an operation that platform sites don't support, naming the alternative.
+// unsupported returns the error for an operation that platform sites don't support, naming the alternative. On a
+// platform site, an inference platform provides the worker list and the format of the configuration.
 func unsupported(what, instead string) error {
 	return errs.New(errs.NotSupported, "%s: not supported on a platform site: %s", what, instead)
 }
 
-// RevokeKey returns a not-supported error on platform sites.
+// RevokeKey returns a not-supported error, because on platform sites API keys are removed by a change of the
+// configuration.
 //
 // Example: POST /v1/keys/revoke responds with not-here
 func (s *groupServer) RevokeKey(context.Context, *operator.Revoke) (*operator.Changed, error) {
 	return nil, unsupported("revoke key", "apply the tenant without the key: pebblectl config patch --file FILE --if-version VERSION")
 }
 
-// Drain returns a not-supported error on platform sites.
+// Drain returns a not-supported error, because on platform sites workers are marked as draining in the platform's own
+// worker list.
 //
 // Example: POST /v1/drain responds with not-here
 func (s *groupServer) Drain(context.Context, *operator.Drain) (*operator.Changed, error) {
@@ -53,24 +56,25 @@
 	return nil, unsupported("calendar", insteadOfMoves)
 }
 
-// insteadOfRetirements lists the commands that replace retirements of base models on platform sites.
+// insteadOfRetirements names the commands to use on platform sites, which don't support planned retirements of base models.
 const insteadOfRetirements = "set the new model's target weights with pebblectl weights name, and change its routes with pebblectl config patch"
 
-// ListRetirements returns a not-supported error on platform sites.
+// ListRetirements returns a not-supported error, because platform sites have no planned retirements of base models.
 //
 // Example: GET /v1/retirements responds with not-here
 func (s *groupServer) ListRetirements(context.Context) (*operator.Retirements, error) {
 	return nil, unsupported("retirement of base models", insteadOfRetirements)
 }
 
-// PlanRetirement returns a not-supported error on platform sites.
+// PlanRetirement returns a not-supported error, because platform sites have no planned retirements of base models.
 //
 // Example: POST /v1/retirements responds with not-here
 func (s *groupServer) PlanRetirement(context.Context, *operator.NewRetirement) (*operator.Changed, error) {
 	return nil, unsupported("retirement of base models", insteadOfRetirements)
 }
 
-// AskRetirement returns a not-supported error on platform sites.
+// AskRetirement rejects a request to start, pause, resume or abort the retirement of a base model with a not-supported
+// error, because platform sites have no planned retirements.
 //
 // Example: POST /v1/retirements/lector-main/spring/start responds with not-here
 func (s *groupServer) AskRetirement(context.Context, operator.AskRetirementParams) (*operator.Changed, error) {
--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -25,10 +25,11 @@
 // maxBodyBytes limits a request's body: twice the largest configuration, to allow for the JSON around it.
 const maxBodyBytes = 2 * serviceconfig.MaxBytes
 
-// Timeouts of calls to a single node, as ratios of the recovery bound in the settings (Bounds.Heal).
+// Timeouts of calls to a single node, as fractions of the recovery bound in the settings (Bounds.Heal): the longest time
+// until service is restored after a fault.
 const (
-	statusTimeoutRatio = 1.0 / 12 // for reading the node's status, or its list of nodes or workers
-	lookupTimeoutRatio = 1.0 / 24 // for looking up one request's routing or one prompt's cached prefixes
+	statusTimeoutRatio = 1.0 / 12 // timeout for reading a node's status or its list of nodes or workers, as a fraction of the recovery bound
+	lookupTimeoutRatio = 1.0 / 24 // timeout for looking up one request's routing or one prompt's cached prefixes, as a fraction of the recovery bound
 )
 
 // Server handles operators' requests on a site whose settings list the control nodes.
--- a/internal/control/operatorapi/views.go
+++ b/internal/control/operatorapi/views.go
@@ -18,8 +18,8 @@
 
 // Parameters for looking up the routing decisions of a request.
 const (
-	explainQueries    = 2    // queries of each node agent: a proxy reports its decisions to the agent with a delay
-	explainPauseRatio = 0.2  // pause between two queries, as a ratio of the configuration bound in the settings
+	explainQueries    = 2    // number of queries sent to each node agent; more than one, because a proxy reports its decisions to the agent with a delay
+	explainPauseRatio = 0.2  // pause between two queries, as a fraction of the longest time for which an outdated configuration may be in use
 	explainedRequests = 1024 // number of recent requests whose decisions a node agent keeps
 )
 
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -215,7 +215,7 @@
 		proofAt, requests := agent.Snapshot().ProofAt, group.requestCount("1:2")
 		wait(10 * time.Second)
 		if agent.Snapshot().ProofAt != proofAt || planVersion(agent) != 1 {
-			t.Fatalf("with one of three members responsive: got plan %d with proof at %v, want plan 1 with proof at %v", planVersion(agent), agent.Snapshot().ProofAt, proofAt)
+			t.Fatalf("with one of three members responsive: got plan version %d with freshness proof at %v, want version 1 with freshness proof at %v", planVersion(agent), agent.Snapshot().ProofAt, proofAt)
 		}
 		if requests = group.requestCount("1:2") - requests; requests < 20 || requests > 40 {
 			t.Errorf("requests to the only responsive member in ten seconds: got %d, want 20 to 40", requests)
@@ -249,7 +249,7 @@
 				group.requestCount("1:1"), group.waitingCount("1:1"), n, group.waitingCount("1:4"))
 		}
 		if age := agent.process.Clock.Now() - agent.Snapshot().ProofAt; planVersion(agent) != 9 || age > agent.process.Settings.Bounds.Config(1) {
-			t.Errorf("after a member was replaced: got plan %d with a proof %v old, want plan 9 with a proof at most %v old", planVersion(agent), age, agent.process.Settings.Bounds.Config(1))
+			t.Errorf("after a member was replaced: got plan version %d with a freshness proof %v old, want version 9 with one at most %v old", planVersion(agent), age, agent.process.Settings.Bounds.Config(1))
 		}
 		// All members are replaced while none of the old ones responds: seed 9:9 is one of the new members.
 		group.change(func() {
@@ -297,7 +297,7 @@
 		a.process.ApplySettings(changed)
 		wait(2 * time.Second)
 		if planVersion(a) != 1 || a.Snapshot().ProofAt == 0 {
-			t.Fatalf("after the settings listed a reachable seed: got plan %d with proof at %v, want plan 1 with a proof", planVersion(a), a.Snapshot().ProofAt)
+			t.Fatalf("after the settings listed a reachable seed: got plan version %d with freshness proof at %v, want version 1 with a freshness proof", planVersion(a), a.Snapshot().ProofAt)
 		}
 	})
 }
@@ -318,7 +318,7 @@
 		}
 		wait(10 * time.Second)
 		if snapshot := a.Snapshot(); snapshot.Plan != nil || snapshot.ProofAt != 0 || snapshot.EdgeCount != assumedEdges || len(snapshot.Nodes) != 1 || a.Membership().Nodes[0].Name != "runner/edge-1" {
-			t.Fatalf("snapshot without reachable nodes: got %+v, want no plan, no proof, %d assumed edge machines and only runner/edge-1", snapshot, assumedEdges)
+			t.Fatalf("snapshot without reachable nodes: got %+v, want no plan, no freshness proof, %d assumed edge machines and only runner/edge-1", snapshot, assumedEdges)
 		}
 		if a.Handler() == nil {
 			t.Fatal("Handler returned nil, want the HTTP handler of the cluster membership protocol")
--- a/internal/data/agent/freshnessproof_test.go
+++ b/internal/data/agent/freshnessproof_test.go
@@ -85,15 +85,15 @@
 			proof.AddResponse(received.response, received.version, received.requestedAt)
 			at := proof.FreshUntil(7)
 			if at < before || at > provenByDefinition(order[:i+1], 7) {
-				t.Fatalf("after responses %v: FreshUntil(7) is %v, want at least %v (its previous value) and at most %v (attested by a quorum)", order[:i+1], at, before, provenByDefinition(order[:i+1], 7))
+				t.Fatalf("after responses %v: FreshUntil of plan version 7 is %v, want at least %v (its previous value) and at most %v (attested by a quorum)", order[:i+1], at, before, provenByDefinition(order[:i+1], 7))
 			}
 			before = at
 		}
 		if before != 40 {
-			t.Fatalf("after all responses, in order %v: FreshUntil(7) is %v, want 40ns", order, before)
+			t.Fatalf("after all responses, in order %v: FreshUntil of plan version 7 is %v, want 40ns", order, before)
 		}
 		if at := proof.FreshUntil(8); at != 50 {
-			t.Fatalf("after all responses, in order %v: FreshUntil(8) is %v, want 50ns", order, at)
+			t.Fatalf("after all responses, in order %v: FreshUntil of plan version 8 is %v, want 50ns", order, at)
 		}
 	})
 	if orders != 40320 {
@@ -107,13 +107,13 @@
 		proof.AddResponse(attestingResponse(threeMembers[0], 1, 1, threeMembers...), 7, time.Duration(10+i))
 	}
 	if at := proof.FreshUntil(7); at != 0 {
-		t.Fatalf("attestations of one of three members: FreshUntil is %v, want 0", at)
+		t.Fatalf("attestations of one of three members: FreshUntil of plan version 7 is %v, want 0", at)
 	}
 	proof.AddResponse(attestingResponse("1:1/x", 1, 1, threeMembers...), 7, 90) // member 1:1 after it lost its disk: same address, new incarnation
 	proof.AddResponse(attestingResponse("9:9/z", 1, 1, threeMembers...), 7, 95)
 	proof.AddResponse(&wire.FollowResponse{Member: threeMembers[1], NothingNewer: true}, 7, 99)
 	if at := proof.FreshUntil(7); at != 0 {
-		t.Fatalf("responses of one member, two non-members and one node without a membership: FreshUntil is %v, want 0", at)
+		t.Fatalf("responses of one member, two non-members and one node without a membership: FreshUntil of plan version 7 is %v, want 0", at)
 	}
 }
 
@@ -126,11 +126,11 @@
 	proof.AddResponse(attestingResponse("1:4/d", 1, 1, four...), 7, 40)
 	proof.AddResponse(attestingResponse(threeMembers[1], 1, 1, four...), 7, 50) // the member at address 1:2 still reports the earlier membership, with the one at 1:4
 	if at := proof.FreshUntil(7); at != 0 {
-		t.Fatalf("attestations of one current member, one removed member and one with an outdated membership: FreshUntil is %v, want 0", at)
+		t.Fatalf("attestations of one current member, one removed member and one with an outdated membership: FreshUntil of plan version 7 is %v, want 0", at)
 	}
 	proof.AddResponse(attestingResponse(threeMembers[1], 1, 5, threeMembers...), 7, 60)
 	if at := proof.FreshUntil(7); at != 30 {
-		t.Fatalf("attestations of two of three members at 30ns and 60ns: FreshUntil is %v, want 30ns", at)
+		t.Fatalf("attestations of two of three members at 30ns and 60ns: FreshUntil of plan version 7 is %v, want 30ns", at)
 	}
 }
 
@@ -145,6 +145,6 @@
 	// The leader of term 3 has truncated the uncommitted membership from the log of member 3.
 	proof.AddResponse(attestingResponse("3", 1, 1, old...), 7, 20)
 	if at := proof.FreshUntil(7); at != 0 {
-		t.Fatalf("two of five members (named a and 4) attested an uncommitted membership, and member 3 an earlier one of four members: FreshUntil is %v, want 0, because members 1 and 2, a quorum of the later committed membership {1,2,3}, may have acknowledged a newer plan", at)
+		t.Fatalf("two of five members (named a and 4) attested an uncommitted membership, and member 3 an earlier one of four members: FreshUntil of plan version 7 is %v, want 0, because members 1 and 2, a quorum of the later committed membership {1,2,3}, may have acknowledged a newer plan", at)
 	}
 }
--- a/internal/data/agent/restored_test.go
+++ b/internal/data/agent/restored_test.go
@@ -45,7 +45,7 @@
 			knowsRestore = knowsRestore || received.response.RestoreGeneration > 0
 			at := proof.FreshUntil(8)
 			if knowsRestore && at > before && received.response.RestoreGeneration == 0 {
-				t.Fatalf("responses %v: %s, which the restore abandoned, advanced the proof from %v to %v", order, received.response.Member, before, at)
+				t.Fatalf("responses %v: %s, which the restore abandoned, advanced the freshness proof from %v to %v", order, received.response.Member, before, at)
 			}
 			before = at
 		}
@@ -89,6 +89,6 @@
 		}
 	}
 	if state.snapshot.Plan.Version != 6 || state.snapshot.ProofAt != startTime+3 {
-		t.Errorf("after responses of abandoned members: got plan %d with proof at %v, want plan 6 with proof at %v", state.snapshot.Plan.Version, state.snapshot.ProofAt, startTime+3)
+		t.Errorf("after responses of abandoned members: got plan version %d with freshness proof at %v, want version 6 with freshness proof at %v", state.snapshot.Plan.Version, state.snapshot.ProofAt, startTime+3)
 	}
 }
--- a/internal/data/agent/simulatedgroup_test.go
+++ b/internal/data/agent/simulatedgroup_test.go
@@ -246,7 +246,7 @@
 	for seed := range uint64(40000) {
 		group := randomWalk(seed, false)
 		if group.isRefuted {
-			t.Fatalf("simulation with seed %d: a plan newer than %d was committed before the proof's instant; commit steps by plan version: %v", seed, group.version, group.committed)
+			t.Fatalf("simulation with seed %d: a plan newer than the agent's version %d was committed before the instant of its freshness proof; commit steps by plan version: %v", seed, group.version, group.committed)
 		}
 		proofs += group.proofs
 		if group.proof.index > 0 {
@@ -254,7 +254,7 @@
 		}
 	}
 	if proofs < 100000 || changed < 10000 {
-		t.Fatalf("got %d proofs, and a membership change in %d simulations; want at least 100000 proofs and 10000 simulations for a meaningful test", proofs, changed)
+		t.Fatalf("simulated consensus groups: got %d freshness proofs, and a membership change in %d simulations; want at least 100000 proofs and 10000 simulations for a meaningful test", proofs, changed)
 	}
 }
 
@@ -266,5 +266,5 @@
 			return
 		}
 	}
-	t.Fatal("none of 40000 simulations refuted the proof of an agent that ignores which membership a response reports, want at least one")
+	t.Fatal("none of 40000 simulations refuted the freshness proof of an agent that ignores which membership a response reports, want at least one")
 }
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -80,7 +80,7 @@
 			}
 			newest = max(newest, reported)
 			if newest > 0 && state.snapshot.Plan.Version != newest || state.versions[routingconfig.DocumentKey] != newest || state.snapshot.ProofAt < proof {
-				t.Fatalf("responses %v: got plan %v with proof at %v, want plan %d with proof at %v or later", responses, state.snapshot.Plan, state.snapshot.ProofAt, newest, proof)
+				t.Fatalf("responses %v: got plan %v with freshness proof at %v, want plan version %d with freshness proof at %v or later", responses, state.snapshot.Plan, state.snapshot.ProofAt, newest, proof)
 			}
 			proof = state.snapshot.ProofAt
 		}
@@ -101,7 +101,7 @@
 	state.applyResponse(newFollowResponse(threeMembers[1], true, bad), 2, startTime+4, startTime+4)
 	state.applyResponse(newFollowResponse(threeMembers[2], true), 3, startTime+5, startTime+5)
 	if state.snapshot.Plan.Version != 2 || state.snapshot.ProofAt != startTime+1 || state.versions[routingconfig.DocumentKey] != 3 {
-		t.Fatalf("after an undecodable plan 3: got plan %d with proof at %v and version %d in requests, want plan 2 with proof at %v and version 3 in requests",
+		t.Fatalf("after an undecodable plan of version 3: got plan version %d in use with freshness proof at %v and version %d in requests, want version 2 with freshness proof at %v and version 3 in requests",
 			state.snapshot.Plan.Version, state.snapshot.ProofAt, state.versions[routingconfig.DocumentKey], startTime+1)
 	}
 	if r := state.codec.(*versionCodec).reads; r != 2 {
@@ -126,7 +126,7 @@
 		got[known.Key] = known.Version
 	}
 	if len(request.Known) != 5 || got[fleet.WorkersKey] != 3 || got[fleet.PlacementKey+"s"] != 4 || got[fleet.PlacementKey] != 0 || request.ProofKey != routingconfig.DocumentKey || request.MaxWaitNs != 1e9 {
-		t.Fatalf("next request: got %v, want five known versions (workers 3, placement of s 4), the plan as proof key and a wait of 1 s", request)
+		t.Fatalf("next request to a control node: got %v, want the versions of five known documents (3 of the list of workers, 4 of the placement of service s), the plan as the document to prove fresh, and a wait of 1 s", request)
 	}
 	published := state.snapshot
 	state.applyResponse(newFollowResponse(threeMembers[0], true, newDocument(t, fleet.PlacementKey+"t", 1, map[string]any{}), newDocument(t, fleet.WorkersKey, 2, fleet.WorkerList{})), 0, startTime, startTime)
@@ -148,7 +148,7 @@
 	}
 	configureWeights(1, startTime, map[string]uint64{"m": 1})
 	if at := state.snapshot.NamedAt["m"]; at != startTime-bounds.Weights(0.5) {
-		t.Fatalf("weights configured before the agent started: NamedAt is %v, want %v", at, startTime-bounds.Weights(0.5))
+		t.Fatalf("instant that counts as the configuration of weights that were configured before the agent started: got %v, want %v", at, startTime-bounds.Weights(0.5))
 	}
 	now := startTime + time.Minute
 	state.applyResponse(newFollowResponse(threeMembers[1], true, planDocument(1)), 0, now, now)
@@ -156,30 +156,30 @@
 	configureWeights(2, now+1, map[string]uint64{"m": 2, "n": 7})
 	configureWeights(3, now+2, map[string]uint64{"m": 2, "n": 8})
 	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now+1 || namedAt["n"] != now+2 {
-		t.Fatalf("weights configured while in contact: NamedAt is %v, want m at %v and n at %v", namedAt, now+1, now+2)
+		t.Fatalf("instants of configuration of weights, by model, with the agent in contact with the control nodes: got %v, want %v for m and %v for n", namedAt, now+1, now+2)
 	}
 	if earlier := state.snapshot.EarlierVersions; len(earlier["m"]) != 1 || earlier["m"][0].Version != 1 || len(earlier["n"]) != 1 || earlier["n"][0] != (fleet.NamedVersion{Version: 7, At: now + 1}) {
-		t.Fatalf("earlier weights versions after m and n changed once: got %v, want version 1 of m and version 7 of n, configured at %v", earlier, now+1)
+		t.Fatalf("earlier weights versions after those of models m and n changed once: got %v, want version 1 of m and version 7 of n, configured at %v", earlier, now+1)
 	}
 	configureWeights(4, now+bounds.Config(2), map[string]uint64{"m": 3})
 	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 2 || earlier[1] != (fleet.NamedVersion{Version: 2, At: now + 1}) {
-		t.Fatalf("earlier weights versions of m after it changed twice: got %v, want versions 1 and 2, the latter configured at %v", earlier, now+1)
+		t.Fatalf("earlier weights versions of model m after it changed twice: got %v, want versions 1 and 2, the latter configured at %v", earlier, now+1)
 	}
 	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now || len(namedAt) != 1 {
-		t.Fatalf("weights configured while out of contact since %v: NamedAt is %v, want m at that instant alone", now, namedAt)
+		t.Fatalf("instants of configuration of weights, by model, with the agent out of contact with the control nodes since %v: got %v, want that instant for m and no other model", now, namedAt)
 	}
 	configureWeights(5, now+bounds.Weights(3), map[string]uint64{"m": 4})
 	if namedAt := state.snapshot.NamedAt; namedAt["m"] != now+bounds.Weights(2.5) {
-		t.Fatalf("weights configured while out of contact for three times the weights bound: NamedAt is %v, want m at %v", namedAt, now+bounds.Weights(2.5))
+		t.Fatalf("instants of configuration of weights, by model, with the agent out of contact for three times as long as requests may start on superseded weights: got %v, want %v for m", namedAt, now+bounds.Weights(2.5))
 	}
 	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != 1 || earlier[0].Version != 3 {
-		t.Fatalf("earlier weights versions of m after the weights bound of version 3 expired: got %v, want version 3 alone", earlier)
+		t.Fatalf("earlier weights versions of model m when requests may still start on version 3 but not on older ones: got %v, want version 3 alone", earlier)
 	}
 	for v := uint64(5); v < 30; v++ { // changes the weights in quick succession: dropping old versions must not extend the weights bound of any other
 		configureWeights(v+1, now+bounds.Weights(3)+time.Duration(v), map[string]uint64{"m": v})
 	}
 	if earlier := state.snapshot.EarlierVersions["m"]; len(earlier) != maxEarlierVersions || earlier[0].At != now {
-		t.Fatalf("earlier weights versions of m after 25 more changes: got %v, want %d versions, the oldest configured at %v", earlier, maxEarlierVersions, now)
+		t.Fatalf("earlier weights versions of model m after 25 more changes: got %v, want %d versions, the oldest configured at %v", earlier, maxEarlierVersions, now)
 	}
 }
 
--- a/internal/data/placement/placement_test.go
+++ b/internal/data/placement/placement_test.go
@@ -108,13 +108,13 @@
 		want   bool
 	}{
 		{"nothing", func(*Placement) {}, false},
-		{"only the reason and the ratios", func(next *Placement) { next.Reason, next.RMax, next.ReplicatedRatio = "x", 0.5, 0.1 }, false},
-		{"the replicated set", func(next *Placement) { next.Replicated = []string{"k1"} }, true},
-		{"the order of the replicated set", func(next *Placement) { next.Replicated = []string{"k2", "k1"} }, true},
+		{"only the explanation for operators, the largest fetched fraction and the replicated fraction", func(next *Placement) { next.Reason, next.RMax, next.ReplicatedRatio = "x", 0.5, 0.1 }, false},
+		{"the set of replicated prefixes", func(next *Placement) { next.Replicated = []string{"k1"} }, true},
+		{"the order of the replicated prefixes", func(next *Placement) { next.Replicated = []string{"k2", "k1"} }, true},
 		{"the workers", func(next *Placement) { next.Workers = []string{"a"} }, true},
 		{"the mode", func(next *Placement) { next.Mode = ModeAllSharded }, true},
-		{"the admission floor within its tolerance", func(next *Placement) { next.AdmissionFloor = 2.5 }, false},
-		{"the admission floor beyond its tolerance", func(next *Placement) { next.AdmissionFloor = 2.6 }, true},
+		{"the access frequency of the least used cached entry, within the tolerance", func(next *Placement) { next.AdmissionFloor = 2.5 }, false},
+		{"the access frequency of the least used cached entry, beyond the tolerance", func(next *Placement) { next.AdmissionFloor = 2.6 }, true},
 	} {
 		next := old
 		test.change(&next)
--- a/internal/data/updatestream/snapshot_test.go
+++ b/internal/data/updatestream/snapshot_test.go
@@ -30,7 +30,7 @@
 		Placements: []*wire.Document{{Key: "s", Version: 2, Body: []byte(`{"replicated":["aa"]}`)}}}, nil, 100)
 	b := mustRead(t, &wire.FeedResponse{Version: 2, ListsVersion: 7, ProofAtNs: 20}, a, 200)
 	if b.ConfigVersion != 3 || len(b.Workers) != 1 || b.Placements["s"] == nil || b.ProofAt != 20 || a.ProofAt != 10 {
-		t.Errorf("update with a proof only: got %+v, previous snapshot %+v; want the same configuration, worker and placement, and only the new snapshot with proof at 20ns", b, a)
+		t.Errorf("update with only a newer freshness proof: got %+v, previous snapshot %+v; want the same configuration, worker and placement, and only the new snapshot with freshness proof at 20ns", b, a)
 	}
 	c := mustRead(t, &wire.FeedResponse{Version: 3, ListsVersion: 8, ProofAtNs: 30, Workers: []*wire.Worker{{Name: "x"}, {Name: "y"}}}, b, 300)
 	if len(c.Workers) != 2 || len(c.Placements) != 0 || c.ConfigVersion != 3 || len(b.Workers) != 1 {
@@ -106,7 +106,7 @@
 	var nilSnapshot *Snapshot
 	s := mustRead(t, &wire.FeedResponse{ListsVersion: 1, ProofAtNs: 100, Config: newDocument(1, "1")}, nil, 0)
 	if nilSnapshot.IsFresh(1, 10) || !s.IsFresh(109, 10) || s.IsFresh(110, 10) || (&Snapshot{Config: s.Config}).IsFresh(1, 10) {
-		t.Errorf("IsFresh with an age of 10 ns: got nil snapshot %v, proof 9 ns old %v, proof 10 ns old %v, no proof %v; want only the second to be fresh",
+		t.Errorf("IsFresh with a maximum age of the freshness proof of 10 ns: got nil snapshot %v, proof 9 ns old %v, proof 10 ns old %v, no proof %v; want only the second to be fresh",
 			nilSnapshot.IsFresh(1, 10), s.IsFresh(109, 10), s.IsFresh(110, 10), (&Snapshot{Config: s.Config}).IsFresh(1, 10))
 	}
 }
--- a/internal/runbook/run.go
+++ b/internal/runbook/run.go
@@ -122,10 +122,10 @@
 		detail += ": " + strings.Join(matching, " ")
 	}
 	if s.Min != nil && len(matching) < *s.Min {
-		return "", errs.New(errs.CheckFailed, "%s; at least %d required", detail, *s.Min)
+		return "", errs.New(errs.CheckFailed, "%s; at least %d matching rows required", detail, *s.Min)
 	}
 	if s.Max != nil && len(matching) > *s.Max {
-		return "", errs.New(errs.CheckFailed, "%s; at most %d allowed", detail, *s.Max)
+		return "", errs.New(errs.CheckFailed, "%s; at most %d matching rows allowed", detail, *s.Max)
 	}
 	return detail, nil
 }
