--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -90,7 +90,7 @@
 		{"retire status", "show the progress of retirements of base models and what blocks them", listRetirements(false)},
 		{"retire pause", "pause the retirement of a base model", controlRetirement("pause")},
 		{"retire resume", "resume the paused retirement of a base model", controlRetirement("resume")},
-		{"retire abort", "abort a retirement and return to the old base model; possible until the barrier phase", controlRetirement("abort")},
+		{"retire abort", "abort a retirement and return to the old base model; possible until phase drop, in which the old base model is unloaded", controlRetirement("abort")},
 		{"retire history", "show past states and phases of retirements of base models", listRetirements(true)},
 		{"runbook list", "list the built-in runbooks", listRunbooks},
 		{"runbook check", "validate a built-in runbook or one in a .json file", checkRunbook},
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -98,7 +98,7 @@
 			fmt.Fprintf(w, `{"kind":%q,"message":"m","remedy":"r"}`, k.Name)
 		}))
 		if code, _, stderr := run("", "--node", s.Listener.Addr().String(), "config", "get"); code != k.ExitCode || !strings.Contains(stderr, k.Remedy) {
-			t.Errorf("response of kind %s: got exit code %d and error %q, want exit code %d and remedy %q", k.Name, code, stderr, k.ExitCode, k.Remedy)
+			t.Errorf("response with an error of kind %s: got exit code %d and error %q, want exit code %d and remedy %q", k.Name, code, stderr, k.ExitCode, k.Remedy)
 		}
 		s.Close()
 	}
--- a/internal/cli/site_test.go
+++ b/internal/cli/site_test.go
@@ -237,7 +237,7 @@
 		t.Errorf("weights name with the same version: got exit code %d and output %s, want exit code 0", code, out)
 	}
 	if status := site.query(1, "status"); !status.hasProblem("older-weights", "daka") || !strings.Contains(status.fact("weights of daka"), "target version 2, 2 workers on outdated weights") {
-		t.Errorf("status while workers reject the rollout: got %+v, want problem older-weights and 2 outdated workers", status)
+		t.Errorf("status while workers reject the rollout: got %+v, want problem older-weights and 2 workers on outdated weights", status)
 	}
 	if status := site.query(1, "workers"); status.Named["daka"] != 2 || len(status.Workers) != 3 || status.Workers[0].Weights != 1 || status.Workers[0].State == "up" || status.Workers[2].State != "draining" {
 		t.Errorf("workers while they reject the rollout: got %+v, want target 2, w1 not up on weights 1 and w3 draining", status)
@@ -282,7 +282,7 @@
 			}
 		}
 		if a := site.query(1, "status"); !a.hasProblem("part-unowned", "site") || a.hasProblem("plan-unknown", "") {
-			t.Errorf("status without a majority: got %+v, want problem part-unowned and not plan-unknown", a)
+			t.Errorf("status without a majority: got %+v, want problem part-unowned (no leader) and not plan-unknown (reading the routing plan failed)", a)
 		}
 		if code, _, stderr := site.runOn(2, "", "nodes"); code != 8 || !strings.Contains(stderr, "can't be reached") {
 			t.Errorf("pebblectl nodes at a stopped machine: got exit code %d and error %s, want exit code 8", code, stderr)
--- a/internal/control/operatorapi/group_unsupported.go
+++ b/internal/control/operatorapi/group_unsupported.go
@@ -56,7 +56,8 @@
 	return nil, unsupported("calendar", insteadOfMoves)
 }
 
-// insteadOfRetirements names the commands to use on platform sites, which don't support planned retirements of base models.
+// insteadOfRetirements names the commands to use on platform sites, which don't support planned retirements of base
+// models.
 const insteadOfRetirements = "set the new model's target weights with pebblectl weights name, and change its routes with pebblectl config patch"
 
 // ListRetirements returns a not-supported error, because platform sites have no planned retirements of base models.
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -209,7 +209,7 @@
 		if agent.Snapshot().ProofAt == 0 {
 			t.Fatal("no freshness proof two seconds after two of three members recovered")
 		}
-		// With a single responsive member there is no quorum: the proof doesn't advance, and the plan stays.
+		// With a single responsive member there is no quorum: the freshness proof doesn't advance, and the plan stays.
 		group.change(func() { group.behavior["1:3"] = "hangs" })
 		wait(2 * time.Second)
 		proofAt, requests := agent.Snapshot().ProofAt, group.requestCount("1:2")
@@ -220,7 +220,7 @@
 		if requests = group.requestCount("1:2") - requests; requests < 20 || requests > 40 {
 			t.Errorf("requests to the only responsive member in ten seconds: got %d, want 20 to 40", requests)
 		}
-		// Once a quorum is responsive again, a proof is obtained without waiting for a long poll to end.
+		// Once a quorum is responsive again, a freshness proof is obtained without waiting for a long poll to end.
 		group.change(func() { group.behavior["1:3"] = "" })
 		wait(agent.process.Settings.Bounds.Config(responseGraceRatio+maxRetryDelayRatio) + time.Millisecond) // waits until the pending request to 1:3 has timed out and was retried
 		if agent.Snapshot().ProofAt <= proofAt {
@@ -318,7 +318,7 @@
 		}
 		wait(10 * time.Second)
 		if snapshot := a.Snapshot(); snapshot.Plan != nil || snapshot.ProofAt != 0 || snapshot.EdgeCount != assumedEdges || len(snapshot.Nodes) != 1 || a.Membership().Nodes[0].Name != "runner/edge-1" {
-			t.Fatalf("snapshot without reachable nodes: got %+v, want no plan, no freshness proof, %d assumed edge machines and only runner/edge-1", snapshot, assumedEdges)
+			t.Fatalf("snapshot without reachable nodes: got %+v, want no plan, no freshness proof, %d assumed edge machines and runner/edge-1 as the only node", snapshot, assumedEdges)
 		}
 		if a.Handler() == nil {
 			t.Fatal("Handler returned nil, want the HTTP handler of the cluster membership protocol")
--- a/internal/data/indexclient/accesscounter.go
+++ b/internal/data/indexclient/accesscounter.go
@@ -11,7 +11,7 @@
 
 const (
 	maxPendingKeys     = 4096 // maximum number of keys with unsent accesses per index node; accesses to further keys are not counted
-	maxPresumedHolders = 8    // maximum number of presumed holders per key in one batch; further ones are not reported
+	maxPresumedHolders = 8    // maximum number of presumed holders (workers or stores presumed to cache a prompt part) per key in one batch; further ones are not reported
 )
 
 // AccessCounter accumulates accesses to prompt parts until the nodes of the prompt index have acknowledged
@@ -45,7 +45,7 @@
 
 // NewAccessCounter returns an empty counter for the batches of one sender. The incarnation distinguishes this
 // process's sequence numbers from those of earlier processes with the same name. Accesses are kept for
-// resending for at most two half windows.
+// resending for at most twice halfWindow.
 //
 // Example: c := indexclient.NewAccessCounter("edge/edge-1", uint64(clock.Now()), bounds.Heal(1.25))
 func NewAccessCounter(sender string, incarnation uint64, halfWindow time.Duration) *AccessCounter {
@@ -78,7 +78,8 @@
 	mergeAccess(c.window, key, access)
 }
 
-// RotateWindow starts a new half window if the current one is over, and discards the accesses of the one before that.
+// RotateWindow starts a new half window (half of the time for which accesses are kept for resending) if the current one
+// is over, and discards the accesses of the one before that.
 //
 // Example: c.RotateWindow(clock.Now())
 func (c *AccessCounter) RotateWindow(now time.Duration) {
@@ -117,8 +118,8 @@
 	return queue.inFlight
 }
 
-// Acknowledge records an index node's response to a batch. If the node has lost its state, the accesses of
-// the last two half windows to keys assigned to it are queued again, without presumed holders.
+// Acknowledge records an index node's response to a batch. If the node has lost its state, the accesses to keys
+// assigned to it that are kept for resending are queued again, without the workers presumed to cache the keys' parts.
 //
 // Example: c.Acknowledge(node, batch, response, func(k prefix.Key) bool { return shards.IsAssigned(node, k) })
 func (c *AccessCounter) Acknowledge(node string, batch *wire.CountRequest, response *wire.CountResponse, isAssigned func(prefix.Key) bool) {
--- a/internal/data/indexclient/accesscounter_test.go
+++ b/internal/data/indexclient/accesscounter_test.go
@@ -84,8 +84,9 @@
 	}
 }
 
-// An index node that lost its state gets the accesses of the last two half windows again, without presumed holders,
-// except those to keys that aren't assigned to it.
+// An index node that lost its state gets the accesses that are kept for resending again, without the workers presumed
+// to cache the keys' parts. It doesn't get accesses to keys that aren't assigned to it, nor those older than two half
+// windows (halves of the time for which accesses are kept).
 func TestWindowIsSentAgain(t *testing.T) {
 	counter := newTestCounter()
 	now := time.Hour
@@ -98,6 +99,6 @@
 	counter.Acknowledge(testNode, counter.NextBatch(testNode, nil), &wire.CountResponse{Sequence: 1, ResendWindow: true}, isAssigned)
 	batch := counter.NextBatch(testNode, nil)
 	if batch.GetSequence() != 2 || !slices.Equal(keysOf(batch), []int{3}) || len(batch.Accesses[0].PresumedHolders) != 0 {
-		t.Errorf("batch resent to an index node that lost its state: got %v, want sequence 2 with an access to key 3 without presumed holders", batch)
+		t.Errorf("batch resent to an index node that lost its state: got %v, want sequence 2 with an access to key 3 and no workers presumed to cache its part", batch)
 	}
 }
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -254,7 +254,7 @@
 	})
 }
 
-// An index node that lost its state is sent the accesses of the last two half windows again.
+// An index node that lost its state is sent again the accesses that are still kept for resending.
 func TestRestartedIndexNodeGetsTheWindow(t *testing.T) {
 	index := &fakeIndex{}
 	runClient(t, index, func(client *Client, serving []*wire.Node) {
@@ -270,7 +270,7 @@
 			if len(batches) == 3 {
 				resent++
 				if len(batches[2].Accesses) != 2 || len(batches[2].Accesses[0].PresumedHolders) != 0 {
-					t.Errorf("batch resent to an index node that lost its state: got %v, want two accesses without presumed holders", batches[2])
+					t.Errorf("batch resent to an index node that lost its state: got %v, want two accesses and no workers presumed to cache the parts", batches[2])
 				}
 			}
 		}
--- a/internal/data/updatestream/snapshot_test.go
+++ b/internal/data/updatestream/snapshot_test.go
@@ -98,7 +98,7 @@
 	}
 	history := readChain(t, many...).Weights["m"]
 	if _, _, ok := history.SupersededAt(5); ok || len(history.Past) != maxPastVersions {
-		t.Errorf("weights history after 20 versions: got %+v, want %d past versions and no instant for the dropped version 5", history, maxPastVersions)
+		t.Errorf("weights history after 20 versions: got %+v, want %d past versions and no instant at which the dropped version 5 was superseded", history, maxPastVersions)
 	}
 }
 
--- a/internal/runbook/run.go
+++ b/internal/runbook/run.go
@@ -10,9 +10,10 @@
 
 // Environment gives a run of a runbook access to the site and to the operator.
 type Environment interface {
-	// Rows returns the rows of one of Views, each as a map from field name to value.
+	// Rows returns the rows of one of the views that the function Views names, each as a map from field name to value.
 	Rows(view string) ([]map[string]string, error)
-	// Do executes one of Actions. A retry of an action has the same idempotency token as its first attempt.
+	// Do executes one of the actions that the function Actions lists. A retry of an action has the same idempotency
+	// token as its first attempt.
 	Do(action string, args map[string]string, token string) error
 	// Confirm asks the operator a yes/no question and reports whether the answer is yes.
 	Confirm(text string) bool
--- a/internal/runbook/runbook.go
+++ b/internal/runbook/runbook.go
@@ -37,14 +37,14 @@
 	// The fields up to WithinSeconds are for steps of type Check and Wait. Their condition holds if at least
 	// Min and at most Max rows of View match. A row matches if its fields have the values in Match; "!x"
 	// matches all values but x, and "x*" all values that begin with x.
-	View          string            `json:"of,omitempty"` // name of the view whose rows are counted: one of Views
+	View          string            `json:"of,omitempty"` // name of the view whose rows are counted: one of those that the function Views returns
 	Match         map[string]string `json:"match,omitempty"`
 	Min           *int              `json:"at_least,omitempty"`
 	Max           *int              `json:"at_most,omitempty"`
 	WithinSeconds int               `json:"within_s,omitempty"` // time limit, for steps of type Wait only
 
 	// Action and Args are for steps of type Do.
-	Action string            `json:"action,omitempty"` // name of the action: one of Actions
+	Action string            `json:"action,omitempty"` // name of the action: one of those that the function Actions returns
 	Args   map[string]string `json:"args,omitempty"`
 }
 
--- a/internal/runbook/runbook_test.go
+++ b/internal/runbook/runbook_test.go
@@ -87,10 +87,10 @@
 			t.Fatalf("run resumed after %d record entries: %v", entries, err)
 		}
 		if len(environment.actions) != 2 || environment.actions["r/1"] < 1 || environment.actions["r/4"] < 1 {
-			t.Errorf("run resumed after %d record entries: got executions by token %v, want tokens r/1 and r/4 only", entries, environment.actions)
+			t.Errorf("run resumed after %d record entries: got executions of actions by idempotency token %v, want tokens r/1 and r/4 only", entries, environment.actions)
 		}
 		if _, err := sample.Resume(strings.NewReader(recorded.String())); errs.KindOf(err) != errs.Conflict {
-			t.Errorf("resume a completed run: got error %v, want kind epoch-conflict", err)
+			t.Errorf("resume a completed run: got error %v, want an error of kind epoch-conflict (nothing left to resume)", err)
 		}
 	}
 }
