--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -150,14 +150,14 @@
 					code, out, stderr := run(`{"version":8}`, append([]string{renamed.Name, command}, arguments...)...)
 					firstCode, firstOut, firstStderr := run(`{"version":8}`, append([]string{renamed.First, command}, arguments...)...)
 					if firstCode != code || firstOut != out {
-						t.Errorf("former name: got exit code %d and output %q, want %d and %q as under the present name", firstCode, firstOut, code, out)
+						t.Errorf("command called by its former name: got exit code %d and output %q, want %d and %q as under the present name", firstCode, firstOut, code, out)
 					}
 					if !strings.HasSuffix(firstStderr, stderr) || flags != "--odd" && !strings.Contains(firstStderr, "`"+c.path+"`") {
-						t.Errorf("former name: got error output %q, want the present name `%s` followed by %q", firstStderr, c.path, stderr)
+						t.Errorf("command called by its former name: got error output %q, want the present name `%s` followed by %q", firstStderr, c.path, stderr)
 					}
 					_, _, stderr = run(`{"version":8}`, append([]string{renamed.Name, command, "--json"}, arguments...)...)
 					if _, _, firstStderr = run(`{"version":8}`, append([]string{renamed.First, command, "--json"}, arguments...)...); firstStderr != stderr {
-						t.Errorf("former name with --json: got error output %q, want %q as under the present name", firstStderr, stderr)
+						t.Errorf("command called by its former name with --json: got error output %q, want %q as under the present name", firstStderr, stderr)
 					}
 				})
 			}
--- a/internal/cli/group_test.go
+++ b/internal/cli/group_test.go
@@ -70,7 +70,7 @@
 			t.Errorf("group restore with another member's name: got exit code %d and output %s%s, want exit code 5 and the name %s", code, out, stderr, member)
 		}
 		if site.query(1, "status").Ok {
-			t.Fatal("status without a majority of the members: got ok, want problems")
+			t.Fatal("pebblectl status without a majority of the consensus group: got ok, want problems")
 		}
 		for range 2 {
 			if code, out, stderr := site.runOn(1, "", "group restore --confirm "+member); code != 0 || !strings.Contains(out, "the consensus group is restored from this member") {
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -144,7 +144,7 @@
 	runAgent(t, group, func(t *testing.T, agent *Agent) {
 		synctest.Wait()
 		if planVersion(agent) != 1 {
-			t.Fatalf("plan version after the start with one of three members unresponsive: got %d, want 1", planVersion(agent))
+			t.Fatalf("routing plan version after the start with one of three members unresponsive: got %d, want 1", planVersion(agent))
 		}
 		wait(10*time.Second + 100*time.Millisecond)
 		changed, before := agent.Changed(), agent.Snapshot()
@@ -156,7 +156,7 @@
 			t.Fatal("channel returned by Changed was not closed when a plan update arrived")
 		}
 		if planVersion(agent) != 2 || before.Plan.Version != 1 {
-			t.Fatalf("plan versions after the update: got %d in the new snapshot and %d in the old one, want 2 and 1", planVersion(agent), before.Plan.Version)
+			t.Fatalf("routing plan versions after an update: got %d in the new snapshot and %d in the old one, want 2 and 1", planVersion(agent), before.Plan.Version)
 		}
 		if age := agent.process.Clock.Now() - agent.Snapshot().ProofAt; agent.Snapshot().ProofAt == 0 || age > agent.process.Settings.Bounds.Config(1.1) {
 			t.Fatalf("freshness proof is %v old with one unresponsive member, want at most %v", age, agent.process.Settings.Bounds.Config(1.1))
@@ -203,7 +203,7 @@
 		group.change(func() { group.behavior["1:2"], group.behavior["1:3"] = "", "" })
 		wait(time.Second)
 		if planVersion(agent) != 1 {
-			t.Fatalf("plan version one second after two of three members recovered: got %d, want 1", planVersion(agent))
+			t.Fatalf("routing plan version one second after two of three members recovered: got %d, want 1", planVersion(agent))
 		}
 		wait(time.Second)
 		if agent.Snapshot().ProofAt == 0 {
@@ -245,7 +245,7 @@
 		group.change(func() { group.version = 9 })
 		wait(3 * time.Second)
 		if group.requestCount("1:1") != n || group.waitingCount("1:1") != 0 || group.waitingCount("1:4") != 1 {
-			t.Errorf("removed member 1:1: got %d requests (%d pending), want %d (none pending); added member 1:4: got %d pending requests, want 1",
+			t.Errorf("requests to removed member 1:1: got %d (%d of them unanswered), want %d (none unanswered); unanswered requests to added member 1:4: got %d, want 1",
 				group.requestCount("1:1"), group.waitingCount("1:1"), n, group.waitingCount("1:4"))
 		}
 		if age := agent.process.Clock.Now() - agent.Snapshot().ProofAt; planVersion(agent) != 9 || age > agent.process.Settings.Bounds.Config(1) {
@@ -277,7 +277,7 @@
 			t.Errorf("requests in ten seconds to a member without the newest plan: got %d, want at most 12", n)
 		}
 		if a.Snapshot().Plan == nil || a.Snapshot().Plan.Version != 1 {
-			t.Errorf("plan while one member lags behind and one sends empty responses: got %v, want version 1 from the third member", a.Snapshot().Plan)
+			t.Errorf("routing plan while one member lags behind and one sends empty responses: got %v, want version 1 from the third member", a.Snapshot().Plan)
 		}
 	})
 }
@@ -290,7 +290,7 @@
 	runAgent(t, group, func(t *testing.T, a *Agent) {
 		wait(5 * time.Second)
 		if a.Snapshot().Plan != nil {
-			t.Fatalf("plan while none of the seeds responds: got version %d, want none", a.Snapshot().Plan.Version)
+			t.Fatalf("routing plan while none of the seeds responds: got version %d, want none", a.Snapshot().Plan.Version)
 		}
 		changed := a.process.Settings
 		changed.Seeds = []string{"2:3", "8:8", "8:9"}
--- a/internal/data/agent/restored_test.go
+++ b/internal/data/agent/restored_test.go
@@ -45,15 +45,15 @@
 			knowsRestore = knowsRestore || received.response.RestoreGeneration > 0
 			at := proof.FreshUntil(8)
 			if knowsRestore && at > before && received.response.RestoreGeneration == 0 {
-				t.Fatalf("responses %v: %s, which the restore abandoned, advanced the freshness proof from %v to %v", order, received.response.Member, before, at)
+				t.Fatalf("responses %v: that of member %s, which is not in the restored consensus group, advanced the freshness proof from %v to %v", order, received.response.Member, before, at)
 			}
 			before = at
 		}
 		if members := proof.Members(); len(members) != 1 || members[0] != restoredMember || proof.Generation() != restoredGeneration {
-			t.Fatalf("responses %v: got members %v of restore generation %d, want only %s of generation %d", order, members, proof.Generation(), restoredMember, uint64(restoredGeneration))
+			t.Fatalf("responses %v: got consensus group members %v of restore generation %d, want only %s of generation %d", order, members, proof.Generation(), restoredMember, uint64(restoredGeneration))
 		}
 		if before < 35 {
-			t.Fatalf("after all responses, in order %v: freshness proof at %v, want at least 35ns", order, before)
+			t.Fatalf("after all responses of the restored group and abandoned members, in order %v: freshness proof at %v, want at least 35ns", order, before)
 		}
 	})
 }
@@ -70,25 +70,25 @@
 	state.applyResponse(newFollowResponse(threeMembers[1], true), 7, startTime+2, startTime+2)
 	provedAt := state.snapshot.ProofAt
 	if provedAt != startTime+1 {
-		t.Fatalf("instant of the freshness proof before the restore: got %v, want %v", provedAt, startTime+1)
+		t.Fatalf("instant of the freshness proof before the restore of the consensus group: got %v, want %v", provedAt, startTime+1)
 	}
 	older := newDocument(t, fleet.WeightsKey, 8, fleet.Weights{Versions: map[string]uint64{"m": 3}})
 	changed, err := state.applyResponse(restoredResponse(planDocument(6), older), 7, startTime+3, startTime+3)
 	if err != nil || !changed || state.snapshot.Plan.Version != 6 || state.snapshot.NamedVersions["m"] != 3 || len(state.snapshot.Placements) != 0 {
-		t.Fatalf("response of the restored group: got changed %v, error %v, snapshot %+v; want changed, plan 6, weights version 3 and no placements", changed, err, state.snapshot)
+		t.Fatalf("first response of the restored consensus group: got changed %v, error %v, snapshot %+v; want changed, plan version 6, weights version 3 and no placements", changed, err, state.snapshot)
 	}
 	if state.snapshot.ProofAt != startTime+3 {
 		t.Errorf("instant of the freshness proof for the restored group's plan: got %v, want %v", state.snapshot.ProofAt, startTime+3)
 	}
 	if request := state.newRequest(0); request.RestoreGeneration != restoredGeneration || requestedVersion(request) != 6 {
-		t.Errorf("request after the restore: got %v, want restore generation %d and plan version 6", request, uint64(restoredGeneration))
+		t.Errorf("request to a control node after the restore of the consensus group: got %v, want restore generation %d and plan version 6", request, uint64(restoredGeneration))
 	}
 	for _, member := range threeMembers {
 		if changed, err := state.applyResponse(newFollowResponse(member, true, planDocument(8)), 6, startTime+9, startTime+9); changed || err != nil {
-			t.Errorf("response of abandoned member %s: got changed %v, error %v; want it to be ignored", member, changed, err)
+			t.Errorf("response of member %s, which is not in the restored consensus group: got changed %v, error %v; want it to be ignored", member, changed, err)
 		}
 	}
 	if state.snapshot.Plan.Version != 6 || state.snapshot.ProofAt != startTime+3 {
-		t.Errorf("after responses of abandoned members: got plan version %d with freshness proof at %v, want version 6 with freshness proof at %v", state.snapshot.Plan.Version, state.snapshot.ProofAt, startTime+3)
+		t.Errorf("after responses of members that are not in the restored consensus group: got plan version %d with freshness proof at %v, want version 6 with freshness proof at %v", state.snapshot.Plan.Version, state.snapshot.ProofAt, startTime+3)
 	}
 }
--- a/internal/data/agent/table_test.go
+++ b/internal/data/agent/table_test.go
@@ -105,7 +105,7 @@
 			state.snapshot.Plan.Version, state.snapshot.ProofAt, state.versions[routingconfig.DocumentKey], startTime+1)
 	}
 	if r := state.codec.(*versionCodec).reads; r != 2 {
-		t.Fatalf("plans decoded: got %d, want 2 (an undecodable plan must not be decoded again)", r)
+		t.Fatalf("routing plans decoded: got %d, want 2 (an undecodable plan must not be decoded again)", r)
 	}
 }
 
--- a/internal/data/updatestream/snapshot_test.go
+++ b/internal/data/updatestream/snapshot_test.go
@@ -30,14 +30,14 @@
 		Placements: []*wire.Document{{Key: "s", Version: 2, Body: []byte(`{"replicated":["aa"]}`)}}}, nil, 100)
 	b := mustRead(t, &wire.FeedResponse{Version: 2, ListsVersion: 7, ProofAtNs: 20}, a, 200)
 	if b.ConfigVersion != 3 || len(b.Workers) != 1 || b.Placements["s"] == nil || b.ProofAt != 20 || a.ProofAt != 10 {
-		t.Errorf("update with only a newer freshness proof: got %+v, previous snapshot %+v; want the same configuration, worker and placement, and only the new snapshot with freshness proof at 20ns", b, a)
+		t.Errorf("update of the node agent with only a newer freshness proof: got %+v, previous snapshot %+v; want the same configuration, worker and placement, and only the new snapshot with freshness proof at 20ns", b, a)
 	}
 	c := mustRead(t, &wire.FeedResponse{Version: 3, ListsVersion: 8, ProofAtNs: 30, Workers: []*wire.Worker{{Name: "x"}, {Name: "y"}}}, b, 300)
 	if len(c.Workers) != 2 || len(c.Placements) != 0 || c.ConfigVersion != 3 || len(b.Workers) != 1 {
-		t.Errorf("update with new lists: got %+v, previous snapshot %+v; want two workers, no placements, the same configuration, and the previous snapshot unchanged", c, b)
+		t.Errorf("update of the node agent with new lists of workers and placements: got %+v, previous snapshot %+v; want two workers, no placements, the same configuration, and the previous snapshot unchanged", c, b)
 	}
 	if _, err := ReadSnapshot(&wire.FeedResponse{Config: &wire.Document{Version: 9, Body: []byte(`{`)}}, c, 400); err == nil {
-		t.Error("update with a truncated configuration: got no error, want one")
+		t.Error("update of the node agent with a truncated configuration: got no error, want one")
 	}
 }
 
