--- a/internal/cli/commands.go
+++ b/internal/cli/commands.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := serviceconfig.Decode(inForce.Setup); err == nil { // fails on a site of a separate platform, whose configuration is a routing plan in a format of the platform; that is compared without normalization
+	if _, err := serviceconfig.Decode(inForce.Setup); err == nil { // decoding fails if the configuration is a routing plan in an inference platform's own format, which is compared without normalization
 		if raw, err = serviceconfig.Merge(nil, raw); err != nil {
 			return nil, err
 		}
@@ -192,7 +192,7 @@
 }
 
 // formatText formats a command's result as human-readable text. The number after epoch is the version of the
-// configuration or placement document.
+// stored document that the command read or changed.
 func formatText(v any) string {
 	var text strings.Builder
 	table := tabwriter.NewWriter(&text, 2, 8, 2, ' ', 0)
