--- a/internal/control/operatorapi/server.go
+++ b/internal/control/operatorapi/server.go
@@ -25,10 +25,11 @@
 // maxBodyBytes limits a request's body: twice the largest configuration, to allow for the JSON around it.
 const maxBodyBytes = 2 * serviceconfig.MaxBytes
 
-// Timeouts of calls to a single node, as ratios of the recovery bound in the settings (Bounds.Recovery).
+// Timeouts of calls to a single node, as fractions of the recovery bound in the settings (Bounds.Recovery): the longest time
+// until service is restored after a fault.
 const (
-	statusTimeoutRatio = 1.0 / 12 // for reading the node's status, or its list of nodes or workers
-	lookupTimeoutRatio = 1.0 / 24 // for looking up one request's routing or one prompt's cached prefixes
+	statusTimeoutRatio = 1.0 / 12 // timeout for reading a node's status or its list of nodes or workers, as a fraction of the recovery bound
+	lookupTimeoutRatio = 1.0 / 24 // timeout for looking up one request's routing or one prompt's cached prefixes, as a fraction of the recovery bound
 )
 
 // Server handles operators' requests on a site whose settings list the control nodes.
@@ -77,8 +78,8 @@
 	return documents, nil
 }
 
-// putServiceDocument writes a document to the shard of a service; the response carries state as its note.
-// what describes the document in error messages.
+// putServiceDocument writes a document to the shard of a service. The response's field note is set to state, the state
+// of the calendar entry or retirement in the document. what describes the document in error messages.
 func (s *Server) putServiceDocument(ctx context.Context, service string, put *wire.Put, dryRun bool, what, state string) (*operator.Changed, error) {
 	request := &wire.ChangeRequest{Shard: controlclient.ShardOf(service), Command: &wire.Command{Kind: &wire.Command_Put{Put: put}}, DryRun: dryRun}
 	response, err := s.control.Change(ctx, request)
--- a/internal/data/agent/agent_test.go
+++ b/internal/data/agent/agent_test.go
@@ -144,7 +144,7 @@
 	runAgent(t, group, func(t *testing.T, agent *Agent) {
 		synctest.Wait()
 		if planVersion(agent) != 1 {
-			t.Fatalf("plan version after the start with one of three members unresponsive: got %d, want 1", planVersion(agent))
+			t.Fatalf("routing plan version after the start with one of three members unresponsive: got %d, want 1", planVersion(agent))
 		}
 		wait(10*time.Second + 100*time.Millisecond)
 		changed, before := agent.Changed(), agent.Snapshot()
@@ -156,7 +156,7 @@
 			t.Fatal("channel returned by Changed was not closed when a plan update arrived")
 		}
 		if planVersion(agent) != 2 || before.Plan.Version != 1 {
-			t.Fatalf("plan versions after the update: got %d in the new snapshot and %d in the old one, want 2 and 1", planVersion(agent), before.Plan.Version)
+			t.Fatalf("routing plan versions after an update: got %d in the new snapshot and %d in the old one, want 2 and 1", planVersion(agent), before.Plan.Version)
 		}
 		if age := agent.process.Clock.Now() - agent.Snapshot().ProofAt; agent.Snapshot().ProofAt == 0 || age > agent.process.Settings.Bounds.Config(1.1) {
 			t.Fatalf("freshness proof is %v old with one unresponsive member, want at most %v", age, agent.process.Settings.Bounds.Config(1.1))
@@ -203,24 +203,24 @@
 		group.change(func() { group.behavior["1:2"], group.behavior["1:3"] = "", "" })
 		wait(time.Second)
 		if planVersion(agent) != 1 {
-			t.Fatalf("plan version one second after two of three members recovered: got %d, want 1", planVersion(agent))
+			t.Fatalf("routing plan version one second after two of three members recovered: got %d, want 1", planVersion(agent))
 		}
 		wait(time.Second)
 		if agent.Snapshot().ProofAt == 0 {
 			t.Fatal("no freshness proof two seconds after two of three members recovered")
 		}
-		// With a single responsive member there is no quorum: the proof doesn't advance, and the plan stays.
+		// With a single responsive member there is no quorum: the freshness proof doesn't advance, and the plan stays.
 		group.change(func() { group.behavior["1:3"] = "hangs" })
 		wait(2 * time.Second)
 		proofAt, requests := agent.Snapshot().ProofAt, group.requestCount("1:2")
 		wait(10 * time.Second)
 		if agent.Snapshot().ProofAt != proofAt || planVersion(agent) != 1 {
-			t.Fatalf("with one of three members responsive: got plan %d with proof at %v, want plan 1 with proof at %v", planVersion(agent), agent.Snapshot().ProofAt, proofAt)
+			t.Fatalf("with one of three members responsive: got plan version %d with freshness proof at %v, want version 1 with freshness proof at %v", planVersion(agent), agent.Snapshot().ProofAt, proofAt)
 		}
 		if requests = group.requestCount("1:2") - requests; requests < 20 || requests > 40 {
 			t.Errorf("requests to the only responsive member in ten seconds: got %d, want 20 to 40", requests)
 		}
-		// Once a quorum is responsive again, a proof is obtained without waiting for a long poll to end.
+		// Once a quorum is responsive again, a freshness proof is obtained without waiting for a long poll to end.
 		group.change(func() { group.behavior["1:3"] = "" })
 		wait(agent.process.Settings.Bounds.Config(responseGraceRatio+maxRetryDelayRatio) + time.Millisecond) // waits until the pending request to 1:3 has timed out and was retried
 		if agent.Snapshot().ProofAt <= proofAt {
@@ -245,11 +245,11 @@
 		group.change(func() { group.version = 9 })
 		wait(3 * time.Second)
 		if group.requestCount("1:1") != n || group.waitingCount("1:1") != 0 || group.waitingCount("1:4") != 1 {
-			t.Errorf("removed member 1:1: got %d requests (%d pending), want %d (none pending); added member 1:4: got %d pending requests, want 1",
+			t.Errorf("requests to removed member 1:1: got %d (%d of them unanswered), want %d (none unanswered); unanswered requests to added member 1:4: got %d, want 1",
 				group.requestCount("1:1"), group.waitingCount("1:1"), n, group.waitingCount("1:4"))
 		}
 		if age := agent.process.Clock.Now() - agent.Snapshot().ProofAt; planVersion(agent) != 9 || age > agent.process.Settings.Bounds.Config(1) {
-			t.Errorf("after a member was replaced: got plan %d with a proof %v old, want plan 9 with a proof at most %v old", planVersion(agent), age, agent.process.Settings.Bounds.Config(1))
+			t.Errorf("after a member was replaced: got plan version %d with a freshness proof %v old, want version 9 with one at most %v old", planVersion(agent), age, agent.process.Settings.Bounds.Config(1))
 		}
 		// All members are replaced while none of the old ones responds: seed 9:9 is one of the new members.
 		group.change(func() {
@@ -277,7 +277,7 @@
 			t.Errorf("requests in ten seconds to a member without the newest plan: got %d, want at most 12", n)
 		}
 		if a.Snapshot().Plan == nil || a.Snapshot().Plan.Version != 1 {
-			t.Errorf("plan while one member lags behind and one sends empty responses: got %v, want version 1 from the third member", a.Snapshot().Plan)
+			t.Errorf("routing plan while one member lags behind and one sends empty responses: got %v, want version 1 from the third member", a.Snapshot().Plan)
 		}
 	})
 }
@@ -290,14 +290,14 @@
 	runAgent(t, group, func(t *testing.T, a *Agent) {
 		wait(5 * time.Second)
 		if a.Snapshot().Plan != nil {
-			t.Fatalf("plan while none of the seeds responds: got version %d, want none", a.Snapshot().Plan.Version)
+			t.Fatalf("routing plan while none of the seeds responds: got version %d, want none", a.Snapshot().Plan.Version)
 		}
 		changed := a.process.Settings
 		changed.Seeds = []string{"2:3", "8:8", "8:9"}
 		a.process.ApplySettings(changed)
 		wait(2 * time.Second)
 		if planVersion(a) != 1 || a.Snapshot().ProofAt == 0 {
-			t.Fatalf("after the settings listed a reachable seed: got plan %d with proof at %v, want plan 1 with a proof", planVersion(a), a.Snapshot().ProofAt)
+			t.Fatalf("after the settings listed a reachable seed: got plan version %d with freshness proof at %v, want version 1 with a freshness proof", planVersion(a), a.Snapshot().ProofAt)
 		}
 	})
 }
@@ -318,7 +318,7 @@
 		}
 		wait(10 * time.Second)
 		if snapshot := a.Snapshot(); snapshot.Plan != nil || snapshot.ProofAt != 0 || snapshot.EdgeCount != assumedEdges || len(snapshot.Nodes) != 1 || a.Membership().Nodes[0].Name != "runner/edge-1" {
-			t.Fatalf("snapshot without reachable nodes: got %+v, want no plan, no proof, %d assumed edge machines and only runner/edge-1", snapshot, assumedEdges)
+			t.Fatalf("snapshot without reachable nodes: got %+v, want no plan, no freshness proof, %d assumed edge machines and runner/edge-1 as the only node", snapshot, assumedEdges)
 		}
 		if a.Handler() == nil {
 			t.Fatal("Handler returned nil, want the HTTP handler of the cluster membership protocol")
--- a/internal/data/indexclient/accesscounter_test.go
+++ b/internal/data/indexclient/accesscounter_test.go
@@ -61,11 +61,11 @@
 	addAccess(counter, 1)
 	counter.Acknowledge(testNode, counter.NextBatch(testNode, nil), &wire.CountResponse{Sequence: 1}, isAlwaysAssigned)
 	if batch := counter.NextBatch(testNode, &wire.WorkerLoads{}); batch != nil {
-		t.Errorf("NextBatch without accesses and loads: got %v, want nil", batch)
+		t.Errorf("NextBatch with neither counted accesses nor loads of workers: got %v, want nil", batch)
 	}
 	loads := &wire.WorkerLoads{WorkerIndexes: []uint32{3}}
 	if batch := counter.NextBatch(testNode, loads); batch.GetLoads() != loads || len(batch.Accesses) != 0 {
-		t.Errorf("NextBatch with loads only: got %v, want a batch with loads %v and no accesses", batch, loads)
+		t.Errorf("NextBatch with loads of workers but no counted accesses: got %v, want a batch with the loads %v and no accesses", batch, loads)
 	}
 }
 
@@ -84,8 +84,9 @@
 	}
 }
 
-// An index node that lost its state gets the accesses of the last two half windows again, without presumed holders,
-// except those to keys that aren't assigned to it.
+// An index node that lost its state gets the accesses that are kept for resending again, without the workers presumed
+// to cache the keys' parts. It doesn't get accesses to keys that aren't assigned to it, nor those older than two half
+// windows (halves of the time for which accesses are kept).
 func TestWindowIsSentAgain(t *testing.T) {
 	counter := newTestCounter()
 	now := time.Hour
@@ -98,6 +99,6 @@
 	counter.Acknowledge(testNode, counter.NextBatch(testNode, nil), &wire.CountResponse{Sequence: 1, ResendWindow: true}, isAssigned)
 	batch := counter.NextBatch(testNode, nil)
 	if batch.GetSequence() != 2 || !slices.Equal(keysOf(batch), []int{3}) || len(batch.Accesses[0].PresumedHolders) != 0 {
-		t.Errorf("batch resent to an index node that lost its state: got %v, want sequence 2 with an access to key 3 without presumed holders", batch)
+		t.Errorf("batch resent to an index node that lost its state: got %v, want sequence 2 with an access to key 3 and no workers presumed to cache its part", batch)
 	}
 }
--- a/internal/runbook/runbook_test.go
+++ b/internal/runbook/runbook_test.go
@@ -87,10 +87,10 @@
 			t.Fatalf("run resumed after %d record entries: %v", entries, err)
 		}
 		if len(environment.actions) != 2 || environment.actions["r/1"] < 1 || environment.actions["r/4"] < 1 {
-			t.Errorf("run resumed after %d record entries: got executions by token %v, want tokens r/1 and r/4 only", entries, environment.actions)
+			t.Errorf("run resumed after %d record entries: got executions of actions by idempotency token %v, want tokens r/1 and r/4 only", entries, environment.actions)
 		}
 		if _, err := sample.Resume(strings.NewReader(recorded.String())); errs.KindOf(err) != errs.Conflict {
-			t.Errorf("resume a completed run: got error %v, want kind epoch-conflict", err)
+			t.Errorf("resume a completed run: got error %v, want an error of kind epoch-conflict (nothing left to resume)", err)
 		}
 	}
 }
@@ -111,14 +111,14 @@
 		environment := newEnvironment()
 		environment.rows["workers"] = environment.rows["workers"][1:]
 		if err := sample.Run(start, false, environment, discard); errs.KindOf(err) != errs.CheckFailed || len(environment.actions) > 0 {
-			t.Errorf("run with a failing check: got error %v and actions %v, want kind not-as-due and no actions", err, environment.actions)
+			t.Errorf("run with a failing check: got error %v and actions %v, want an error of kind not-as-due (a check failed) and no actions", err, environment.actions)
 		}
 	})
 	t.Run("rejected confirmation", func(t *testing.T) {
 		environment := newEnvironment()
 		environment.reject = true
 		if err := sample.Run(start, false, environment, discard); errs.KindOf(err) != errs.CheckFailed || len(environment.actions) != 1 {
-			t.Errorf("run with a rejected confirmation: got error %v and actions %v, want kind not-as-due and 1 action", err, environment.actions)
+			t.Errorf("run with a rejected confirmation: got error %v and actions %v, want an error of kind not-as-due (a check failed) and 1 action", err, environment.actions)
 		}
 	})
 	t.Run("wait that exceeds its time limit", func(t *testing.T) {
