--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -1,6 +1,7 @@
-// Package contract defines what pebbleloom and its own back ends (workers, application services and
-// stores) have agreed on: how a request is started, streamed, sealed and rejected, what a worker reports
-// about its cache, and how it is given orders. docs/contract.md describes it in words.
+// Package contract defines the HTTP protocol between pebbleloom and the back ends that are built for it
+// (inference workers, application services and stores): how a request is started, how its response is
+// streamed, checksummed or rejected, how a worker reports the contents of its prefix cache, and how it
+// receives commands. docs/contract.md is the specification.
 package contract
 
 import (
@@ -9,35 +10,36 @@
 	"time"
 )
 
-// Headers of a start request that carry a placement.
+// Headers of StartRequest calls: where cached prompt prefixes are fetched from and copied to, and the
+// fencing token of the sender's lease.
 const (
-	FetchFrom   = "X-Kv-Fetch-From" // "index=address,…": where the worker can fetch each prefix that it lacks
-	SaveTo      = "X-Kv-Save-To"    // "address,…": whom the worker copies the prompt's prefixes to
-	SaveUpTo    = "X-Kv-Save-Upto"  // how many of the prompt's prefixes are to be copied
-	FenceHeader = "X-Fence"         // fencing token
+	FetchFrom   = "X-Kv-Fetch-From" // "index=address,…": the address to fetch each prefix from that the worker hasn't cached
+	SaveTo      = "X-Kv-Save-To"    // "address,…": the addresses that the worker copies the prompt's cached prefixes to
+	SaveUpTo    = "X-Kv-Save-Upto"  // how many of the prompt's prefixes, from the first, the worker copies to the SaveTo addresses
+	FenceHeader = "X-Fence"         // fencing token of the sender's lease
 )
 
-// StartRequest asks a worker to run a request.
+// StartRequest asks a worker to run an inference request and to stream the response.
 type StartRequest struct {
 	RequestID   string   `json:"request_id"`
 	Tenant      string   `json:"tenant"`
-	CacheDomain string   `json:"domain"` // requests of one domain share cached prefixes
+	CacheDomain string   `json:"domain"` // only requests with the same cache domain share cached prefixes
 	Model       string   `json:"model"`
 	Weights     uint64   `json:"weights"` // version of the model's weights
-	Parts       []string `json:"parts"`   // of the prompt
-	Chunks      int      `json:"pieces"`  // how many chunks to generate
-	WaitMs      int      `json:"wait_ms"` // how long it may wait in the worker's queue
+	Parts       []string `json:"parts"`   // consecutive parts of the prompt's text
+	Chunks      int      `json:"pieces"`  // number of response chunks to generate
+	WaitMs      int      `json:"wait_ms"` // longest time in the worker's queue, in milliseconds
 	AtMostOnce  bool     `json:"once"`
-	Adapter     string   `json:"adapter,omitempty"` // on the model; empty: none
-	Build       uint64   `json:"build,omitempty"`   // of the adapter
-	// Incarnation of the worker that is meant, and until when by its clock the request may begin; zero
-	// values are no condition.
+	Adapter     string   `json:"adapter,omitempty"` // name of the adapter on the base model; empty: none
+	Build       uint64   `json:"build,omitempty"`   // build number of the adapter
+	// Incarnation is the worker process that the request is for, and BeginByUs the latest start time by that
+	// worker's clock in microseconds. Zero values set no condition.
 	Incarnation string `json:"incarnation,omitempty"`
 	BeginByUs   int64  `json:"begin_by_us,omitempty"`
 }
 
-// Refusal returns the reason why a worker must not begin the request now, or "". A worker checks it right
-// before it begins; now is its own clock.
+// Refusal returns the reason why a worker must not begin the request now, or "" if it may begin. A worker
+// calls it immediately before execution; now is the time by the worker's own clock.
 //
 // Example: if reason := request.Refusal(incarnation, clock.Now()); reason != "" { reject(409, reason) }
 func (s *StartRequest) Refusal(incarnation string, now time.Duration) RejectionReason {
@@ -50,28 +52,28 @@
 	return ""
 }
 
-// RejectionReason is why a worker rejected a request or an order. It is a string on the wire; a reader treats
-// those that it doesn't know like any other.
+// RejectionReason is the reason why a worker rejected a request or an order. It is a string on the wire, and
+// a receiver handles a rejection with an unknown reason like one with a known reason.
 type RejectionReason = string
 
-// Reasons for rejections.
+// Reasons for which a worker rejects a request or an order.
 const (
 	Invalid          RejectionReason = "bad"
-	OtherWeights     RejectionReason = "weights"     // it has another version of the model's weights
-	OtherModel       RejectionReason = "model"       // it doesn't have the model
-	OtherAdapter     RejectionReason = "adapter"     // it doesn't have the adapter, or another build of it
-	OtherIncarnation RejectionReason = "incarnation" // another incarnation was meant
-	TooLate          RejectionReason = "late"        // BeginByUs has passed
+	OtherWeights     RejectionReason = "weights"     // the worker has loaded another version of the model's weights
+	OtherModel       RejectionReason = "model"       // the worker hasn't loaded the model
+	OtherAdapter     RejectionReason = "adapter"     // the worker hasn't loaded the adapter, or has loaded another build of it
+	OtherIncarnation RejectionReason = "incarnation" // the request or order was for another incarnation of the worker
+	TooLate          RejectionReason = "late"        // the start deadline StartRequest.BeginByUs has passed
 	Draining         RejectionReason = "draining"
 	QueueFull        RejectionReason = "full"
-	Fenced           RejectionReason = "fence" // of an order: it has seen a later fencing token
-	Stale            RejectionReason = "stale" // of an order: it has obeyed a later one
-	NoMemory         RejectionReason = "room"  // of an order: the weights don't fit
-	Busy             RejectionReason = "busy"  // of an order: requests use what it would unload
+	Fenced           RejectionReason = "fence" // orders only: the worker has seen a higher fencing token
+	Stale            RejectionReason = "stale" // orders only: the worker has already accepted a later order of the same plan
+	NoMemory         RejectionReason = "room"  // orders only: the weights don't fit into the worker's memory
+	Busy             RejectionReason = "busy"  // orders only: running or queued requests use the model or adapter to be unloaded
 )
 
-// Rejection is a worker's proof that a request wasn't executed. Without the request's id it is proof only
-// on a connection that has served no other request: it could be a surplus response to an earlier one.
+// Rejection is a worker's statement that it did not execute a request. Without a request id it counts only on
+// a connection that has carried no other request, since it could be a surplus response to an earlier one.
 type Rejection struct {
 	RequestID    string          `json:"request_id,omitempty"`
 	NotExecuted  bool            `json:"not_run"`
@@ -79,16 +81,18 @@
 	FencingToken uint64          `json:"fence,omitempty"`
 }
 
-// Order is a command to a worker, under the fencing token of the lease that its sender holds.
+// Order is a command to a worker to switch weights or to load or unload a model or an adapter. It carries the
+// fencing token of the sender's lease, so that a worker can reject commands of a former lease holder.
 type Order struct {
 	FencingToken uint64 `json:"fence"`
-	Lease        string `json:"lease,omitempty"`  // its name; tokens of different leases can't be compared
-	Holder       string `json:"holder,omitempty"` // the lease's holder, for the logs
-	Kind         string `json:"kind"`             // weights, load, unload
+	Lease        string `json:"lease,omitempty"`  // name of the lease; fencing tokens of different leases can't be compared
+	Holder       string `json:"holder,omitempty"` // holder of the lease; only logged
+	Kind         string `json:"kind"`             // "weights", "load" or "unload"
 	Weights      uint64 `json:"weights,omitempty"`
 
-	// Of load and unload: a base model, or an adapter on it. The worker rejects an order for another
-	// incarnation, and one that was computed (Plan, Step) before an order that it has obeyed.
+	// The fields below belong to the kinds "load" and "unload": a base model, or an adapter on it. The worker
+	// rejects an order for another incarnation, and one that the sender computed, by its Plan and Step,
+	// before one that the worker has already accepted.
 	Model          string `json:"model,omitempty"`
 	Adapter        string `json:"adapter,omitempty"`
 	Build          uint64 `json:"build,omitempty"`
@@ -98,21 +102,21 @@
 	Step           uint64 `json:"step,omitempty"`
 }
 
-// ListedWorker is a back end in the platform's list.
+// ListedWorker is a back end in the list of running back ends that the platform serves.
 type ListedWorker struct {
 	Name     string `json:"name"`
 	Addr     string `json:"addr"`
-	Kind     string `json:"kind"` // lm, app, store
+	Kind     string `json:"kind"` // "lm" (inference worker), "app" (application service) or "store"
 	Service  string `json:"service"`
 	Zone     string `json:"district"`
 	Draining bool   `json:"draining"`
 }
 
-// WriteJSON responds with a status and a JSON body.
+// WriteJSON writes an HTTP response with the given status and body encoded as JSON.
 //
 // Example: contract.WriteJSON(w, http.StatusOK, state)
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the client may have hung up
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has closed the connection, which needs no handling
 }
--- a/internal/contract/fuzz_test.go
+++ b/internal/contract/fuzz_test.go
@@ -6,15 +6,16 @@
 	"testing"
 )
 
-// Whatever a worker streams, a stream is verified only with its own seal over its own chunks: a line that
-// was changed anywhere is detected. `go test ./internal/contract -fuzz FuzzStreams`
+// StreamVerifier accepts a stream only if its checksum (seal) covers exactly the received chunks. The fuzzer
+// changes one byte of a valid stream, and passes arbitrary lines to the verifier. To run it:
+// go test ./internal/contract -fuzz FuzzStreams
 func FuzzStreams(f *testing.F) {
 	f.Add([]byte(`{"r":"r1","n":0,"t":"x"}`), 1, byte('y'))
 	f.Add([]byte(`{"r":"r1","n":1,"seal":"00"}`), 0, byte(0))
 	f.Add([]byte("\xff{"), 5, byte('"'))
 	f.Fuzz(func(t *testing.T, raw []byte, at int, value byte) {
 		if verifier := NewStreamVerifier("r1", "w"); verifier.Verify(raw) == "" && verifier.Sealed != nil && verifier.Sealed.Seal != NewSeal("r1", "w").Close() {
-			t.Fatalf("%q passes for a seal", raw)
+			t.Fatalf("verifier accepted line %q as the last of an empty stream, though its checksum is wrong", raw)
 		}
 		lines := sealedStream(t, "r1", "w", "one", "two")
 		index := max(0, at) % 3
@@ -29,14 +30,16 @@
 			}
 			ok = ok && verifier.Verify(line) == ""
 		}
-		// Fields beside the sealed ones may differ; chunks, their order and the seal may not.
+		// The checksum covers the request id and the chunks' numbers and texts. A change of another field, such
+		// as the usage figures, isn't detected.
 		if ok && verifier.Sealed != nil && !same && (mutated.RequestID != original.RequestID || mutated.Number != original.Number || mutated.Text != original.Text || mutated.Seal != original.Seal) {
-			t.Fatalf("%q passes for %q", changed, lines[index])
+			t.Fatalf("verifier accepted a stream in which line %q was changed to %q", lines[index], changed)
 		}
 	})
 }
 
-// sealedStream returns the lines of a stream of texts, the last with the seal.
+// sealedStream returns the lines of a valid response stream with one chunk for each text, followed by the last
+// chunk, which has the checksum.
 func sealedStream(t *testing.T, requestID, worker string, texts ...string) (lines [][]byte) {
 	t.Helper()
 	add := func(chunk Chunk) {
--- a/internal/contract/state.go
+++ b/internal/contract/state.go
@@ -1,6 +1,6 @@
 package contract
 
-// WorkerState is what a worker reports about itself when it is probed.
+// WorkerState is what a worker reports about itself in response to a health probe.
 type WorkerState struct {
 	Name               string        `json:"name"`
 	Incarnation        string        `json:"incarnation"`
@@ -13,12 +13,12 @@
 	Queued             int           `json:"queued"`
 	Draining           bool          `json:"draining"`
 	FencingToken       uint64        `json:"fence"`
-	ClockUs            int64         `json:"clock_us"` // a clock of its machine that counts sleep and never jumps
+	ClockUs            int64         `json:"clock_us"` // reading of its machine's monotonic clock, which also counts time in suspend; µs
 	KVTokens           int           `json:"kv_tokens"`
-	KVCapacity         int           `json:"kv_room"`           // tokens
-	Loaded             []LoadedModel `json:"loaded,omitempty"`  // empty: it has only the model and weights above
-	Loading            string        `json:"loading,omitempty"` // what it is loading now
-	WeightMemoryMB     int           `json:"room,omitempty"`    // memory for weights; 0: unknown
+	KVCapacity         int           `json:"kv_room"`           // capacity of the KV cache in tokens
+	Loaded             []LoadedModel `json:"loaded,omitempty"`  // models in memory; empty: only Model with version Weights
+	Loading            string        `json:"loading,omitempty"` // model or adapter that is being loaded; empty: none
+	WeightMemoryMB     int           `json:"room,omitempty"`    // total memory for model weights; 0: unknown
 	FreeWeightMemoryMB int           `json:"free,omitempty"`
 }
 
@@ -26,11 +26,12 @@
 type LoadedModel struct {
 	Model    string            `json:"model"`
 	Weights  uint64            `json:"weights"`
-	Adapters map[string]uint64 `json:"adapters,omitempty"` // build by name
-	Busy     int               `json:"busy,omitempty"`     // requests that run or wait for it
+	Adapters map[string]uint64 `json:"adapters,omitempty"` // build number by adapter name
+	Busy     int               `json:"busy,omitempty"`     // number of requests that run on it or wait for it
 }
 
-// LoadedModels returns what the worker has in memory, also if it reports a single model.
+// LoadedModels returns the models in the worker's memory. For a worker that doesn't report Loaded, that is its
+// Model alone, if it has one.
 //
 // Example: for _, loaded := range state.LoadedModels() { fmt.Println(loaded.Model) }
 func (s WorkerState) LoadedModels() []LoadedModel {
@@ -40,23 +41,24 @@
 	return []LoadedModel{{Model: s.Model, Weights: s.Weights, Busy: s.Busy + s.Queued}}
 }
 
-// CachedPrefix is a prefix in a worker's cache.
+// CachedPrefix is a prompt prefix in a worker's KV cache.
 type CachedPrefix struct {
 	Key    string `json:"k"`
 	Tokens int    `json:"n"`
 }
 
-// CacheReport is one change of a worker's cache.
+// CacheReport is one numbered change of the set of prefixes in a worker's KV cache.
 type CacheReport struct {
 	Number  uint64         `json:"number"`
 	Added   []CachedPrefix `json:"added,omitempty"`
-	Removed []string       `json:"gone,omitempty"` // keys
+	Removed []string       `json:"gone,omitempty"` // keys of the prefixes that were evicted
 }
 
-// CacheReports are the changes after a number, or if Complete the whole cache.
+// CacheReports has the changes of a worker's cache after the number that the reader asked for or, if Complete is
+// set, all prefixes in the cache.
 type CacheReports struct {
 	Incarnation string         `json:"incarnation"`
-	Number      uint64         `json:"number"` // of the last change
+	Number      uint64         `json:"number"` // number of the latest change that is included
 	Complete    bool           `json:"whole"`
 	Cached      []CachedPrefix `json:"held,omitempty"`
 	Reports     []CacheReport  `json:"list,omitempty"`
--- a/internal/contract/stream.go
+++ b/internal/contract/stream.go
@@ -7,10 +7,11 @@
 	"fmt"
 )
 
-// MaxLineBytes bounds one line of a stream.
+// MaxLineBytes is the maximum length of one line of a response stream.
 const MaxLineBytes = 64 << 10
 
-// Chunk is one line of a response stream. The last one has the seal and the usage, and no text.
+// Chunk is one line of a response stream. The last line has no text; it carries the checksum over the stream
+// (Seal) and the usage figures.
 type Chunk struct {
 	RequestID       string `json:"r"`
 	Number          int    `json:"n"`
@@ -18,74 +19,74 @@
 	Seal            string `json:"seal,omitempty"`
 	Worker          string `json:"worker,omitempty"`
 	Weights         uint64 `json:"weights,omitempty"`
-	CachedTokens    int    `json:"hit,omitempty"` // of the prompt: found in the worker's own cache
+	CachedTokens    int    `json:"hit,omitempty"` // prompt tokens that were found in the worker's own cache
 	FetchedTokens   int    `json:"fetched,omitempty"`
 	PrefilledTokens int    `json:"prefilled,omitempty"`
 	FetchUs         int64  `json:"fetch_us,omitempty"`
 	PrefillUs       int64  `json:"prefill_us,omitempty"`
 	FetchAddr       string `json:"fetch_addr,omitempty"`
-	Model           string `json:"model,omitempty"`   // which generated the response
-	Adapter         string `json:"adapter,omitempty"` // on the model
-	Build           uint64 `json:"build,omitempty"`   // of the adapter
+	Model           string `json:"model,omitempty"`   // base model that generated the response
+	Adapter         string `json:"adapter,omitempty"` // adapter on the base model; empty: none
+	Build           uint64 `json:"build,omitempty"`   // build number of the adapter
 }
 
-// Seal is a chained checksum over the chunks of a stream: a reader can check that none is lost, repeated,
-// reordered or of another stream.
+// Seal computes a chained checksum over the chunks of a response stream. It lets a reader detect chunks that
+// were lost, repeated, reordered or taken from another stream.
 type Seal struct{ sum [sha256.Size]byte }
 
-// NewSeal starts the checksum of a request's stream from a worker.
+// NewSeal starts the checksum of the response stream from a worker to a request.
 //
 // Example: seal := contract.NewSeal("req-1", "worker-3")
 func NewSeal(requestID, worker string) *Seal {
 	return &Seal{sha256.Sum256([]byte(requestID + "\x00" + worker))}
 }
 
-// Add adds the next chunk.
+// Add adds the number and the text of the next chunk to the checksum.
 //
 // Example: seal.Add(0, "La primera")
 func (s *Seal) Add(number int, text string) {
 	s.sum = sha256.Sum256(fmt.Appendf(s.sum[:], "%d\x00%s", number, text))
 }
 
-// Close returns the checksum over all chunks.
+// Close returns the checksum over all chunks that were added, in hexadecimal.
 //
 // Example: last.Seal = seal.Close()
 func (s *Seal) Close() string { return hex.EncodeToString(s.sum[:]) }
 
-// StreamVerifier checks a stream line by line.
+// StreamVerifier checks a response stream line by line: request id, chunk numbers and final checksum.
 type StreamVerifier struct {
 	requestID string
-	next      int // number of the next chunk
+	next      int // number that the next chunk must have
 	seal      *Seal
-	// Sealed is the last chunk, once it was received with the right seal.
+	// Sealed is the last chunk, set once it was received with the correct checksum.
 	Sealed *Chunk
 }
 
-// NewStreamVerifier starts to check the stream of a request from a worker.
+// NewStreamVerifier returns a verifier for the response stream from a worker to a request.
 //
 // Example: verifier := contract.NewStreamVerifier("req-1", "worker-3")
 func NewStreamVerifier(requestID, worker string) *StreamVerifier {
 	return &StreamVerifier{requestID: requestID, seal: NewSeal(requestID, worker)}
 }
 
-// Verify checks the next line. It returns what is wrong with the stream, or "".
+// Verify checks the next line of the stream. It returns a description of the first fault in it, or "".
 //
 // Example: if fault := verifier.Verify(line); fault != "" { abort(fault) }
 func (v *StreamVerifier) Verify(line []byte) string {
 	var chunk Chunk
 	if err := json.Unmarshal(line, &chunk); err != nil {
-		return "a line that isn't JSON"
+		return fmt.Sprintf("response stream: line of %d bytes is not a JSON chunk: %v", len(line), err)
 	}
 	switch {
 	case v.Sealed != nil:
-		return "a line after the seal"
+		return "response stream: a line follows the last chunk, which has the checksum"
 	case chunk.RequestID != v.requestID:
-		return "a piece of another answer"
+		return fmt.Sprintf("response stream: chunk belongs to another request, want request %q", v.requestID)
 	case chunk.Number != v.next:
-		return fmt.Sprintf("piece %d where %d was due", chunk.Number, v.next)
+		return fmt.Sprintf("response stream: chunk number %d, want %d", chunk.Number, v.next)
 	case chunk.Seal != "":
 		if chunk.Seal != v.seal.Close() {
-			return "a seal that doesn't fit the pieces"
+			return "response stream: checksum (seal) of the last chunk does not match the received chunks"
 		}
 		v.Sealed = &chunk
 	default:
@@ -95,8 +96,8 @@
 	return ""
 }
 
-// SyntheticText returns the text of a chunk of the response to a prompt, as simulated workers generate it
-// and tests expect it.
+// SyntheticText returns the text of the chunk with the given number in a simulated worker's response. It depends
+// only on the key of the prompt's last prefix, the version of the weights and the number, so tests can predict it.
 //
 // Example: text := contract.SyntheticText(lastKey, weights, 0)
 func SyntheticText(key string, weights uint64, number int) string {
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -55,8 +55,8 @@
 	}{
 		{"an at-most-once request runs twice", "ran 2 times", nil, 1000, func(site *testbed.Site) { plantWorkerFault(site, "twice", 2) }, nil},
 		{"rejected as not executed, yet it ran", "yet it ran", nil, 1000, func(site *testbed.Site) { plantWorkerFault(site, "denies", 1) }, nil},
-		{"a response is mixed with another", "a piece of another answer", nil, 1000, nil, replaceBytes(`"r":"paramo`, `"r":"parano`)},
-		{"chunks are lost", "where 1 was due", nil, 1000, nil, replaceBytes(`"n":1,`, `"n":2,`)},
+		{"a response is mixed with another", "chunk belongs to another request, want request", nil, 1000, nil, replaceBytes(`"r":"paramo`, `"r":"parano`)},
+		{"chunks are lost", "chunk number 2, want 1", nil, 1000, nil, replaceBytes(`"n":1,`, `"n":2,`)},
 		{"a seal is missing", "seal", nil, 1000, nil, replaceBytes(`"seal"`, `"seel"`)},
 		{"a revoked key is accepted", "was accepted", partition, 2000, stale, nil},
 		{"a drained worker gets requests", "after it was drained", partition, 2000, stale, nil},
--- a/internal/wire/fields_test.go
+++ b/internal/wire/fields_test.go
@@ -9,27 +9,28 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Numbers and types of fields are on the wire and on disk: testdata/fields.txt has those that are in use. A
-// new field adds a line; a line only changes with the name of its message.
+// Field numbers and types are part of the wire and disk formats, and a changed one would make older releases or
+// stored data unreadable. testdata/fields.txt lists them: a new field adds a line, and an existing line may only
+// change if its message is renamed.
 func TestFieldNumbersAreStable(t *testing.T) {
 	raw, err := os.ReadFile("testdata/fields.txt")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the list of field numbers: %v", err)
 	}
 	got, want := describeFields(File_internal_wire_wire_proto.Messages()), strings.Split(strings.TrimSpace(string(raw)), "\n")
 	for i := range max(len(got), len(want)) {
 		switch {
 		case i >= len(got):
-			t.Fatalf("missing: %s", want[i])
+			t.Fatalf("field %q is in testdata/fields.txt, but not in wire.proto", want[i])
 		case i >= len(want):
-			t.Fatalf("not listed: %s", got[i])
+			t.Fatalf("field %q is in wire.proto, but not in testdata/fields.txt", got[i])
 		case got[i] != want[i]:
-			t.Fatalf("field %q, want %q", got[i], want[i])
+			t.Fatalf("wire.proto has field %q, testdata/fields.txt has %q on line %d", got[i], want[i], i+1)
 		}
 	}
 }
 
-// describeFields returns a line for each field: its message, number, cardinality and type.
+// describeFields returns a line for each field of the messages: message name, field number, cardinality and type.
 func describeFields(messages protoreflect.MessageDescriptors) (lines []string) {
 	for i := range messages.Len() {
 		message := messages.Get(i)
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -4,9 +4,9 @@
 	"context"
 )
 
-// This file gives the generated services and their methods the names that the rest of the code uses.
-// The .proto keeps the first names, because twirp makes the HTTP paths of them and running releases
-// call these paths:
+// This file wraps the generated services and methods under the names that the rest of the code uses. The
+// .proto file keeps their original names, because twirp derives the HTTP paths from them and nodes of older
+// releases call these paths:
 //
 //	path                           Go
 //	ArchivePathPrefix              ControlNode
@@ -21,7 +21,7 @@
 //
 // Methods that aren't listed have the same name in both. testdata/paths.txt lists all paths.
 
-// Prefixes of the services' HTTP paths, with which a mux mounts them.
+// HTTP path prefixes below which an HTTP server registers the services.
 const (
 	ControlNodePathPrefix = ArchivePathPrefix
 	MembershipPathPrefix  = RosterPathPrefix
@@ -29,7 +29,8 @@
 	NodeAgentPathPrefix   = RunnerPathPrefix
 )
 
-// ControlNode is the service of the control nodes.
+// ControlNode is the RPC service of the control nodes: replication among them, and changes, reads and watches of
+// the control state.
 type ControlNode interface {
 	Join(context.Context, *JoinRequest) (*JoinResponse, error)
 	Follow(context.Context, *FollowRequest) (*FollowResponse, error)
@@ -41,14 +42,14 @@
 	Status(context.Context, *StatusRequest) (*StatusResponse, error)
 }
 
-// NewControlNodeClient calls the control node at a base URL.
+// NewControlNodeClient returns a client for the control node at a base URL.
 //
 // Example: response, err := wire.NewControlNodeClient("http://10.0.0.1:7001", client).Status(ctx, &wire.StatusRequest{})
 func NewControlNodeClient(url string, client HTTPClient) ControlNode {
 	return controlNodeClient{NewArchiveProtobufClient(url, client)}
 }
 
-// NewControlNodeServer serves a control node below ControlNodePathPrefix.
+// NewControlNodeServer returns an HTTP handler that serves a control node below ControlNodePathPrefix.
 //
 // Example: mux.Handle(wire.ControlNodePathPrefix, wire.NewControlNodeServer(node))
 func NewControlNodeServer(node ControlNode) TwirpServer {
@@ -74,34 +75,34 @@
 
 type controlNodeServer struct{ ControlNode }
 
-// Post serves the method of that name in the .proto.
+// Post serves calls of Archive.Post, the name of Deliver in the .proto file.
 func (s controlNodeServer) Post(ctx context.Context, batch *MessageBatch) (*BatchReceipt, error) {
 	return s.Deliver(ctx, batch)
 }
 
-// News serves the method of that name in the .proto.
+// News serves calls of Archive.News, the name of Watch in the .proto file.
 func (s controlNodeServer) News(ctx context.Context, request *WatchRequest) (*WatchResponse, error) {
 	return s.Watch(ctx, request)
 }
 
-// Stand serves the method of that name in the .proto.
+// Stand serves calls of Archive.Stand, the name of Status in the .proto file.
 func (s controlNodeServer) Stand(ctx context.Context, request *StatusRequest) (*StatusResponse, error) {
 	return s.Status(ctx, request)
 }
 
-// Membership is the gossip service of every node.
+// Membership is the RPC service, present on every node, that exchanges cluster membership by gossip.
 type Membership interface {
 	Exchange(context.Context, *Heartbeat) (*Heartbeat, error)
 }
 
-// NewMembershipClient calls the node at a base URL.
+// NewMembershipClient returns a client for the membership service of the node at a base URL.
 //
 // Example: response, err := wire.NewMembershipClient("http://10.0.0.1:7001", client).Exchange(ctx, heartbeat)
 func NewMembershipClient(url string, client HTTPClient) Membership {
 	return membershipClient{NewRosterProtobufClient(url, client)}
 }
 
-// NewMembershipServer serves a member below MembershipPathPrefix.
+// NewMembershipServer returns an HTTP handler that serves the membership service below MembershipPathPrefix.
 //
 // Example: mux.Handle(wire.MembershipPathPrefix, wire.NewMembershipServer(member))
 func NewMembershipServer(member Membership) TwirpServer {
@@ -117,26 +118,26 @@
 
 type membershipServer struct{ member Membership }
 
-// Hear serves the method of that name in the .proto.
+// Hear serves calls of Roster.Hear, the name of Exchange in the .proto file.
 func (s membershipServer) Hear(ctx context.Context, heartbeat *Heartbeat) (*Heartbeat, error) {
 	return s.member.Exchange(ctx, heartbeat)
 }
 
-// PromptIndex is the service of the nodes that know which worker caches which prefix.
+// PromptIndex is the RPC service of the index nodes, which track which workers have cached which prompt prefixes.
 type PromptIndex interface {
 	Lookup(context.Context, *LookupRequest) (*LookupResponse, error)
 	Count(context.Context, *CountRequest) (*CountResponse, error)
 	Hottest(context.Context, *HottestRequest) (*HottestResponse, error)
 }
 
-// NewPromptIndexClient calls the index node at a base URL.
+// NewPromptIndexClient returns a client for the index node at a base URL.
 //
 // Example: response, err := wire.NewPromptIndexClient("http://10.0.0.1:7001", client).Lookup(ctx, request)
 func NewPromptIndexClient(url string, client HTTPClient) PromptIndex {
 	return promptIndexClient{NewCatalogueProtobufClient(url, client)}
 }
 
-// NewPromptIndexServer serves an index node below PromptIndexPathPrefix.
+// NewPromptIndexServer returns an HTTP handler that serves an index node below PromptIndexPathPrefix.
 //
 // Example: mux.Handle(wire.PromptIndexPathPrefix, wire.NewPromptIndexServer(node))
 func NewPromptIndexServer(node PromptIndex) TwirpServer {
@@ -152,22 +153,22 @@
 
 type promptIndexServer struct{ PromptIndex }
 
-// Seek serves the method of that name in the .proto.
+// Seek serves calls of Catalogue.Seek, the name of Lookup in the .proto file.
 func (s promptIndexServer) Seek(ctx context.Context, request *LookupRequest) (*LookupResponse, error) {
 	return s.Lookup(ctx, request)
 }
 
-// NodeAgent is the service of the node agent on loopback.
+// NodeAgent is the RPC service that the node agent of a machine serves to local processes over loopback.
 type NodeAgent = Runner
 
-// NewNodeAgentClient calls the node agent at a base URL.
+// NewNodeAgentClient returns a client for the node agent at a base URL.
 //
 // Example: response, err := wire.NewNodeAgentClient("http://127.0.0.1:7003", client).Feed(ctx, request)
 func NewNodeAgentClient(url string, client HTTPClient) NodeAgent {
 	return NewRunnerProtobufClient(url, client)
 }
 
-// NewNodeAgentServer serves a node agent below NodeAgentPathPrefix.
+// NewNodeAgentServer returns an HTTP handler that serves a node agent below NodeAgentPathPrefix.
 //
 // Example: mux.Handle(wire.NodeAgentPathPrefix, wire.NewNodeAgentServer(agent))
 func NewNodeAgentServer(agent NodeAgent) TwirpServer { return NewRunnerServer(agent) }
--- a/internal/wire/services_test.go
+++ b/internal/wire/services_test.go
@@ -9,11 +9,12 @@
 	"testing"
 )
 
-// The HTTP paths are those that running releases call, whatever the methods are called in Go.
+// Each client method calls the HTTP path in testdata/paths.txt. Nodes of older releases use these paths, so they
+// must not change when a method is renamed in Go.
 func TestServicesKeepTheirPaths(t *testing.T) {
 	raw, err := os.ReadFile("testdata/paths.txt")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the list of HTTP paths: %v", err)
 	}
 	var path string
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) { path = request.URL.Path }))
@@ -53,10 +54,10 @@
 		t.Run(x.name, func(t *testing.T) {
 			path = ""
 			if err := x.call(t.Context()); err != nil {
-				t.Fatal(err)
+				t.Fatalf("call %s: %v", x.name, err)
 			}
 			if name, want := paths[2*i], paths[2*i+1]; name != x.name || path != want || !strings.HasPrefix(path, x.prefix) {
-				t.Errorf("called %q, want %q for %s, below %q", path, want, name, x.prefix)
+				t.Errorf("%s called HTTP path %q, want %q (path of %s in testdata/paths.txt) below prefix %q", x.name, path, want, name, x.prefix)
 			}
 		})
 	}
@@ -82,7 +83,8 @@
 	return &StatusResponse{}, nil
 }
 
-// A server hands each path to the method that the client's method of that name calls.
+// A client's call reaches the server's method of the same Go name, though the method has another name in the
+// .proto file and in the HTTP path.
 func TestControlNodeServerCallsTheMethodOfTheSameName(t *testing.T) {
 	stub := &controlNodeStub{}
 	server := httptest.NewServer(NewControlNodeServer(stub))
@@ -95,7 +97,7 @@
 	} {
 		t.Run(want, func(t *testing.T) {
 			if err := call(); err != nil || stub.called != want {
-				t.Errorf("called %q: %v", stub.called, err)
+				t.Errorf("client method %s called server method %q, error %v; want server method %s", want, stub.called, err, want)
 			}
 		})
 	}
