--- a/internal/control/mutation/files_test.go
+++ b/internal/control/mutation/files_test.go
@@ -1,6 +1,6 @@
 package mutation
 
-// Packages whose tests find planted faults.
+// Packages whose tests must fail because of injected faults, as paths from the repository's root.
 const (
 	consensusPackage = "internal/control/consensus"
 	statePackage     = "internal/control/controlstate"
