--- a/internal/codecheck/deploy_test.go
+++ b/internal/codecheck/deploy_test.go
@@ -8,25 +8,25 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The deploy file lists the system packages that its build command needs: the external linker is a C
-// compiler with libc's headers and start files, and modules come over TLS.
+// deploy/system.toml lists the system packages that its build command needs. External linking needs a C compiler,
+// binutils, and libc's headers and startup files; downloading modules over TLS needs CA certificates.
 func TestDeployFileListsWhatTheBuildNeeds(t *testing.T) {
 	var deploy struct {
 		Build    string
 		Packages []string
 	}
 	if _, err := toml.DecodeFile("../../deploy/system.toml", &deploy); err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode deploy/system.toml: %v", err)
 	}
 	if !strings.Contains(deploy.Build, "-linkmode=external") {
-		t.Errorf("the build command %q doesn't link libc", deploy.Build)
+		t.Errorf("deploy/system.toml: build command %q does not contain -linkmode=external", deploy.Build)
 	}
 	for _, needed := range []string{"binutils", "ca-certificates", "gcc", "libc6-dev"} {
 		if !slices.Contains(deploy.Packages, needed) {
-			t.Errorf("packages: %s is missing", needed)
+			t.Errorf("deploy/system.toml: packages %q lack %s, which the build needs", deploy.Packages, needed)
 		}
 	}
 	if !slices.IsSorted(deploy.Packages) || len(slices.Compact(slices.Clone(deploy.Packages))) != len(deploy.Packages) {
-		t.Errorf("packages: %v: write each once, in order", deploy.Packages)
+		t.Errorf("deploy/system.toml: packages %q are not sorted or have duplicates", deploy.Packages)
 	}
 }
--- a/internal/codecheck/names_test.go
+++ b/internal/codecheck/names_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// declared lists the names of functions, types, fields, methods, constants and variables that a file
-// declares outside functions; local lists those inside.
+// declared parses a file and returns the names of the functions, types, fields, methods, constants and variables that
+// it declares outside functions, and those that it declares inside functions (local).
 func declared(file string, src []byte) (names, local []string, err error) {
 	f, err := parser.ParseFile(token.NewFileSet(), file, src, 0)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return names, local, nil
 }
 
-// defined lists the names that a declaration defines, wherever in it; a function's own name apart.
+// defined lists the names that are defined anywhere in a declaration, except a declared function's own name.
 func defined(d ast.Node) (names []string) {
 	for _, n := range definedIn(d) {
 		names = append(names, n.Name)
@@ -38,7 +38,7 @@
 	return names
 }
 
-// definedIn lists the identifiers that a declaration defines, wherever in it; a function's own apart.
+// definedIn lists the identifiers that are defined anywhere in a declaration, except a declared function's own.
 func definedIn(d ast.Node) (names []*ast.Ident) {
 	add := func(l ...*ast.Ident) { names = append(names, l...) }
 	ast.Inspect(d, func(n ast.Node) bool {
@@ -76,9 +76,9 @@
 
 var identifierWord = regexp.MustCompile(`[A-Z]+[a-z0-9]*|[a-z][a-z0-9]*`)
 
-// hides gives the standard term that a name hides; "" if none. A link is cut one way, and a test's
-// name is a sentence, in which something goes.
-func hides(name string) string {
+// hiddenTerm returns the standard term that a name should use instead of a word of the table hiding, or "". The
+// words "one way" (a direction of a link) are allowed, as is "goes" in the names of tests, which are sentences.
+func hiddenTerm(name string) string {
 	ws := identifierWord.FindAllString(name, -1)
 	for i, w := range ws {
 		w = strings.ToLower(w)
@@ -99,7 +99,7 @@
 	return strings.TrimPrefix(path.Dir(strings.TrimPrefix(file, "../../")), "internal/")
 }
 
-// plainIn lists the names that hold a plain word.
+// plainIn lists the names that contain an everyday word of the table plain.
 func plainIn(names []string) (found []string) {
 	for _, n := range names {
 		if slices.ContainsFunc(identifierWord.FindAllString(n, -1), func(w string) bool { return plain[strings.ToLower(w)] != "" }) {
@@ -109,37 +109,37 @@
 	return found
 }
 
-// withdrawnIn lists the names that hold a withdrawn word.
+// withdrawnIn lists the names that contain a word of the table withdrawn.
 func withdrawnIn(names []string) (found []string) {
 	for _, n := range names {
-		if holdsWithdrawn(n) {
+		if containsWithdrawn(n) {
 			found = append(found, n)
 		}
 	}
 	return found
 }
 
-func holdsWithdrawn(text string) bool {
+func containsWithdrawn(text string) bool {
 	return slices.ContainsFunc(identifierWord.FindAllString(text, -1), func(w string) bool { return withdrawn[strings.ToLower(w)] != "" })
 }
 
-// Standard terms: attempt, route, timer, deadline, version and error are the field's own, and no
-// name hides them behind a word of ours.
+// Names outside function bodies use the standard terms attempt, route, timer, deadline and version, and not the
+// project's former words for them (table hiding).
 func TestNoNameHidesAStandardTerm(t *testing.T) {
 	for name, want := range map[string]string{"Epoch": "version", "haveEpoch": "version", "nextWay": "route", "ways": "route", "KeyExpiry": "deadline",
 		"clockEvents": "timer", "goes": "attempts", "TestPlanGoes": "", "oneWay": "", "cutOneWay": "", "TestEpoch": "version", "always": "", "Gateway": "", "Go": "", "ongoing": "", "clock": ""} {
-		if got := strings.TrimSuffix(hides(name), "s"); got != strings.TrimSuffix(want, "s") {
-			t.Fatalf("the check itself says that %s hides %q", name, got)
+		if got := strings.TrimSuffix(hiddenTerm(name), "s"); got != strings.TrimSuffix(want, "s") {
+			t.Fatalf("self-test: name %s should use the standard term %q, want %q", name, got, want)
 		}
 	}
 	for p, b := range files(t) {
 		names, _, err := declared(p, b)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse source file to list its names: %v", err)
 		}
 		for _, name := range names {
-			if term := hides(name); term != "" {
-				t.Errorf("%s: %s hides a standard term: say %s", p, name, term)
+			if term := hiddenTerm(name); term != "" {
+				t.Errorf("%s: name %s must use the standard term %q", p, name, term)
 			}
 		}
 	}
--- a/internal/codecheck/platform_test.go
+++ b/internal/codecheck/platform_test.go
@@ -14,23 +14,24 @@
 	"testing"
 )
 
-// platformLines bounds the sources of platform/, without tests and its command: it holds names,
-// formats and calls, and whatever grows in it belongs in the product.
+// platformLines is the maximum number of source lines in platform/, without its tests and platform/cmd. The package
+// only adapts names, formats and calls of the platform that runs pebbleloom; decisions belong in other packages.
 const platformLines = 1400
 
-// What looks like a name of the platform in a string of platform/: a header, a path, a variable of
-// a process, or a field with an inner capital or underscore.
+// platformName matches strings in platform/ that look like a name of the platform's interface: an HTTP header, a
+// path, an environment variable, or a field name with an inner capital letter or underscore.
 var platformName = regexp.MustCompile(`^(X-[A-Za-z-]+|/[a-z][a-z0-9/-]*|PEBBLELOOM_[A-Z_]+|[a-z]+[a-z0-9]*([A-Z_][A-Za-z0-9]*)+)$`)
 
-// ownNames are those of the product's own interface (docs/contract.md), which had them first; an X- goes
-// before each.
+// ownNames lists, by file, header names that platform/ uses but that pebbleloom's own protocol (docs/contract.md)
+// defined first, so they may occur in that file. The prefix "X-" is omitted.
 var ownNames = map[string][]string{"../../internal/contract/contract.go": {"Kv-Fetch-From", "Kv-Save-To"}}
 
-// words of a string that could be such names; paths are looked for as a whole.
+// nameInString matches the words of a string that could be names of the platform's interface. Paths are matched
+// separately, because they contain slashes.
 var nameInString = regexp.MustCompile(`[A-Za-z][A-Za-z0-9_-]*`)
 
-// literals lists the strings of a file with their places, imports apart. A field's tag counts as
-// the names in it.
+// literals returns the string literals of a file with their positions, except import paths. Of struct tags, it
+// returns the field names for JSON and TOML.
 func literals(file string, src []byte) (map[string][]string, error) {
 	fs := token.NewFileSet()
 	f, err := parser.ParseFile(fs, file, src, 0)
@@ -53,7 +54,7 @@
 					add(node.Pos(), text)
 				}
 			}
-			node.Tag = nil // its names stand already
+			node.Tag = nil // its names were added above; don't visit the tag as a string literal
 		case *ast.BasicLit:
 			if node.Kind == token.STRING {
 				if text, err := strconv.Unquote(node.Value); err == nil {
@@ -66,7 +67,7 @@
 	return positions, nil
 }
 
-// platformNames are those that the sources of platform/ spell out.
+// platformNames returns the names of the platform's interface that occur in the sources of platform/, without tests.
 func platformNames(srcs map[string][]byte) (map[string]bool, error) {
 	names := map[string]bool{}
 	for p, b := range srcs {
@@ -86,13 +87,13 @@
 	return names, nil
 }
 
-// strayNames are the places outside platform/ that know a name of the platform.
-func strayNames(srcs map[string][]byte) ([]string, error) {
+// namesOutsidePlatform lists the places outside platform/ where a name of the platform's interface occurs.
+func namesOutsidePlatform(srcs map[string][]byte) ([]string, error) {
 	names, err := platformNames(srcs)
 	if err != nil {
 		return nil, err
 	}
-	folded := map[string]bool{} // headers are the same in any case
+	folded := map[string]bool{} // header names in lower case, because they are case-insensitive
 	var paths []string
 	for n := range names {
 		if strings.HasPrefix(n, "/") {
@@ -102,7 +103,7 @@
 		}
 	}
 	slices.Sort(paths)
-	slices.Reverse(paths) // the longest first
+	slices.Reverse(paths) // a path before its own prefixes, since the first alternative that matches wins
 	path := regexp.MustCompile(`(?:^|[^a-zA-Z0-9_./-])(` + strings.Join(paths, "|") + `)(?:[^a-zA-Z0-9_/-]|$)`)
 	var stray []string
 	for file, src := range srcs {
@@ -143,27 +144,27 @@
 			"var d = \"PEBBLELOOM_THINGS=1\"\ntype u struct{ B int `json:\"plantedAddr\"`; N int `json:\"name\"` }\n"),
 		"../../internal/x/a_test.go": []byte("package x\nvar a = \"X-Planted-Id: 1\"\nvar ok = \"Content-Type name state /things /things/reports X-Planted-Ids X-Of-Tests plantedAddrs\"\n"),
 	}
-	if stray, err := strayNames(planted); err != nil || len(stray) != 6 {
-		t.Fatalf("the check itself finds %d, %v:\n%s", len(stray), err, strings.Join(stray, "\n"))
+	if stray, err := namesOutsidePlatform(planted); err != nil || len(stray) != 6 {
+		t.Fatalf("self-test: found %d platform names outside platform/, error %v; want 6 and no error:\n%s", len(stray), err, strings.Join(stray, "\n"))
 	}
 	srcs := files(t)
 	names, err := platformNames(srcs)
 	if err != nil || len(names) < 50 {
-		t.Fatalf("only %d names found in platform/ (%v): the check reads it wrong", len(names), err)
+		t.Fatalf("found %d platform names in platform/, error %v; want at least 50, so the search itself is at fault", len(names), err)
 	}
 	for file, stray := range ownNames {
 		for _, name := range stray {
 			if !bytes.Contains(srcs[file], []byte("X-"+name)) || !names["X-"+name] {
-				t.Errorf("%s: %s is no exception any more: take it off the list", file, name)
+				t.Errorf("ownNames lists X-%s for %s, but the name no longer occurs both there and in platform/: remove it from ownNames", name, file)
 			}
 		}
 	}
-	stray, err := strayNames(srcs)
+	stray, err := namesOutsidePlatform(srcs)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("search source files for platform names: %v", err)
 	}
 	for _, s := range stray {
-		t.Errorf("%s: a name of the users' platform: only platform/ knows it; take it as a parameter", s)
+		t.Errorf("%s: name of the platform's interface outside platform/: pass it as a parameter instead", s)
 	}
 }
 
@@ -175,6 +176,6 @@
 		}
 	}
 	if n == 0 || n > platformLines {
-		t.Errorf("platform/ has %d lines of at most %d: what it decides belongs in the product", n, platformLines)
+		t.Errorf("platform/ has %d source lines, want 1 to %d: move decisions to other packages", n, platformLines)
 	}
 }
--- a/internal/codecheck/remaining_test.go
+++ b/internal/codecheck/remaining_test.go
@@ -13,30 +13,30 @@
 	"testing"
 )
 
-// counts are what a folder still holds of what the project no longer writes.
+// counts has the numbers of violations of the naming and size rules in a file or folder.
 type counts struct {
-	withdrawn int // names that hold a word of the earlier house style
-	plain     int // names that hold a plain word where the field may have a term
-	short     int // names of one or two letters that live for over longScope lines
-	texts     int // comments and strings that hold a word of the earlier house style
-	long      int // functions over longestFunction lines
-	bare      int // exported declarations without a doc comment, tests apart
+	withdrawn    int // names that contain a word of the table withdrawn
+	plain        int // names that contain an everyday word of the table plain
+	short        int // local names of one or two letters that are used for more than longScope lines
+	texts        int // comments and strings that contain a word of the table withdrawn
+	long         int // functions of more than longestFunction lines
+	undocumented int // exported declarations without a doc comment, except in tests
 }
 
 const (
 	remainingFile = "testdata/remaining.txt"
-	longScope     = 15 // lines
+	longScope     = 15 // maximum number of lines between definition and last use of a short name
 )
 
-// spelledOut are the files that have to spell withdrawn words out: the lists, the checks of the check
-// itself, and the table of first names.
-var spelledOut = regexp.MustCompile(`/(codecheck/(words|names|remaining)_test|programs/programs)\.go$`)
+// exemptFiles matches the files that must contain withdrawn words: the lists of words, the self-tests of these
+// checks, and the table of the programs' original names.
+var exemptFiles = regexp.MustCompile(`/(codecheck/(words|names|remaining)_test|programs/programs)\.go$`)
 
-// customary are the short names that every Go programmer reads without a pause.
-var customary = map[string]bool{"ok": true, "t": true, "b": true, "i": true, "wg": true, "mu": true, "ip": true, "id": true, "tt": true, "tc": true}
+// conventionalNames lists the short names that are customary in Go, so that their scope may be long.
+var conventionalNames = map[string]bool{"ok": true, "t": true, "b": true, "i": true, "wg": true, "mu": true, "ip": true, "id": true, "tt": true, "tc": true}
 
-// longLived lists the names of one or two letters whose last use in a function lies more than longScope
-// lines below their definition. Receivers don't count.
+// longLived lists the names of one or two letters whose last use in a function is more than longScope lines below
+// their definition. Receivers and conventionalNames are skipped.
 func longLived(set *token.FileSet, f *ast.FuncDecl) (found []string) {
 	if f.Body == nil {
 		return nil
@@ -47,7 +47,7 @@
 	}
 	first, last := map[string]token.Pos{}, map[string]token.Pos{}
 	for _, n := range definedIn(f) {
-		if len(n.Name) <= 2 && n.Name != "_" && !customary[n.Name] && n.Name != receiver && first[n.Name] == 0 {
+		if len(n.Name) <= 2 && n.Name != "_" && !conventionalNames[n.Name] && n.Name != receiver && first[n.Name] == 0 {
 			first[n.Name] = n.Pos()
 		}
 	}
@@ -65,7 +65,7 @@
 	return found
 }
 
-// countFile adds up what one file holds.
+// countFile counts the violations in one file.
 func countFile(file string, src []byte) (count counts, err error) {
 	set := token.NewFileSet()
 	parsed, err := parser.ParseFile(set, file, src, parser.ParseComments)
@@ -83,23 +83,24 @@
 	}
 	count.long = len(longFunctions(set, parsed))
 	if !strings.HasSuffix(file, "_test.go") {
-		count.bare = len(undocumented(parsed))
+		count.undocumented = len(undocumented(parsed))
 	}
-	count.texts = len(textsWithWithdrawn(set, parsed)) // last: it drops the fields' tags
+	count.texts = len(textsWithWithdrawn(set, parsed)) // must be the last check, because it removes the struct tags from the syntax tree
 	return count, nil
 }
 
-// plus adds two folders' or files' counts up.
-func (c counts) plus(o counts) counts {
-	return counts{c.withdrawn + o.withdrawn, c.plain + o.plain, c.short + o.short, c.texts + o.texts, c.long + o.long, c.bare + o.bare}
+// add returns the sums of two sets of counts.
+func (c counts) add(o counts) counts {
+	return counts{c.withdrawn + o.withdrawn, c.plain + o.plain, c.short + o.short, c.texts + o.texts, c.long + o.long, c.undocumented + o.undocumented}
 }
 
-// remaining reads what each folder may still hold. A folder that isn't listed holds nothing.
-func remaining(t *testing.T) map[string]counts {
+// readAllowedCounts reads the number of violations that each folder may have from testdata/remaining.txt. A folder
+// that isn't listed may have none.
+func readAllowedCounts(t *testing.T) map[string]counts {
 	t.Helper()
 	raw, err := os.ReadFile(remainingFile)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the allowed numbers of violations: %v", err)
 	}
 	allowed := map[string]counts{}
 	for line := range strings.Lines(string(raw)) {
@@ -108,80 +109,80 @@
 		}
 		var folder string
 		var c counts
-		if _, err := fmt.Sscan(line, &folder, &c.withdrawn, &c.plain, &c.short, &c.texts, &c.long, &c.bare); err != nil {
-			t.Fatalf("%s: %q: %v", remainingFile, line, err)
+		if _, err := fmt.Sscan(line, &folder, &c.withdrawn, &c.plain, &c.short, &c.texts, &c.long, &c.undocumented); err != nil {
+			t.Fatalf("%s: line %q isn't a folder and six numbers: %v", remainingFile, line, err)
 		}
 		allowed[folder] = c
 	}
 	return allowed
 }
 
-// measured counts what each folder holds.
-func measured(t *testing.T) map[string]counts {
+// countFolders counts the violations in the files of each folder.
+func countFolders(t *testing.T) map[string]counts {
 	t.Helper()
 	found := map[string]counts{}
 	for file, src := range files(t) {
-		if spelledOut.MatchString(file) {
+		if exemptFiles.MatchString(file) {
 			continue
 		}
 		c, err := countFile(file, src)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse source file to count violations of the naming rules: %v", err)
 		}
-		found[folderOf(file)] = found[folderOf(file)].plus(c)
+		found[folderOf(file)] = found[folderOf(file)].add(c)
 	}
 	return found
 }
 
-// The check itself counts what is planted, each kind apart.
+// Self-test of countFile: it counts each kind of violation in test sources with known violations.
 func TestWhatIsCounted(t *testing.T) {
 	long := strings.Repeat("\t_ = 1\n", longScope)
 	for name, c := range map[string]struct {
 		src  string
 		want counts
 	}{
-		"clean":                   {"package x\n\n// A peer is a member.\nvar peer, Client, recab, cabinet int\n", counts{}},
-		"withdrawn names":         {"package x\ntype shelf struct{ cab int }\nvar v = func(owner int) {}\nfunc tell(desk int) (told error) {\n\tlife := 1\n\tfor duty, x := range y { z, heed := 1, 2 }\n\tvar yard int\nroster:\n\tfares = peer\n}\n", counts{withdrawn: 11}},
-		"withdrawn, in words":     {"package x\nvar colleagueOf, DistrictName, askTold, Picked int\n", counts{withdrawn: 4, bare: 2}},
-		"plain words":             {"package x\ntype fate int\nfunc suits() (mishap error) { belief := 1; return }\n", counts{plain: 4}},
-		"a short name lives long": {"package x\nfunc f() {\n\tq := 1\n" + long + "\t_ = q\n}\n", counts{short: 1}},
-		"a short name of few":     {"package x\nfunc f() {\n\tq := 1\n" + long[7:] + "\t_ = q\n}\n", counts{}},
-		"a receiver":              {"package x\nfunc (q T) f() {\n" + long + "\t_ = q\n}\n", counts{}},
-		"texts":                   {"package x\n\n// A colleague is told.\nimport \"pebbleloom/internal/sim/yard\"\n\nvar a = \"no district answers\"\nvar b = []string{\"district\", \"archive/core-1\", \"a client\", \"the desk is closed\", \"a setup in force\"}\n", counts{texts: 4}},
+		"no violation":                            {"package x\n\n// A peer is a member.\nvar peer, Client, recab, cabinet int\n", counts{}},
+		"withdrawn words as names":                {"package x\ntype shelf struct{ cab int }\nvar v = func(owner int) {}\nfunc tell(desk int) (told error) {\n\tlife := 1\n\tfor duty, x := range y { z, heed := 1, 2 }\n\tvar yard int\nroster:\n\tfares = peer\n}\n", counts{withdrawn: 11}},
+		"withdrawn words as parts of names":       {"package x\nvar colleagueOf, DistrictName, askTold, Picked int\n", counts{withdrawn: 4, undocumented: 2}},
+		"everyday words as names":                 {"package x\ntype fate int\nfunc suits() (mishap error) { belief := 1; return }\n", counts{plain: 4}},
+		"short name with a long scope":            {"package x\nfunc f() {\n\tq := 1\n" + long + "\t_ = q\n}\n", counts{short: 1}},
+		"short name with a short scope":           {"package x\nfunc f() {\n\tq := 1\n" + long[7:] + "\t_ = q\n}\n", counts{}},
+		"short name of a receiver":                {"package x\nfunc (q T) f() {\n" + long + "\t_ = q\n}\n", counts{}},
+		"withdrawn words in comments and strings": {"package x\n\n// A colleague is told.\nimport \"pebbleloom/internal/sim/yard\"\n\nvar a = \"no district answers\"\nvar b = []string{\"district\", \"archive/core-1\", \"a client\", \"the desk is closed\", \"a setup in force\"}\n", counts{texts: 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := countFile("x.go", []byte(c.src)); err != nil || got != c.want {
-				t.Errorf("counts %+v, want %+v; %v", got, c.want, err)
+				t.Errorf("violations counted in the test source: %+v, error %v; want %+v and no error", got, err, c.want)
 			}
 		})
 	}
 }
 
-// Each folder holds exactly what the table says: none of it comes back, and the numbers only fall. A
-// folder that isn't in the table, a new one among them, is clean.
+// Each folder has exactly the numbers of violations that testdata/remaining.txt lists, so that the numbers can only
+// decrease over time. A folder that isn't listed, such as a new one, must have none.
 func TestWhatRemainsOnlyShrinks(t *testing.T) {
-	allowed, found := remaining(t), measured(t)
+	allowed, found := readAllowedCounts(t), countFolders(t)
 	for _, folder := range slices.Sorted(maps.Keys(found)) {
 		if got, want := found[folder], allowed[folder]; got != want {
-			t.Errorf("%s %s: the table says %s (%s): mend what has grown, write the smaller number into %s where one has fallen", folder, got, want, columns, remainingFile)
+			t.Errorf("folder %s has violations %s, want %s as listed in %s (columns: %s): fix new violations, and lower the listed number where there are fewer", folder, got, want, remainingFile, columns)
 		}
 	}
 	for folder := range allowed {
 		if _, there := found[folder]; !there {
-			t.Errorf("%s: no such folder: take it off %s", folder, remainingFile)
+			t.Errorf("folder %s has no source files: remove it from %s", folder, remainingFile)
 		}
 	}
 }
 
-// columns are the table's, as String writes them.
+// columns describes the numbers in a line of testdata/remaining.txt, in the order in which counts.String writes them.
 const columns = "withdrawn names, plain names, short names, texts, long functions, undocumented"
 
-// String writes the counts as the table does.
+// String formats the counts as a line of testdata/remaining.txt does, without the folder.
 func (c counts) String() string {
-	return fmt.Sprint(c.withdrawn, c.plain, c.short, c.texts, c.long, c.bare)
+	return fmt.Sprint(c.withdrawn, c.plain, c.short, c.texts, c.long, c.undocumented)
 }
 
-// statusTable is what docs/status.md has to say of what is left.
+// statusTable formats the allowed numbers of violations as the rows of the Markdown table in docs/status.md.
 func statusTable(allowed map[string]counts) string {
 	var b strings.Builder
 	for _, folder := range slices.Sorted(maps.Keys(allowed)) {
@@ -190,17 +191,18 @@
 	return b.String()
 }
 
-// The page says what is left as the table does, and the table is checked above.
+// The table in docs/status.md has the same numbers as testdata/remaining.txt, which TestWhatRemainsOnlyShrinks checks
+// against the sources.
 func TestStatusSaysWhatIsLeft(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/status.md")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the status page: %v", err)
 	}
 	_, page, _ := strings.Cut(string(raw), "## Names: what is left\n")
 	page, _, _ = strings.Cut(page, "\n## ")
 	_, table, _ := strings.Cut(page, "| --- | --- | --- | --- | --- | --- | --- |\n")
 	table, _, _ = strings.Cut(table, "\n\n")
-	if want := statusTable(remaining(t)); table+"\n" != want {
-		t.Errorf("docs/status.md, names that are left: write\n%s", want)
+	if want := statusTable(readAllowedCounts(t)); table+"\n" != want {
+		t.Errorf("docs/status.md, section %q: the table differs from %s, want these rows:\n%s", "Names: what is left", remainingFile, want)
 	}
 }
--- a/internal/codecheck/rules_test.go
+++ b/internal/codecheck/rules_test.go
@@ -1,4 +1,5 @@
-// Package codecheck checks the project's rules that a reader can't be trusted to keep in mind.
+// Package codecheck contains tests that check the project's rules for source code, such as the size of files and
+// functions, naming, doc comments and the use of the wall clock.
 package codecheck
 
 import (
@@ -15,17 +16,18 @@
 	"testing"
 )
 
-// files are the sources that people write, by path; they are read once for all checks, which change none.
+// files returns the contents of all Go files that aren't generated, by path relative to this package. They are read
+// once and shared by all checks, which must not modify them.
 func files(t *testing.T) map[string][]byte {
 	t.Helper()
-	m, err := sources()
+	contents, err := sources()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the repository's Go files: %v", err)
 	}
-	if len(m) < 30 {
-		t.Fatalf("only %d files found: the check looks at the wrong folder", len(m))
+	if len(contents) < 30 {
+		t.Fatalf("found %d Go files in ../.., want at least 30: is it the repository's root?", len(contents))
 	}
-	return m
+	return contents
 }
 
 var sources = sync.OnceValues(func() (map[string][]byte, error) {
@@ -55,17 +57,18 @@
 
 func TestNoFileOver400Lines(t *testing.T) {
 	if !tooLong(bytes.Repeat([]byte("x\n"), 401)) || tooLong(bytes.Repeat([]byte("x\n"), 400)) {
-		t.Fatal("the check itself can't distinguish 401 lines from 400")
+		t.Fatal("self-test: tooLong must report a file of 401 lines and accept one of 400")
 	}
 	for p, b := range files(t) {
 		if tooLong(b) {
-			t.Errorf("%s: over 400 lines: split it", p)
+			t.Errorf("%s has %d lines, want at most 400: split the file", p, bytes.Count(b, []byte("\n")))
 		}
 	}
 }
 
-// bare lists the public functions whose comment has no example.
-func bare(name string, src []byte) ([]string, error) {
+// withoutExample lists the exported functions of a file, and exported methods of exported types, whose doc comment
+// has no "Example:" line. Functions of commands (package main) need none.
+func withoutExample(name string, src []byte) ([]string, error) {
 	f, err := parser.ParseFile(token.NewFileSet(), name, src, parser.ParseComments)
 	if err != nil {
 		return nil, err
@@ -84,25 +87,26 @@
 }
 
 func TestPublicFunctionsHaveExamples(t *testing.T) {
-	if l, err := bare("x.go", []byte("package x\n// A does.\nfunc A() {}\n// B does.\n//\n// Example: B()\nfunc B() {}\n")); err != nil || len(l) != 1 || l[0] != "A" {
-		t.Fatalf("the check itself finds %v, %v", l, err)
+	if l, err := withoutExample("x.go", []byte("package x\n// A does.\nfunc A() {}\n// B does.\n//\n// Example: B()\nfunc B() {}\n")); err != nil || len(l) != 1 || l[0] != "A" {
+		t.Fatalf("self-test: functions without an example: %q, error %v; want only A", l, err)
 	}
 	for p, b := range files(t) {
 		if strings.HasSuffix(p, "_test.go") {
 			continue
 		}
-		l, err := bare(p, b)
+		l, err := withoutExample(p, b)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse source file to find functions without an example: %v", err)
 		}
 		for _, n := range l {
-			t.Errorf("%s: %s: its comment needs a line `Example: …`", p, n)
+			t.Errorf("%s: doc comment of %s has no line `Example: …`", p, n)
 		}
 	}
 }
 
-// wall lists where a file asks for the wall clock.
-func wall(name string, src []byte) ([]string, error) {
+// wallClockCalls lists the positions in a file where the wall clock is read: time.Now, time.Since, time.Until and
+// calls of a method named Wall.
+func wallClockCalls(name string, src []byte) ([]string, error) {
 	fs := token.NewFileSet()
 	f, err := parser.ParseFile(fs, name, src, 0)
 	if err != nil {
@@ -115,7 +119,7 @@
 				l = append(l, fs.Position(s.Pos()).String())
 			}
 		}
-		if c, ok := n.(*ast.CallExpr); ok { // nor by way of the seam that programs take at their start
+		if c, ok := n.(*ast.CallExpr); ok { // also calls of the injected wall clock, which programs receive at startup
 			if s, ok := c.Fun.(*ast.SelectorExpr); ok && s.Sel.Name == "Wall" {
 				l = append(l, fs.Position(c.Pos()).String())
 			}
@@ -125,23 +129,23 @@
 	return l, nil
 }
 
-// Decisions are made by clock.Clock. The wall clock is asked only by simulators, by the
-// command line's records, by a core machine that reports its own, and by the clock for tests.
+// Decisions must depend on clock.Clock, because the wall clock can be set forwards or back. Only simulators, the
+// records of the command line, control nodes that report their wall clock, and the clock packages may read it.
 func TestNoDecisionByTheWallClock(t *testing.T) {
-	if l, err := wall("x.go", []byte("package x\nimport \"time\"\nvar a = time.Now()\nvar b = x.Wall()\n")); err != nil || len(l) != 2 {
-		t.Fatalf("the check itself finds %v, %v", l, err)
+	if l, err := wallClockCalls("x.go", []byte("package x\nimport \"time\"\nvar a = time.Now()\nvar b = x.Wall()\n")); err != nil || len(l) != 2 {
+		t.Fatalf("self-test: reads of the wall clock found at %q, error %v; want 2 positions", l, err)
 	}
 	allowed := regexp.MustCompile(`/internal/sim/(workersim|storesim|appservicesim|platformsim|loadgen|testbed|clustersim)/|/internal/(clock/clock|cli/runbook|control/controlstate/node|daemon/environment)\.go$`)
 	for p, b := range files(t) {
 		if strings.HasSuffix(p, "_test.go") || allowed.MatchString(p) {
 			continue
 		}
-		l, err := wall(p, b)
+		l, err := wallClockCalls(p, b)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse source file to find reads of the wall clock: %v", err)
 		}
 		for _, x := range l {
-			t.Errorf("%s: asks the wall clock: use clock.Clock", x)
+			t.Errorf("%s: read of the wall clock in a package that must use clock.Clock", x)
 		}
 	}
 }
--- a/internal/codecheck/words_test.go
+++ b/internal/codecheck/words_test.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// withdrawn are words of our earlier house style, beside the field's term for each.
+// withdrawn lists words that the project no longer uses in names, comments and strings, each with the standard term
+// to use instead.
 var withdrawn = map[string]string{
 	"downstream": "client", "downstreams": "clients", "district": "zone", "districts": "zones",
 	"colleague": "peer", "colleagues": "peers", "deny": "reject", "denied": "rejected", "denies": "rejects", "denial": "rejection",
@@ -21,9 +22,9 @@
 	"life": "incarnation or runtime", "lives": "incarnations", "heed": "apply", "duty": "lease or controller", "duties": "leases or controllers",
 }
 
-// plain are everyday words that the users' pages use for concepts which the field has terms for, beside
-// these terms. Some are right in another sense (a round of a search, a cut of a log): each use is read
-// before it is renamed, so the table of what is left counts them and may only fall.
+// plain lists everyday words that the documentation for users has for concepts with a standard term, each with that
+// term. Some are right in another sense (a round of a search, a cut of a log), so they aren't forbidden:
+// testdata/remaining.txt has the number of names with such words in each folder, which may only decrease.
 var plain = map[string]string{
 	"whole": "complete", "held": "pending, in flight, reserved", "tries": "attempts", "mishap": "fault", "trouble": "fault", "troubles": "faults",
 	"ill": "unhealthy", "sick": "unhealthy", "beat": "heartbeat", "beats": "heartbeats", "news": "update", "word": "update", "keeper": "lease holder",
@@ -43,27 +44,27 @@
 	"maybe": "presumed", "sure": "confirmed",
 }
 
-// hiding words are ones of our own making where the field has a standard term.
+// hiding lists words that must not replace a standard term in a declared name, each with that term.
 var hiding = map[string]string{"expiry": "deadline", "expiries": "deadlines", "expire": "deadline", "expires": "deadline",
 	"epoch": "version", "epochs": "version", "way": "route", "ways": "routes", "goes": "attempts"}
 
-// wireForms are the places where a withdrawn word has to stand in a comment or a string: names that
-// mixed releases, operators' scripts and stored data share.
+// wireForms matches the uses of withdrawn words that can't change, in comments and strings: names on which other
+// releases, operators' scripts and stored data depend.
 var wireForms = regexp.MustCompile(strings.Join([]string{
-	`"(archive|catalogue|appraiser|dispatcher|district|setup|tell|owns|not-owner)"`,                       // roles, fields of settings and JSON, states, outcomes
-	`\b(archive|catalogue|appraiser|dispatcher)/`,                                                         // names of nodes
-	"`(district|setup [a-z]+)", `--district\b`, `\bx\.json: district\b`, `\bsetup_ms\b`, `\\tDISTRICT\\t`, // settings, flags, a column
-	`\bsetup (get|apply|patch|validate|render|diff|fly)\b`, // first names of commands
+	`"(archive|catalogue|appraiser|dispatcher|district|setup|tell|owns|not-owner)"`,                       // roles, names of settings and JSON fields, states, outcomes
+	`\b(archive|catalogue|appraiser|dispatcher)/`,                                                         // prefixes of node names, such as archive/core-1
+	"`(district|setup [a-z]+)", `--district\b`, `\bx\.json: district\b`, `\bsetup_ms\b`, `\\tDISTRICT\\t`, // settings, command-line flags, and a column of the command line's output
+	`\bsetup (get|apply|patch|validate|render|diff|fly)\b`, // original names of commands, which still work
 	`/v1/setup\b`, `\.setup\b`, `\btestdata/setups\b`, `\bpebbleloom_(denied_total|setup_epoch)\b`,
-	`\b(patch-setup|no-setup|setup-wrong|duties-unheld|duties of the)\b`,                              // kinds of problems, actions, names of facts and runbooks
-	`\b(New)?(Archive|Catalogue|Roster)(PathPrefix|Server|ProtobufClient)\b`, `\b(Get|Change)Setup\b`, // generated from the services on the wire
+	`\b(patch-setup|no-setup|setup-wrong|duties-unheld|duties of the)\b`,                              // kinds of problems, actions, and names of facts and runbooks in operators' reports
+	`\b(New)?(Archive|Catalogue|Roster)(PathPrefix|Server|ProtobufClient)\b`, `\b(Get|Change)Setup\b`, // Go names generated from the RPC services and the OpenAPI documents
 }, "|"))
 
-// textsWithWithdrawn lists the comments and strings of a file that hold a withdrawn word. Imports and
-// fields' tags don't count.
+// textsWithWithdrawn lists the comments and strings of a file that contain a withdrawn word other than in the forms that
+// wireForms allows. Import paths and struct tags are skipped. It removes the struct tags from the syntax tree.
 func textsWithWithdrawn(set *token.FileSet, parsed *ast.File) (found []string) {
 	check := func(at token.Pos, text string) {
-		if holdsWithdrawn(text) && holdsWithdrawn(wireForms.ReplaceAllString(text, "")) {
+		if containsWithdrawn(text) && containsWithdrawn(wireForms.ReplaceAllString(text, "")) {
 			found = append(found, set.Position(at).String()+": "+text)
 		}
 	}
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -75,17 +75,17 @@
 
 type controlNodeServer struct{ ControlNode }
 
-// Post serves calls of Archive.Post, the name of Deliver in the .proto file.
+// Post serves the RPC method that is named Post in the .proto file and Deliver in Go.
 func (s controlNodeServer) Post(ctx context.Context, batch *MessageBatch) (*BatchReceipt, error) {
 	return s.Deliver(ctx, batch)
 }
 
-// News serves calls of Archive.News, the name of Watch in the .proto file.
+// News serves the RPC method that is named News in the .proto file and Watch in Go.
 func (s controlNodeServer) News(ctx context.Context, request *WatchRequest) (*WatchResponse, error) {
 	return s.Watch(ctx, request)
 }
 
-// Stand serves calls of Archive.Stand, the name of Status in the .proto file.
+// Stand serves the RPC method that is named Stand in the .proto file and Status in Go.
 func (s controlNodeServer) Stand(ctx context.Context, request *StatusRequest) (*StatusResponse, error) {
 	return s.Status(ctx, request)
 }
@@ -118,7 +118,7 @@
 
 type membershipServer struct{ member Membership }
 
-// Hear serves calls of Roster.Hear, the name of Exchange in the .proto file.
+// Hear serves the RPC method that is named Hear in the .proto file and Exchange in Go.
 func (s membershipServer) Hear(ctx context.Context, heartbeat *Heartbeat) (*Heartbeat, error) {
 	return s.member.Exchange(ctx, heartbeat)
 }
@@ -153,7 +153,7 @@
 
 type promptIndexServer struct{ PromptIndex }
 
-// Seek serves calls of Catalogue.Seek, the name of Lookup in the .proto file.
+// Seek serves the RPC method that is named Seek in the .proto file and Lookup in Go.
 func (s promptIndexServer) Seek(ctx context.Context, request *LookupRequest) (*LookupResponse, error) {
 	return s.Lookup(ctx, request)
 }
