--- a/internal/codecheck/names_test.go
+++ b/internal/codecheck/names_test.go
@@ -76,7 +76,7 @@
 
 var identifierWord = regexp.MustCompile(`[A-Z]+[a-z0-9]*|[a-z][a-z0-9]*`)
 
-// hiddenTerm returns the standard term that a name should use instead of a word of the table hiding, or "". The
+// hiddenTerm returns the standard term that a name should use instead of a word that the map hiding lists, or "". The
 // words "one way" (a direction of a link) are allowed, as is "goes" in the names of tests, which are sentences.
 func hiddenTerm(name string) string {
 	ws := identifierWord.FindAllString(name, -1)
@@ -99,7 +99,7 @@
 	return strings.TrimPrefix(path.Dir(strings.TrimPrefix(file, "../../")), "internal/")
 }
 
-// plainIn lists the names that contain an everyday word of the table plain.
+// plainIn lists the names that contain an everyday word for which the map plain lists a standard term.
 func plainIn(names []string) (found []string) {
 	for _, n := range names {
 		if slices.ContainsFunc(identifierWord.FindAllString(n, -1), func(w string) bool { return plain[strings.ToLower(w)] != "" }) {
@@ -109,7 +109,7 @@
 	return found
 }
 
-// withdrawnIn lists the names that contain a word of the table withdrawn.
+// withdrawnIn lists the names that contain a word that the project no longer uses (map withdrawn).
 func withdrawnIn(names []string) (found []string) {
 	for _, n := range names {
 		if containsWithdrawn(n) {
@@ -124,7 +124,7 @@
 }
 
 // Names outside function bodies use the standard terms attempt, route, timer, deadline and version, and not the
-// project's former words for them (table hiding).
+// project's former words for them, which the map hiding lists.
 func TestNoNameHidesAStandardTerm(t *testing.T) {
 	for name, want := range map[string]string{"Epoch": "version", "haveEpoch": "version", "nextWay": "route", "ways": "route", "KeyExpiry": "deadline",
 		"clockEvents": "timer", "goes": "attempts", "TestPlanGoes": "", "oneWay": "", "cutOneWay": "", "TestEpoch": "version", "always": "", "Gateway": "", "Go": "", "ongoing": "", "clock": ""} {
--- a/internal/codecheck/remaining_test.go
+++ b/internal/codecheck/remaining_test.go
@@ -15,10 +15,10 @@
 
 // counts has the numbers of violations of the naming and size rules in a file or folder.
 type counts struct {
-	withdrawn    int // names that contain a word of the table withdrawn
-	plain        int // names that contain an everyday word of the table plain
+	withdrawn    int // names that contain a word that the project no longer uses (map withdrawn)
+	plain        int // names that contain an everyday word for which there may be a standard term (map plain)
 	short        int // local names of one or two letters that are used for more than longScope lines
-	texts        int // comments and strings that contain a word of the table withdrawn
+	texts        int // comments and strings that contain a word that the project no longer uses
 	long         int // functions of more than longestFunction lines
 	undocumented int // exported declarations without a doc comment, except in tests
 }
@@ -28,7 +28,7 @@
 	longScope     = 15 // maximum number of lines between definition and last use of a short name
 )
 
-// exemptFiles matches the files that must contain withdrawn words: the lists of words, the self-tests of these
+// exemptFiles matches the files that must contain words that the project no longer uses elsewhere: the lists of words, the self-tests of these
 // checks, and the table of the programs' original names.
 var exemptFiles = regexp.MustCompile(`/(codecheck/(words|names|remaining)_test|programs/programs)\.go$`)
 
--- a/internal/codecheck/rules_test.go
+++ b/internal/codecheck/rules_test.go
@@ -129,8 +129,9 @@
 	return l, nil
 }
 
-// Decisions must depend on clock.Clock, because the wall clock can be set forwards or back. Only simulators, the
-// records of the command line, control nodes that report their wall clock, and the clock packages may read it.
+// Decisions must depend on clock.Clock, because the wall clock can be set forwards or back. Only these may read it:
+// simulators, the records of the command line, control nodes that report their wall clock, the clock for tests, and
+// the code that creates a process's clocks.
 func TestNoDecisionByTheWallClock(t *testing.T) {
 	if l, err := wallClockCalls("x.go", []byte("package x\nimport \"time\"\nvar a = time.Now()\nvar b = x.Wall()\n")); err != nil || len(l) != 2 {
 		t.Fatalf("self-test: reads of the wall clock found at %q, error %v; want 2 positions", l, err)
--- a/internal/codecheck/words_test.go
+++ b/internal/codecheck/words_test.go
@@ -48,20 +48,20 @@
 var hiding = map[string]string{"expiry": "deadline", "expiries": "deadlines", "expire": "deadline", "expires": "deadline",
 	"epoch": "version", "epochs": "version", "way": "route", "ways": "routes", "goes": "attempts"}
 
-// wireForms matches the uses of withdrawn words that can't change, in comments and strings: names on which other
+// wireForms matches the uses of withdrawn words in comments and strings that can't change: names on which other
 // releases, operators' scripts and stored data depend.
 var wireForms = regexp.MustCompile(strings.Join([]string{
 	`"(archive|catalogue|appraiser|dispatcher|district|setup|tell|owns|not-owner)"`,                       // roles, names of settings and JSON fields, states, outcomes
 	`\b(archive|catalogue|appraiser|dispatcher)/`,                                                         // prefixes of node names, such as archive/core-1
 	"`(district|setup [a-z]+)", `--district\b`, `\bx\.json: district\b`, `\bsetup_ms\b`, `\\tDISTRICT\\t`, // settings, command-line flags, and a column of the command line's output
-	`\bsetup (get|apply|patch|validate|render|diff|fly)\b`, // original names of commands, which still work
+	`\bsetup (get|apply|patch|validate|render|diff|fly)\b`, // original names of commands, which operators' scripts use
 	`/v1/setup\b`, `\.setup\b`, `\btestdata/setups\b`, `\bpebbleloom_(denied_total|setup_epoch)\b`,
 	`\b(patch-setup|no-setup|setup-wrong|duties-unheld|duties of the)\b`,                              // kinds of problems, actions, and names of facts and runbooks in operators' reports
 	`\b(New)?(Archive|Catalogue|Roster)(PathPrefix|Server|ProtobufClient)\b`, `\b(Get|Change)Setup\b`, // Go names generated from the RPC services and the OpenAPI documents
 }, "|"))
 
-// textsWithWithdrawn lists the comments and strings of a file that contain a withdrawn word other than in the forms that
-// wireForms allows. Import paths and struct tags are skipped. It removes the struct tags from the syntax tree.
+// textsWithWithdrawn lists the comments and strings of a file that contain a withdrawn word (map withdrawn), other than
+// in the forms that wireForms allows. Import paths and struct tags are skipped. It removes the struct tags from the syntax tree.
 func textsWithWithdrawn(set *token.FileSet, parsed *ast.File) (found []string) {
 	check := func(at token.Pos, text string) {
 		if containsWithdrawn(text) && containsWithdrawn(wireForms.ReplaceAllString(text, "")) {
--- a/internal/contract/backends.go
+++ b/internal/contract/backends.go
@@ -26,11 +26,11 @@
 
 // Limits on the connections to one address, and on the size of responses.
 const (
-	maxIdleStates     = 4        // idle connections for GET calls
-	maxIdleStarts     = 16       // idle connections for starting requests
-	maxConnections    = 128      // open connections, separately for GET calls and for starting requests
-	maxResponseBytes  = 32 << 20 // longer responses are truncated, and then fail to decode
-	maxRejectionBytes = 4 << 10  // of a response that rejects a start request
+	maxIdleStates     = 4        // maximum idle connections for GET calls
+	maxIdleStarts     = 16       // maximum idle connections for starting requests
+	maxConnections    = 128      // maximum open connections, counted separately for GET calls and for starting requests
+	maxResponseBytes  = 32 << 20 // maximum size of a response; a longer one is truncated, and then fails to decode
+	maxRejectionBytes = 4 << 10  // maximum size of a response that rejects a start request
 )
 
 // NewBackends returns a client that opens its connections with dial.
--- a/internal/contract/state.go
+++ b/internal/contract/state.go
@@ -13,11 +13,11 @@
 	Queued             int           `json:"queued"`
 	Draining           bool          `json:"draining"`
 	FencingToken       uint64        `json:"fence"`
-	ClockUs            int64         `json:"clock_us"` // reading of its machine's monotonic clock, which also counts time in suspend; µs
+	ClockUs            int64         `json:"clock_us"` // reading of the worker machine's monotonic clock in microseconds, including time in suspend
 	KVTokens           int           `json:"kv_tokens"`
 	KVCapacity         int           `json:"kv_room"`           // capacity of the KV cache in tokens
 	Loaded             []LoadedModel `json:"loaded,omitempty"`  // models in memory; empty: only Model with version Weights
-	Loading            string        `json:"loading,omitempty"` // model or adapter that is being loaded; empty: none
+	Loading            string        `json:"loading,omitempty"` // name of the model or adapter that is being loaded; empty: none
 	WeightMemoryMB     int           `json:"room,omitempty"`    // total memory for model weights; 0: unknown
 	FreeWeightMemoryMB int           `json:"free,omitempty"`
 }
@@ -54,8 +54,8 @@
 	Removed []string       `json:"gone,omitempty"` // keys of the prefixes that were evicted
 }
 
-// CacheReports has the changes of a worker's cache after the number that the reader asked for or, if Complete is
-// set, all prefixes in the cache.
+// CacheReports is a worker's response with the changes of its cache after the number that the client
+// asked for or, if Complete is set, with all prefixes in the cache.
 type CacheReports struct {
 	Incarnation string         `json:"incarnation"`
 	Number      uint64         `json:"number"` // number of the latest change that is included
--- a/internal/contract/stream.go
+++ b/internal/contract/stream.go
@@ -7,7 +7,7 @@
 	"fmt"
 )
 
-// MaxLineBytes is the maximum length of one line of a response stream.
+// MaxLineBytes is the maximum length in bytes of one line of a response stream.
 const MaxLineBytes = 64 << 10
 
 // Chunk is one line of a response stream. The last line has no text; it carries the checksum over the stream
--- a/internal/control/mutation/mutation_test.go
+++ b/internal/control/mutation/mutation_test.go
@@ -95,8 +95,8 @@
 	return overlayFile
 }
 
-// Each injected fault makes the test that the mutant names fail. This test doesn't check that the named test
-// passes without the fault: the regular run of the test suite does.
+// Each injected fault makes the mutant's test fail. That this test passes without the fault isn't checked here,
+// but by the regular run of the test suite.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	if len(mutants) == 0 {
 		t.Fatal("the list of mutants is empty, want at least one")
