--- a/internal/codecheck/names_test.go
+++ b/internal/codecheck/names_test.go
@@ -79,16 +79,16 @@
 // hiddenTerm returns the standard term that a name should use instead of a word that the map hiding lists, or "". The
 // words "one way" (a direction of a link) are allowed, as is "goes" in the names of tests, which are sentences.
 func hiddenTerm(name string) string {
-	ws := identifierWord.FindAllString(name, -1)
-	for i, w := range ws {
+	words := identifierWord.FindAllString(name, -1)
+	for i, w := range words {
 		w = strings.ToLower(w)
-		if w == "way" && i > 0 && strings.EqualFold(ws[i-1], "one") || w == "goes" && ws[0] == "Test" {
+		if w == "way" && i > 0 && strings.EqualFold(words[i-1], "one") || w == "goes" && words[0] == "Test" {
 			continue
 		}
 		if t := hiding[w]; t != "" {
 			return t
 		}
-		if w == "clock" && i+1 < len(ws) && strings.HasPrefix(strings.ToLower(ws[i+1]), "event") {
+		if w == "clock" && i+1 < len(words) && strings.HasPrefix(strings.ToLower(words[i+1]), "event") {
 			return "timer"
 		}
 	}
@@ -132,14 +132,14 @@
 			t.Fatalf("self-test: name %s should use the standard term %q, want %q", name, got, want)
 		}
 	}
-	for p, b := range files(t) {
-		names, _, err := declared(p, b)
+	for file, src := range files(t) {
+		names, _, err := declared(file, src)
 		if err != nil {
 			t.Fatalf("parse source file to list its names: %v", err)
 		}
 		for _, name := range names {
 			if term := hiddenTerm(name); term != "" {
-				t.Errorf("%s: name %s must use the standard term %q", p, name, term)
+				t.Errorf("%s: name %s must use the standard term %q", file, name, term)
 			}
 		}
 	}
--- a/internal/codecheck/platform_test.go
+++ b/internal/codecheck/platform_test.go
@@ -70,17 +70,17 @@
 // platformNames returns the names of the platform's interface that occur in the sources of platform/, without tests.
 func platformNames(srcs map[string][]byte) (map[string]bool, error) {
 	names := map[string]bool{}
-	for p, b := range srcs {
-		if !strings.HasPrefix(p, "../../platform/") || strings.HasSuffix(p, "_test.go") {
+	for file, src := range srcs {
+		if !strings.HasPrefix(file, "../../platform/") || strings.HasSuffix(file, "_test.go") {
 			continue
 		}
-		l, err := literals(p, b)
+		positions, err := literals(file, src)
 		if err != nil {
 			return nil, err
 		}
-		for s := range l {
-			if s, _, _ = strings.Cut(s, "?"); platformName.MatchString(s) {
-				names[s] = true
+		for text := range positions {
+			if text, _, _ = strings.Cut(text, "?"); platformName.MatchString(text) {
+				names[text] = true
 			}
 		}
 	}
@@ -152,8 +152,8 @@
 	if err != nil || len(names) < 50 {
 		t.Fatalf("found %d platform names in platform/, error %v; want at least 50, so the search itself is at fault", len(names), err)
 	}
-	for file, stray := range ownNames {
-		for _, name := range stray {
+	for file, headers := range ownNames {
+		for _, name := range headers {
 			if !bytes.Contains(srcs[file], []byte("X-"+name)) || !names["X-"+name] {
 				t.Errorf("ownNames lists X-%s for %s, but the name no longer occurs both there and in platform/: remove it from ownNames", name, file)
 			}
@@ -170,9 +170,9 @@
 
 func TestPlatformIsSmall(t *testing.T) {
 	n := 0
-	for p, b := range files(t) {
-		if strings.HasPrefix(p, "../../platform/") && !strings.HasPrefix(p, "../../platform/cmd/") && !strings.HasSuffix(p, "_test.go") {
-			n += bytes.Count(b, []byte("\n"))
+	for file, src := range files(t) {
+		if strings.HasPrefix(file, "../../platform/") && !strings.HasPrefix(file, "../../platform/cmd/") && !strings.HasSuffix(file, "_test.go") {
+			n += bytes.Count(src, []byte("\n"))
 		}
 	}
 	if n == 0 || n > platformLines {
--- a/internal/codecheck/rules_test.go
+++ b/internal/codecheck/rules_test.go
@@ -31,7 +31,7 @@
 }
 
 var sources = sync.OnceValues(func() (map[string][]byte, error) {
-	m := map[string][]byte{}
+	contents := map[string][]byte{}
 	err := filepath.WalkDir("../..", func(p string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() && (d.Name() == ".git" || d.Name() == "run" || d.Name() == "bin") {
 			if err == nil {
@@ -42,26 +42,26 @@
 		if d.IsDir() || !strings.HasSuffix(p, ".go") {
 			return nil
 		}
-		b, err := os.ReadFile(p)
-		if err == nil && !generated.Match(b) {
-			m[p] = b
+		src, err := os.ReadFile(p)
+		if err == nil && !generated.Match(src) {
+			contents[p] = src
 		}
 		return err
 	})
-	return m, err
+	return contents, err
 })
 
 var generated = regexp.MustCompile(`(?m)^// Code generated .* DO NOT EDIT\.?$`)
 
-func tooLong(b []byte) bool { return bytes.Count(b, []byte("\n")) > 400 }
+func tooLong(src []byte) bool { return bytes.Count(src, []byte("\n")) > 400 }
 
 func TestNoFileOver400Lines(t *testing.T) {
 	if !tooLong(bytes.Repeat([]byte("x\n"), 401)) || tooLong(bytes.Repeat([]byte("x\n"), 400)) {
 		t.Fatal("self-test: tooLong must report a file of 401 lines and accept one of 400")
 	}
-	for p, b := range files(t) {
-		if tooLong(b) {
-			t.Errorf("%s has %d lines, want at most 400: split the file", p, bytes.Count(b, []byte("\n")))
+	for file, src := range files(t) {
+		if tooLong(src) {
+			t.Errorf("%s has %d lines, want at most 400: split the file", file, bytes.Count(src, []byte("\n")))
 		}
 	}
 }
@@ -73,33 +73,33 @@
 	if err != nil {
 		return nil, err
 	}
-	var l []string
+	var found []string
 	for _, d := range f.Decls {
 		x, ok := d.(*ast.FuncDecl)
 		if !ok || !x.Name.IsExported() || f.Name.Name == "main" || x.Recv != nil && !ast.IsExported(strings.TrimLeft(string(src[x.Recv.List[0].Type.Pos()-1:x.Recv.List[0].Type.End()-1]), "*")) {
 			continue
 		}
 		if !strings.Contains(x.Doc.Text(), "Example:") {
-			l = append(l, x.Name.Name)
+			found = append(found, x.Name.Name)
 		}
 	}
-	return l, nil
+	return found, nil
 }
 
 func TestPublicFunctionsHaveExamples(t *testing.T) {
-	if l, err := withoutExample("x.go", []byte("package x\n// A does.\nfunc A() {}\n// B does.\n//\n// Example: B()\nfunc B() {}\n")); err != nil || len(l) != 1 || l[0] != "A" {
-		t.Fatalf("self-test: functions without an example: %q, error %v; want only A", l, err)
+	if found, err := withoutExample("x.go", []byte("package x\n// A does.\nfunc A() {}\n// B does.\n//\n// Example: B()\nfunc B() {}\n")); err != nil || len(found) != 1 || found[0] != "A" {
+		t.Fatalf("self-test: functions without an example: %q, error %v; want only A", found, err)
 	}
-	for p, b := range files(t) {
-		if strings.HasSuffix(p, "_test.go") {
+	for file, src := range files(t) {
+		if strings.HasSuffix(file, "_test.go") {
 			continue
 		}
-		l, err := withoutExample(p, b)
+		found, err := withoutExample(file, src)
 		if err != nil {
 			t.Fatalf("parse source file to find functions without an example: %v", err)
 		}
-		for _, n := range l {
-			t.Errorf("%s: doc comment of %s has no line `Example: …`", p, n)
+		for _, name := range found {
+			t.Errorf("%s: doc comment of %s has no line `Example: …`", file, name)
 		}
 	}
 }
@@ -112,41 +112,41 @@
 	if err != nil {
 		return nil, err
 	}
-	var l []string
+	var found []string
 	ast.Inspect(f, func(n ast.Node) bool {
 		if s, ok := n.(*ast.SelectorExpr); ok {
 			if x, ok := s.X.(*ast.Ident); ok && x.Name == "time" && (s.Sel.Name == "Now" || s.Sel.Name == "Since" || s.Sel.Name == "Until") {
-				l = append(l, fs.Position(s.Pos()).String())
+				found = append(found, fs.Position(s.Pos()).String())
 			}
 		}
 		if c, ok := n.(*ast.CallExpr); ok { // also calls of the injected wall clock, which programs receive at startup
 			if s, ok := c.Fun.(*ast.SelectorExpr); ok && s.Sel.Name == "Wall" {
-				l = append(l, fs.Position(c.Pos()).String())
+				found = append(found, fs.Position(c.Pos()).String())
 			}
 		}
 		return true
 	})
-	return l, nil
+	return found, nil
 }
 
 // Decisions must depend on clock.Clock, because the wall clock can be set forwards or back. Only these may read it:
 // simulators, the records of the command line, control nodes that report their wall clock, the clock for tests, and
 // the code that creates a process's clocks.
 func TestNoDecisionByTheWallClock(t *testing.T) {
-	if l, err := wallClockCalls("x.go", []byte("package x\nimport \"time\"\nvar a = time.Now()\nvar b = x.Wall()\n")); err != nil || len(l) != 2 {
-		t.Fatalf("self-test: reads of the wall clock found at %q, error %v; want 2 positions", l, err)
+	if found, err := wallClockCalls("x.go", []byte("package x\nimport \"time\"\nvar a = time.Now()\nvar b = x.Wall()\n")); err != nil || len(found) != 2 {
+		t.Fatalf("self-test: reads of the wall clock found at %q, error %v; want 2 positions", found, err)
 	}
 	allowed := regexp.MustCompile(`/internal/sim/(workersim|storesim|appservicesim|platformsim|loadgen|testbed|clustersim)/|/internal/(clock/clock|cli/runbook|control/controlstate/node|daemon/environment)\.go$`)
-	for p, b := range files(t) {
-		if strings.HasSuffix(p, "_test.go") || allowed.MatchString(p) {
+	for file, src := range files(t) {
+		if strings.HasSuffix(file, "_test.go") || allowed.MatchString(file) {
 			continue
 		}
-		l, err := wallClockCalls(p, b)
+		found, err := wallClockCalls(file, src)
 		if err != nil {
 			t.Fatalf("parse source file to find reads of the wall clock: %v", err)
 		}
-		for _, x := range l {
-			t.Errorf("%s: read of the wall clock in a package that must use clock.Clock", x)
+		for _, position := range found {
+			t.Errorf("%s: read of the wall clock in a package that must use clock.Clock", position)
 		}
 	}
 }
