--- a/internal/codecheck/remaining_test.go
+++ b/internal/codecheck/remaining_test.go
@@ -28,8 +28,8 @@
 	longScope     = 15 // maximum number of lines between definition and last use of a short name
 )
 
-// exemptFiles matches the files that must contain words that the project no longer uses elsewhere: the lists of words, the self-tests of these
-// checks, and the table of the programs' original names.
+// exemptFiles matches the files that must contain words that the project no longer uses elsewhere: the lists of
+// words, the self-tests of these checks, and the table of the programs' original names.
 var exemptFiles = regexp.MustCompile(`/(codecheck/(words|names|remaining)_test|programs/programs)\.go$`)
 
 // conventionalNames lists the short names that are customary in Go, so that their scope may be long.
--- a/internal/codecheck/words_test.go
+++ b/internal/codecheck/words_test.go
@@ -61,7 +61,8 @@
 }, "|"))
 
 // textsWithWithdrawn lists the comments and strings of a file that contain a withdrawn word (map withdrawn), other than
-// in the forms that wireForms allows. Import paths and struct tags are skipped. It removes the struct tags from the syntax tree.
+// in the forms that wireForms allows. Import paths and struct tags are skipped. It removes the struct tags from the
+// syntax tree.
 func textsWithWithdrawn(set *token.FileSet, parsed *ast.File) (found []string) {
 	check := func(at token.Pos, text string) {
 		if containsWithdrawn(text) && containsWithdrawn(wireForms.ReplaceAllString(text, "")) {
