--- a/internal/codecheck/rules_test.go
+++ b/internal/codecheck/rules_test.go
@@ -1,4 +1,5 @@
-// Package codecheck checks the project's rules that a reader can't be trusted to keep in mind.
+// Package codecheck contains tests that check the project's rules for source code, such as the size of files and
+// functions, naming, doc comments and the use of the wall clock.
 package codecheck
 
 import (
@@ -15,21 +16,22 @@
 	"testing"
 )
 
-// files are the sources that people write, by path; they are read once for all checks, which change none.
+// files returns the contents of all Go files that aren't generated, by path relative to this package. They are read
+// once and shared by all checks, which must not modify them.
 func files(t *testing.T) map[string][]byte {
 	t.Helper()
-	m, err := sources()
+	contents, err := sources()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the repository's Go files: %v", err)
 	}
-	if len(m) < 30 {
-		t.Fatalf("only %d files found: the check looks at the wrong folder", len(m))
+	if len(contents) < 30 {
+		t.Fatalf("found %d Go files in ../.., want at least 30: is it the repository's root?", len(contents))
 	}
-	return m
+	return contents
 }
 
 var sources = sync.OnceValues(func() (map[string][]byte, error) {
-	m := map[string][]byte{}
+	contents := map[string][]byte{}
 	err := filepath.WalkDir("../..", func(p string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() && (d.Name() == ".git" || d.Name() == "run" || d.Name() == "bin") {
 			if err == nil {
@@ -40,108 +42,111 @@
 		if d.IsDir() || !strings.HasSuffix(p, ".go") {
 			return nil
 		}
-		b, err := os.ReadFile(p)
-		if err == nil && !generated.Match(b) {
-			m[p] = b
+		src, err := os.ReadFile(p)
+		if err == nil && !generated.Match(src) {
+			contents[p] = src
 		}
 		return err
 	})
-	return m, err
+	return contents, err
 })
 
 var generated = regexp.MustCompile(`(?m)^// Code generated .* DO NOT EDIT\.?$`)
 
-func tooLong(b []byte) bool { return bytes.Count(b, []byte("\n")) > 400 }
+func tooLong(src []byte) bool { return bytes.Count(src, []byte("\n")) > 400 }
 
 func TestNoFileOver400Lines(t *testing.T) {
 	if !tooLong(bytes.Repeat([]byte("x\n"), 401)) || tooLong(bytes.Repeat([]byte("x\n"), 400)) {
-		t.Fatal("the check itself can't distinguish 401 lines from 400")
+		t.Fatal("self-test: tooLong must report a file of 401 lines and accept one of 400")
 	}
-	for p, b := range files(t) {
-		if tooLong(b) {
-			t.Errorf("%s: over 400 lines: split it", p)
+	for file, src := range files(t) {
+		if tooLong(src) {
+			t.Errorf("%s has %d lines, want at most 400: split the file", file, bytes.Count(src, []byte("\n")))
 		}
 	}
 }
 
-// bare lists the public functions whose comment has no example.
-func bare(name string, src []byte) ([]string, error) {
+// withoutExample lists the exported functions of a file, and exported methods of exported types, whose doc comment
+// has no "Example:" line. Functions of commands (package main) need none.
+func withoutExample(name string, src []byte) ([]string, error) {
 	f, err := parser.ParseFile(token.NewFileSet(), name, src, parser.ParseComments)
 	if err != nil {
 		return nil, err
 	}
-	var l []string
+	var found []string
 	for _, d := range f.Decls {
 		x, ok := d.(*ast.FuncDecl)
 		if !ok || !x.Name.IsExported() || f.Name.Name == "main" || x.Recv != nil && !ast.IsExported(strings.TrimLeft(string(src[x.Recv.List[0].Type.Pos()-1:x.Recv.List[0].Type.End()-1]), "*")) {
 			continue
 		}
 		if !strings.Contains(x.Doc.Text(), "Example:") {
-			l = append(l, x.Name.Name)
+			found = append(found, x.Name.Name)
 		}
 	}
-	return l, nil
+	return found, nil
 }
 
 func TestPublicFunctionsHaveExamples(t *testing.T) {
-	if l, err := bare("x.go", []byte("package x\n// A does.\nfunc A() {}\n// B does.\n//\n// Example: B()\nfunc B() {}\n")); err != nil || len(l) != 1 || l[0] != "A" {
-		t.Fatalf("the check itself finds %v, %v", l, err)
+	if found, err := withoutExample("x.go", []byte("package x\n// A does.\nfunc A() {}\n// B does.\n//\n// Example: B()\nfunc B() {}\n")); err != nil || len(found) != 1 || found[0] != "A" {
+		t.Fatalf("self-test: functions without an example: %q, error %v; want only A", found, err)
 	}
-	for p, b := range files(t) {
-		if strings.HasSuffix(p, "_test.go") {
+	for file, src := range files(t) {
+		if strings.HasSuffix(file, "_test.go") {
 			continue
 		}
-		l, err := bare(p, b)
+		found, err := withoutExample(file, src)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse source file to find functions without an example: %v", err)
 		}
-		for _, n := range l {
-			t.Errorf("%s: %s: its comment needs a line `Example: …`", p, n)
+		for _, name := range found {
+			t.Errorf("%s: doc comment of %s has no line `Example: …`", file, name)
 		}
 	}
 }
 
-// wall lists where a file asks for the wall clock.
-func wall(name string, src []byte) ([]string, error) {
+// wallClockCalls lists the positions in a file where the wall clock is read: time.Now, time.Since, time.Until and
+// calls of a method named Wall.
+func wallClockCalls(name string, src []byte) ([]string, error) {
 	fs := token.NewFileSet()
 	f, err := parser.ParseFile(fs, name, src, 0)
 	if err != nil {
 		return nil, err
 	}
-	var l []string
+	var found []string
 	ast.Inspect(f, func(n ast.Node) bool {
 		if s, ok := n.(*ast.SelectorExpr); ok {
 			if x, ok := s.X.(*ast.Ident); ok && x.Name == "time" && (s.Sel.Name == "Now" || s.Sel.Name == "Since" || s.Sel.Name == "Until") {
-				l = append(l, fs.Position(s.Pos()).String())
+				found = append(found, fs.Position(s.Pos()).String())
 			}
 		}
-		if c, ok := n.(*ast.CallExpr); ok { // nor by way of the seam that programs take at their start
+		if c, ok := n.(*ast.CallExpr); ok { // also calls of the injected wall clock, which programs receive at startup
 			if s, ok := c.Fun.(*ast.SelectorExpr); ok && s.Sel.Name == "Wall" {
-				l = append(l, fs.Position(c.Pos()).String())
+				found = append(found, fs.Position(c.Pos()).String())
 			}
 		}
 		return true
 	})
-	return l, nil
+	return found, nil
 }
 
-// Decisions are made by clock.Clock. The wall clock is asked only by simulators, by the
-// command line's records, by a core machine that reports its own, and by the clock for tests.
+// Decisions must depend on clock.Clock, because the wall clock can be set forwards or back. Only these may read it:
+// simulators, the records of the command line, control nodes that report their wall clock, the clock for tests, and
+// the code that creates a process's clocks.
 func TestNoDecisionByTheWallClock(t *testing.T) {
-	if l, err := wall("x.go", []byte("package x\nimport \"time\"\nvar a = time.Now()\nvar b = x.Wall()\n")); err != nil || len(l) != 2 {
-		t.Fatalf("the check itself finds %v, %v", l, err)
+	if found, err := wallClockCalls("x.go", []byte("package x\nimport \"time\"\nvar a = time.Now()\nvar b = x.Wall()\n")); err != nil || len(found) != 2 {
+		t.Fatalf("self-test: reads of the wall clock found at %q, error %v; want 2 positions", found, err)
 	}
 	allowed := regexp.MustCompile(`/internal/sim/(workersim|storesim|appservicesim|platformsim|loadgen|testbed|clustersim)/|/internal/(clock/clock|cli/runbook|control/controlstate/node|daemon/environment)\.go$`)
-	for p, b := range files(t) {
-		if strings.HasSuffix(p, "_test.go") || allowed.MatchString(p) {
+	for file, src := range files(t) {
+		if strings.HasSuffix(file, "_test.go") || allowed.MatchString(file) {
 			continue
 		}
-		l, err := wall(p, b)
+		found, err := wallClockCalls(file, src)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("parse source file to find reads of the wall clock: %v", err)
 		}
-		for _, x := range l {
-			t.Errorf("%s: asks the wall clock: use clock.Clock", x)
+		for _, position := range found {
+			t.Errorf("%s: read of the wall clock in a package that must use clock.Clock", position)
 		}
 	}
 }
