--- a/internal/contract/backends.go
+++ b/internal/contract/backends.go
@@ -60,7 +60,7 @@
 func do(client *http.Client, request *http.Request, result any) error {
 	response, err := client.Do(request)
 	if err != nil {
-		return errs.Wrap(err, "call back end")
+		return errs.Wrap(err, "ask")
 	}
 	defer response.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
@@ -70,7 +70,7 @@
 	if response.StatusCode != http.StatusOK {
 		return errs.New(errs.Internal, "back end %s responded with status %d, want 200: %.200s", request.URL, response.StatusCode, raw)
 	}
-	return errs.Wrap(json.Unmarshal(raw, result), "decode JSON response from back end "+request.URL.String())
+	return errs.Wrap(json.Unmarshal(raw, result), "decode JSON response from back end")
 }
 
 // State reads the state that a worker reports about itself, as a health probe does.
@@ -109,7 +109,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/order", bytes.NewReader(raw))
 	if err != nil {
-		return errs.Wrap(err, "create HTTP request for order to worker "+addr)
+		return errs.Wrap(err, "order")
 	}
 	var state WorkerState
 	return do(b.orders, request, &state)
