--- a/internal/control/controlstate/group.go
+++ b/internal/control/controlstate/group.go
@@ -14,16 +14,17 @@
 // Timing of a group. groupTick and reopenIntervalRatio are fractions of settings.Bounds.Heal, the configured time
 // to restore service after a fault.
 const (
-	groupTick           = 1.0 / 120 // interval between ticks of a member's consensus core
-	reopenIntervalRatio = 1.0 / 12  // interval between attempts to reopen a disk that failed
+	groupTick           = 1.0 / 120 // interval between ticks of a member's consensus core, as a fraction of Bounds.Heal
+	reopenIntervalRatio = 1.0 / 12  // interval between attempts to reopen a failed disk, as a fraction of Bounds.Heal
 	heartbeatTicks      = 3
 	electionTicks       = 9
 )
 
-// group holds the fields that a shard has only on a node of a group, whose membership is replicated data.
+// group holds the fields of a shard that are used only if its set of voters can change at run time and is itself
+// replicated.
 type group struct {
 	codec           backend.Codec
-	consensusConfig consensus.Config // configuration of the core; reopen sets Self to the incarnation stored on disk
+	consensusConfig consensus.Config // configuration of the consensus core; reopen sets Self to the incarnation stored on disk
 	disk            storage.Disk
 	initialSnapshot func(lost bool) *wire.Snapshot // returns the first snapshot for an empty disk; lost: the disk held data of an earlier incarnation, which counts as lost
 	targetSize      int                            // desired number of voters in the group
--- a/internal/control/controlstate/node_history_test.go
+++ b/internal/control/controlstate/node_history_test.go
@@ -29,8 +29,9 @@
 )
 
 // nodeHistoryCluster runs real nodes, with their goroutines, transports, clients and long polls, in virtual time while
-// machines fail. The history of the requests of operators and readers is checked for linearizability at the end. Weights
-// versions, the lease and the freshness proofs of edges are checked during the run.
+// machines fail. The requests of operators and readers are checked for linearizability at the end. Model weights
+// versions, the lease, and the proofs that an edge node has the newest routing configuration (agent.FreshnessProof) are
+// checked during the run.
 type nodeHistoryCluster struct {
 	*isolationWorld
 	history      history.History
--- a/internal/control/controlstate/propose.go
+++ b/internal/control/controlstate/propose.go
@@ -23,7 +23,7 @@
 // applied entry has another term, the proposed one was overwritten by another leader.
 type pendingProposal struct {
 	term     uint64
-	response chan *wire.ChangeResponse // receives the outcome; buffered, so that the shard's goroutine never blocks on a caller
+	response chan *wire.ChangeResponse // receives the outcome of the proposal; buffered, so that the shard's goroutine never blocks on a caller
 }
 
 // change proposes a command if this member is the leader, and waits for its outcome.
@@ -122,7 +122,7 @@
 	}
 	put := command.GetPut()
 	if put == nil || put.Key == "" || len(put.Key) > maxKeyBytes {
-		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{fmt.Sprintf("request must contain a grant, 1 to %d claims, or a put with a key of 1 to %d bytes", maxClaimsPerCommand, maxKeyBytes)}}
+		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{fmt.Sprintf("request must contain a lease grant, 1 to %d claims of at-most-once request IDs, or a put of a document with a key of 1 to %d bytes", maxClaimsPerCommand, maxKeyBytes)}}
 	}
 	return s.preparePut(put, request, config)
 }
--- a/internal/control/controlstate/repeated_step_test.go
+++ b/internal/control/controlstate/repeated_step_test.go
@@ -50,7 +50,7 @@
 	replica := singleMemberShard(t)
 	recorded := recordedConfiguration(t)
 	if response := makeChange(replica, &wire.Put{Key: controlclient.ConfigKey, Body: recorded}, false); response.Outcome != wire.OutcomeDone {
-		t.Fatalf("storing the recorded configuration: got %v, want outcome %s", response, wire.OutcomeDone)
+		t.Fatalf("storing the configuration from the data directory of the first release: got %v, want outcome %s", response, wire.OutcomeDone)
 	}
 	entry := &calendar.Entry{Name: "spring", Service: "gisa", Kind: calendar.KindWeights, Model: "gisa", Weights: 5, State: calendar.StatePlanned}
 	next := func(entry *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each call uses a new planner, like a new lease holder
--- a/internal/control/controlstate/restore.go
+++ b/internal/control/controlstate/restore.go
@@ -40,7 +40,7 @@
 	member     string      // incarnation of the reporting node's member
 	generation uint64      // identifies the last restore of the member's group; higher after each restore, 0: never restored
 	logEnd     logPosition // position of the last entry in the member's log
-	newest     membership  // newest membership that the member knows
+	newest     membership  // newest set of voters that the member knows
 	failure    string      // why the member takes no part in the group; empty if it does
 }
 
@@ -81,7 +81,7 @@
 	for _, other := range answered {
 		switch {
 		case other.generation > self.generation:
-			objections = append(objections, fmt.Sprintf("%s belongs to a group that was restored after this member's group: let this member join the newer group", other.member))
+			objections = append(objections, fmt.Sprintf("member %s belongs to a group that was restored after this member's group: let this member join the newer group", other.member))
 		case other.generation == self.generation && other.failure == "" && other.logEnd.isAfter(self.logEnd):
 			objections = append(objections, fmt.Sprintf("the log of %s is newer than this member's: restore the group from that member", other.member))
 		}
@@ -126,7 +126,7 @@
 	case len(report.Objections) > 0:
 		return report, errs.New(errs.Conflict, "the group can't be restored from member %s: %s", self.member, strings.Join(report.Objections, "; "))
 	case confirmed != self.member:
-		return report, errs.New(errs.Conflict, "restore was confirmed for member %s, but this member is %s", confirmed, self.member)
+		return report, errs.New(errs.Conflict, "restore of the group was confirmed for member %s, but this member is %s", confirmed, self.member)
 	}
 	restored, err := n.restoreFrom(ctx, confirmed)
 	report.Member, report.Restored = restored, err == nil
@@ -173,7 +173,7 @@
 	}
 	if err != nil {
 		s.halt(err) // the member stays failed until retryReopen has reopened the disk
-		return errs.Wrap(err, "restore")
+		return errs.Wrap(err, "store and reopen the restored group")
 	}
 	s.publishRecovered()
 	s.log.Warn("restored the control group from this member alone", "from", from, "member", name, "generation", generation)
@@ -237,7 +237,7 @@
 		return memberReport{}, err
 	}
 	if len(response.Shards) == 0 {
-		return memberReport{}, errs.New(errs.NotFound, "control node reported no member of the group")
+		return memberReport{}, errs.New(errs.NotFound, "control node's status response lists no member of the control group")
 	}
 	status := response.Shards[0]
 	return memberReport{
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -33,7 +33,7 @@
 // docs/control.md.
 type changeSequence string
 
-// Sequences of membership changes that the table compares.
+// Sequences of membership changes that the table of second losses in docs/control.md compares.
 const (
 	sequenceRemoveFirst changeSequence = "remove, then add"
 	sequenceAddFirst    changeSequence = "add, then remove"
@@ -177,7 +177,8 @@
 	chosen    changeSequence
 }
 
-// evaluatedRepairs lists the repairs in the table.
+// evaluatedRepairs lists the replacements or removals of lost group members that are compared in the table of second
+// losses in docs/control.md.
 var evaluatedRepairs = []evaluatedRepair{
 	{repairCase{"ABX", "X", failureWiped, "N"}, []changeSequence{sequenceRemoveFirst, sequenceAddFirst, sequenceJoint, sequenceNone}, sequenceRemoveFirst},
 	{repairCase{"ABX", "X", failureSilent, "N"}, []changeSequence{sequenceRemoveFirst, sequenceAddFirst, sequenceJoint, sequenceNone}, sequenceRemoveFirst},
@@ -192,7 +193,8 @@
 	{repairCase{"ABCXY", "XY", failureSilent, ""}, []changeSequence{sequenceRemoveOnly, sequenceNone}, sequenceNone},
 }
 
-// secondLossTable returns the Markdown table that docs/control.md must contain.
+// secondLossTable returns the Markdown table of second losses that docs/control.md must contain: for each repair and
+// sequence of membership changes, the further losses that the group tolerates at each step.
 func secondLossTable() string {
 	var b strings.Builder
 	b.WriteString("| members | first loss | newcomers | order | losses tolerated, step by step | no quorum if then lost: " + strings.Join(secondLossColumns, " | ") + " |\n")
@@ -221,7 +223,7 @@
 	return b.String()
 }
 
-// formatSteps returns a list of steps as text for a cell of the table.
+// formatSteps formats a list of step numbers of a repair for a cell of the table of second losses.
 func formatSteps(steps []int) string {
 	if len(steps) == 0 {
 		return "never"
@@ -232,17 +234,18 @@
 	return "step " + strings.ReplaceAll(strings.Trim(fmt.Sprint(steps), "[]"), " ", ", ")
 }
 
-// docs/control.md contains the computed table. With the chosen sequences, no step tolerates fewer losses than the group
-// did before the repair. After the loss of a member, no step depends on its replacement for a quorum, as it would if
-// the replacement were added first.
+// docs/control.md contains the table that secondLossTable computes: how many further losses a group tolerates while lost
+// members are replaced. With the sequences of membership changes that membershipPlanner implements, no step tolerates
+// fewer losses than the group did before the repair. After the loss of a member, no step depends on its replacement
+// for a quorum, as it would if the replacement were added first.
 func TestSecondLossTableMatchesTheDocs(t *testing.T) {
 	table := secondLossTable()
 	page, err := os.ReadFile("../../../docs/control.md")
 	if err != nil {
-		t.Fatalf("read the page that contains the table: %v", err)
+		t.Fatalf("read docs/control.md, which contains the table of second losses: %v", err)
 	}
 	if !strings.Contains(string(page), table) {
-		t.Errorf("docs/control.md does not contain the computed table:\n%s", table)
+		t.Errorf("docs/control.md does not contain the table of second losses that secondLossTable computes:\n%s", table)
 	}
 	for _, evaluated := range evaluatedRepairs {
 		row := evaluated.row(evaluated.chosen)
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -11,7 +11,7 @@
 // lossKind is the way in which a machine is lost. The table in docs/control.md, section 3, lists the kinds.
 type lossKind string
 
-// Kinds of losses.
+// Ways in which a test makes a control machine fail or disappear.
 const (
 	lossCrash          lossKind = "crash"               // loses power, and restarts with its disk
 	lossWipe           lossKind = "disk loss"           // loses power, and restarts with an empty disk
