--- a/internal/control/controlstate/catch_up_network_test.go
+++ b/internal/control/controlstate/catch_up_network_test.go
@@ -11,17 +11,17 @@
 // catchUpMessage is a message that the simulated network has accepted and not yet delivered.
 type catchUpMessage struct {
 	deliverAt      time.Duration
-	sequence       int // position in the order of sending
+	sequence       int // number of the message in the order of sending
 	receiverStarts int // the receiver's start count when the message was sent; a later process does not receive the message
 	message        *wire.Message
 	isLost         bool     // the message times out instead of arriving
-	link           *simLink // set only for a large message
+	link           *simLink // link that transmits a large message; nil for a small one
 }
 
 // simLink is the link from one machine to another. It transmits large messages one at a time, as the transport does.
 type simLink struct {
 	freeAt         time.Duration // time at which the last queued message will have been transmitted
-	queuedMessages int           // messages that wait or are being transmitted
+	queuedMessages int           // number of messages that wait or are being transmitted
 }
 
 // largeMessageTimeout returns the transport's time-out for a message with a payload of the given size in bytes.
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -27,7 +27,7 @@
 	seeds          []string
 	queued         []catchUpMessage
 	sentMessages   int
-	links          map[string]*simLink // keys have the form "from>to", with the addresses of two machines
+	links          map[string]*simLink // links between machines; keys have the form "from>to", with the addresses of the two machines
 	bytesPerSecond int                 // bandwidth of each link
 	isolated       map[string]bool     // addresses of isolated machines
 	ackedVersion   uint64              // last acknowledged version of the routing configuration
--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -32,15 +32,15 @@
 type sentChange struct {
 	baseVersion, newVersion uint64
 	text                    string // content of the configuration
-	partial                 bool   // merge the content with that of the base version
+	partial                 bool   // whether the change is a patch, which is merged with the base version
 	acked                   bool
-	rejection               error // nil: not rejected
+	rejection               error // error with which the change was rejected; nil if it was not
 	attempts                int
 }
 
 // name identifies a change in messages.
 func (c *sentChange) name() string {
-	return fmt.Sprintf("to version %d (%s)", c.newVersion, c.text)
+	return fmt.Sprintf("to configuration version %d (%s)", c.newVersion, c.text)
 }
 
 // changeSearch is a run of TestEightConcurrentChanges with one seed.
@@ -100,9 +100,9 @@
 		change = &sentChange{baseVersion: s.knownVersion, newVersion: s.knownVersion + 1 + random.Uint64N(2), partial: random.IntN(3) == 0}
 		author := fmt.Sprint(operator)
 		if random.IntN(4) == 0 {
-			author = "any" // such changes of several operators with equal versions and content are the same change
+			author = "any" // operators that send a change by "any" with equal versions and content send the same change
 		}
-		change.text = fmt.Sprintf("author %s, base %d, partial %v", author, change.baseVersion, change.partial) // makes the body of each change unique
+		change.text = fmt.Sprintf("author %s, base %d, partial %v", author, change.baseVersion, change.partial) // different changes get different bodies
 		for _, other := range s.changes {
 			if other.baseVersion == change.baseVersion && other.newVersion == change.newVersion && other.text == change.text {
 				change = other
--- a/internal/control/controlstate/idempotency.go
+++ b/internal/control/controlstate/idempotency.go
@@ -160,7 +160,7 @@
 		return &wire.ChangeResponse{Outcome: wire.OutcomeDone, Version: record.version, TokenReuse: "the change was made before"}
 	}
 	if ok || s.isRecentToken(put.Token) {
-		reused := "token " + put.Token + " was already used for a different change: use a new token for each change"
+		reused := "idempotency token " + put.Token + " was already used for a different change: use a new token for each change"
 		return &wire.ChangeResponse{Outcome: wire.OutcomeBadInput, Errors: []string{reused}}
 	}
 	return nil
--- a/internal/control/controlstate/idempotency_test.go
+++ b/internal/control/controlstate/idempotency_test.go
@@ -186,7 +186,7 @@
 				command.GetPut().Token = fmt.Sprint("t", random.IntN(i+1)) // token of an earlier change, which may have been evicted
 			}
 			if random.IntN(2) == 0 {
-				command.GetPut().ContentDigest = nil // as proposed by an earlier release
+				command.GetPut().ContentDigest = nil // changes that an earlier release proposes have no content digest
 			}
 			if proposed = append(proposed, command); random.IntN(3) == 0 {
 				command = proposed[random.IntN(len(proposed))]
@@ -211,8 +211,8 @@
 func TestSnapshotOfEarlierReleaseIsReadable(t *testing.T) {
 	for _, test := range []struct {
 		changes int
-		first   wire.Outcome // wanted for a retry of the first change
-		rival   wire.Outcome // wanted for a different change with the same base version
+		first   wire.Outcome // wanted outcome of a retry of the first change
+		rival   wire.Outcome // wanted outcome of a different change with the base version of the first change
 	}{{maxRecentTokens - 1, wire.OutcomeDone, wire.OutcomeConflict}, {maxRecentTokens + 44, wire.OutcomeUnknown, wire.OutcomeUnknown}} {
 		state := newState()
 		for n := 1; n <= test.changes; n++ {
@@ -220,7 +220,7 @@
 			command.GetPut().ContentDigest = nil
 			state.apply(command, 0)
 		}
-		state.idempotency = nil // earlier releases do not write them
+		state.idempotency = nil // earlier releases write no idempotency records by document
 		state = reloaded(t, state)
 		if response := state.apply(planChange(1), 0); response.Outcome != test.first {
 			t.Errorf("after %d changes, retry of the first: got %v, want outcome %s", test.changes, response, test.first)
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -33,14 +33,14 @@
 // Directions in which a member can be isolated.
 const (
 	isolatedBoth isolationDirection = "in both directions"
-	isolatedOut  isolationDirection = "outbound" // the member cannot send
-	isolatedIn   isolationDirection = "inbound"  // the member cannot receive
+	isolatedOut  isolationDirection = "outbound" // the isolated member cannot send
+	isolatedIn   isolationDirection = "inbound"  // the isolated member cannot receive
 )
 
 // restartSet selects the members that restart during the isolation.
 type restartSet string
 
-// Sets of members that restart.
+// Sets of members that restart while a member is isolated.
 const (
 	restartNone     restartSet = "no member"
 	restartIsolated restartSet = "the isolated member"
@@ -50,7 +50,7 @@
 
 // isolationScenario is one combination of isolation and restarts.
 type isolationScenario struct {
-	isolatesLeader    bool // isolates the leader instead of a follower
+	isolatesLeader    bool // the leader is isolated instead of a follower
 	direction         isolationDirection
 	restarts          restartSet
 	onlyIsolatedSeeds bool // members restart with the isolated member as their only seed
@@ -278,10 +278,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if until := w.edges[0].freshUntil(); until > begun {
-		w.t.Errorf("edge that reaches only the isolated member has a proof of freshness up to %v, want none after the start of the isolation at %v", until, begun)
+		w.t.Errorf("edge node that reaches only the isolated member has a proof up to %v that its configuration is the newest, want none after the start of the isolation at %v", until, begun)
 	}
 	if until := w.edges[2].freshUntil(); until < w.elapsed()-time.Second {
-		w.t.Errorf("edge that reaches the other members has a proof of freshness only up to %v, want at most 1 s before now (%v)", until, w.elapsed())
+		w.t.Errorf("edge node that reaches the other members has a proof only up to %v that its configuration is the newest, want at most 1 s before now (%v)", until, w.elapsed())
 	}
 }
 
--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -29,10 +29,10 @@
 	ackedVersion    uint64               // newest acknowledged version of the configuration
 	ackedAt         map[uint64]time.Time // time of the first acknowledgement, by version
 	edges           []*isolationEdge
-	leases          [2]*controlclient.Lease // the first uses the isolated member, the second the others
-	lastLeaseAt     [2]time.Duration        // when each holder last had the lease
+	leases          [2]*controlclient.Lease // leases of the two holders: the first uses the isolated member, the second the others
+	lastLeaseAt     [2]time.Duration        // time at which each holder last had the lease
 	longestFailover time.Duration           // longest time until the other members acknowledged a change
-	restarted       bool                    // the restarts of the scenario have been done
+	restarted       bool                    // whether the restarts of the scenario are complete
 	startedAt       time.Time
 }
 
@@ -138,7 +138,7 @@
 		w.mu.Lock()
 		for newer, ackedAt := range w.ackedAt {
 			if newer > version && ackedAt.Sub(w.startedAt) < freshUntil {
-				w.t.Errorf("at %v: edge that follows machines %v has a proof of freshness for version %d up to %v, but version %d was acknowledged at %v", w.elapsed(), edge.machines, version, freshUntil, newer, ackedAt.Sub(w.startedAt))
+				w.t.Errorf("at %v: edge node that follows machines %v holds a proof that version %d of the configuration is the newest up to %v, but version %d was acknowledged at %v", w.elapsed(), edge.machines, version, freshUntil, newer, ackedAt.Sub(w.startedAt))
 			}
 		}
 		w.mu.Unlock()
--- a/internal/control/controlstate/membership.go
+++ b/internal/control/controlstate/membership.go
@@ -9,9 +9,9 @@
 
 // Thresholds of the time since the leader last heard from a member of its group, in group ticks.
 const (
-	replaceAfterTicks = int(1.0 / 6 / groupTick) // a voter silent for at least this long may be replaced by a spare learner
-	aliveTicks        = 4 * heartbeatTicks       // a member silent for less than this counts as alive
-	spareReadyTicks   = 2 * electionTicks        // a caught-up learner silent for less than this may become a voter
+	replaceAfterTicks = int(1.0 / 6 / groupTick) // shortest silence after which a spare learner may replace a voter
+	aliveTicks        = 4 * heartbeatTicks       // a member counts as alive as long as its silence is shorter than this
+	spareReadyTicks   = 2 * electionTicks        // a caught-up learner may become a voter if its silence is shorter than this
 )
 
 // membershipPlanner decides which voter the leader of a group should add or remove next, from what the leader
--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -52,7 +52,7 @@
 	meter.Gauge("pebbleloom_group_members", "number of voters in the newest group membership that this member knows", func() float64 {
 		return float64(len(shard.published.current().members))
 	})
-	meter.Gauge("pebbleloom_group_votes", "1 while this member is a voter and its disk works", func() float64 {
+	meter.Gauge("pebbleloom_group_votes", "1 while the group member on this node is a voter and its disk works, otherwise 0", func() float64 {
 		return boolToGauge(shard.published.current().isVoter)
 	})
 	meter.Gauge("pebbleloom_plan_version", "version of the routing configuration that this member holds", func() float64 {
--- a/internal/control/controlstate/node.go
+++ b/internal/control/controlstate/node.go
@@ -57,7 +57,7 @@
 // Example: receipt, err := n.Deliver(ctx, &wire.MessageBatch{Format: 1, Messages: messages})
 func (n *Node) Deliver(_ context.Context, batch *wire.MessageBatch) (*wire.BatchReceipt, error) {
 	if batch.Format != messageFormat {
-		return nil, twirp.InvalidArgumentError("epoch", fmt.Sprintf("message batch has format %d but this control node requires format %d: run the same release on both nodes", batch.Format, messageFormat))
+		return nil, twirp.InvalidArgumentError("epoch", fmt.Sprintf("batch of consensus messages has format %d but this control node requires format %d: run the same release on both nodes", batch.Format, messageFormat))
 	}
 	for _, message := range batch.Messages {
 		if shard := n.shards[message.Shard]; shard != nil {
--- a/internal/control/controlstate/node_history_test.go
+++ b/internal/control/controlstate/node_history_test.go
@@ -29,9 +29,8 @@
 )
 
 // nodeHistoryCluster runs real nodes, with their goroutines, transports, clients and long polls, in virtual time while
-// machines fail. The requests of operators and readers are checked for linearizability at the end. Model weights
-// versions, the lease, and the proofs that an edge node has the newest routing configuration (agent.FreshnessProof) are
-// checked during the run.
+// machines fail. It checks weights versions, the lease and each edge node's proof that its configuration is the newest
+// (agent.FreshnessProof) during the run, and the linearizability of the operators' and readers' requests at the end.
 type nodeHistoryCluster struct {
 	*isolationWorld
 	history      history.History
@@ -341,7 +340,7 @@
 	healedAt, version := c.elapsed(), c.newestAcked()
 	c.waitUntil("a change to be acknowledged after the last fault", within, func() bool { return c.newestAcked() > version })
 	edge := c.edges[0]
-	c.waitUntil("the edge to hold a proven newer version after the last fault", within, func() bool {
+	c.waitUntil("the edge node to hold a newer configuration version, proven to be the newest, after the last fault", within, func() bool {
 		edge.mu.Lock()
 		isNewest := edge.version > version
 		edge.mu.Unlock()
--- a/internal/control/controlstate/published_view.go
+++ b/internal/control/controlstate/published_view.go
@@ -22,7 +22,7 @@
 	unappliedVersions   map[string]uint64         // highest document versions in unapplied log entries, by key (highestVersions)
 	members             []string                  // incarnations of the voters in the newest membership that this member knows
 	generation          uint64                    // identifies the last restore of the group from one member; 0: never restored
-	term, index         uint64                    // term and index of the log entry that established the membership
+	term, index         uint64                    // term and index of the log entry that established the newest known membership
 	isVoter             bool                      // whether this member is a voter and has not failed
 	leader              string                    // incarnation of the leader; "": not known
 	isLeader            bool                      // whether this member is the leader and has not failed
--- a/internal/control/controlstate/recorded_test.go
+++ b/internal/control/controlstate/recorded_test.go
@@ -52,9 +52,9 @@
 	replica := openRecorded(t)
 	status := replica.core.Status()
 	if status.Blank || status.LastIndex < 4 || status.Term == 0 {
-		t.Fatalf("status of the recovered member: %+v, want a member that is not blank, with a term and at least 4 log entries", status)
+		t.Fatalf("status of the recovered member: %+v, want a member that is not blank (has recovered data), with a term and at least 4 log entries", status)
 	}
-	for _, entry := range replica.core.UnappliedEntries() { // the peers, which are not running here, would commit them
+	for _, entry := range replica.core.UnappliedEntries() { // these entries could only be committed by the peers, which do not run in this test
 		replica.applyEntry(entry)
 	}
 	config, err := serviceconfig.Decode(replica.state.documents[controlclient.ConfigKey].GetBody())
--- a/internal/control/controlstate/repeated_step_test.go
+++ b/internal/control/controlstate/repeated_step_test.go
@@ -53,7 +53,7 @@
 		t.Fatalf("storing the configuration from the data directory of the first release: got %v, want outcome %s", response, wire.OutcomeDone)
 	}
 	entry := &calendar.Entry{Name: "spring", Service: "gisa", Kind: calendar.KindWeights, Model: "gisa", Weights: 5, State: calendar.StatePlanned}
-	next := func(entry *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each call uses a new planner, like a new lease holder
+	next := func(entry *calendar.Entry) (*calendar.Entry, calendar.Action, uint64) { // each call creates a new calendar planner, as a new lease holder would
 		document := replica.state.documents[controlclient.ConfigKey]
 		config, err := serviceconfig.Decode(document.Body)
 		if err != nil {
--- a/internal/control/controlstate/restore.go
+++ b/internal/control/controlstate/restore.go
@@ -142,7 +142,7 @@
 	name := newIncarnation(controlclient.MemberAddr(confirmed), n.process.Seed)
 	outcome := query(ctx, shard, errs.New(errs.OutcomeUnknown, "restore of the group timed out and may still be carried out: check the group status, then retry with the same confirmation"), func() error {
 		if shard.failure != nil || shard.core.Self() != confirmed {
-			return errs.New(errs.Conflict, "member %s has failed or been replaced since the restore was confirmed: repeat the dry run", confirmed)
+			return errs.New(errs.Conflict, "member %s has failed or been replaced since the restore was confirmed: repeat the dry run of the restore", confirmed)
 		}
 		return shard.restore(name, n.process.Seed())
 	})
--- a/internal/control/controlstate/restore_return_test.go
+++ b/internal/control/controlstate/restore_return_test.go
@@ -18,8 +18,8 @@
 // without them.
 type returnScenario struct {
 	beforeNewMachines bool // the lost machines return before new machines are added
-	survivorIsDown    bool // the machine that the group was restored from is down when they return
-	oneByOne          bool // the second one returns after the first has joined the restored group
+	survivorIsDown    bool // the machine that the group was restored from is down when the lost machines return
+	oneByOne          bool // the second lost machine returns only after the first has joined the restored group
 }
 
 func (s returnScenario) String() string {
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -23,14 +23,14 @@
 type scriptedCluster struct {
 	mu          sync.Mutex // guards the outcomes in changes, and newestAcked
 	t           *testing.T
-	ctx         context.Context // context of all requests
+	ctx         context.Context // context of all requests that the test sends
 	cancel      context.CancelFunc
 	key         string // key of the document that all changes are made to
 	members     []*scriptedMember
 	inFlight    []*wire.Message
 	isolated    *scriptedMember   // member that can neither send nor receive; nil if there is none
 	bodies      map[uint64]string // by version: the applied body of the document
-	newestAcked uint64            // the highest acknowledged version
+	newestAcked uint64            // highest acknowledged version of the document
 	changes     []*testChange
 	violations  []string
 }
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -14,7 +14,7 @@
 // X and Y are the members that are lost first, N and M are their replacements, and all others are followers.
 type repairCase struct {
 	members  string // voters before the loss
-	lost     string // "X" or "XY"
+	lost     string // members that are lost: "X" or "XY"
 	failure  repairFailure
 	newcomer string // replacements: "N", "NM" or "" (none available)
 }
@@ -133,7 +133,7 @@
 		return holds(lost)
 	}
 	if len(alive) < count {
-		return true // there is no such subset
+		return true // count exceeds the number of machines that are alive, so there is no such set
 	}
 	return everySubset(alive[1:], count-1, lost+string(alive[0]), holds) && everySubset(alive[1:], count, lost, holds)
 }
@@ -144,10 +144,10 @@
 	stepsWithoutQuorum map[string][]int // by second loss: steps at which that loss leaves no quorum
 }
 
-// secondLossColumns lists the second losses, each of which is a column of the table.
+// secondLossColumns lists the second losses, each of which is a column of the table of second losses in docs/control.md.
 var secondLossColumns = []string{"the leader", "a follower", "the newcomer", "the leader, the first one back"}
 
-// row computes the table row of a sequence of membership changes.
+// row computes the row of a repair's sequence of membership changes in the table of second losses.
 func (r repairCase) row(sequence changeSequence) repairRow {
 	row := repairRow{stepsWithoutQuorum: map[string][]int{}}
 	steps := r.steps(sequence)
@@ -250,18 +250,18 @@
 	for _, evaluated := range evaluatedRepairs {
 		row := evaluated.row(evaluated.chosen)
 		if evaluated.chosen != sequenceNone && slices.Min(row.tolerated) < row.tolerated[0] {
-			t.Errorf("repair %+v, sequence %q: tolerated losses by step are %v, want none lower than the first", evaluated.repairCase, evaluated.chosen, row.tolerated)
+			t.Errorf("repair %+v, sequence %q: numbers of further losses tolerated at each step are %v, want none lower than the first", evaluated.repairCase, evaluated.chosen, row.tolerated)
 		}
 		if evaluated.failure != failureLeaving && len(row.stepsWithoutQuorum[secondLossColumns[2]]) > 0 {
-			t.Errorf("repair %+v, sequence %q: the quorum depends on the newcomer at steps %v, want none", evaluated.repairCase, evaluated.chosen, row.stepsWithoutQuorum[secondLossColumns[2]])
+			t.Errorf("repair %+v, sequence %q: the quorum depends on the replacement machine at steps %v, want none", evaluated.repairCase, evaluated.chosen, row.stepsWithoutQuorum[secondLossColumns[2]])
 		}
 	}
 	if len(evaluatedRepairs[0].row(sequenceAddFirst).stepsWithoutQuorum[secondLossColumns[2]]) == 0 {
-		t.Error("no step of \"add, then remove\" depends on the newcomer for a quorum, want at least one: the table must distinguish the sequences")
+		t.Error("no step of \"add, then remove\" depends on the replacement machine for a quorum, want at least one: the table of second losses must distinguish the sequences")
 	}
 }
 
-// membershipPlanner proposes the membership changes of the chosen sequence, one at each step.
+// membershipPlanner proposes the membership changes of the sequence that evaluatedRepairs names for it, one at a time.
 func TestPlannerTakesTheChosenSteps(t *testing.T) {
 	for _, evaluated := range evaluatedRepairs {
 		members := strings.Split(evaluated.members, "")
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -13,15 +13,15 @@
 
 // Ways in which a test makes a control machine fail or disappear.
 const (
-	lossCrash          lossKind = "crash"               // loses power, and restarts with its disk
-	lossWipe           lossKind = "disk loss"           // loses power, and restarts with an empty disk
-	lossPartition      lossKind = "partition"           // is partitioned in both directions for a while
-	lossShutdown       lossKind = "shutdown"            // is shut down by SIGTERM, and restarts with its disk
-	lossReplace        lossKind = "replacement"         // is removed permanently, and a new machine starts
-	lossPlannedReplace lossKind = "planned replacement" // is shut down by SIGTERM and removed permanently, and a new machine starts
+	lossCrash          lossKind = "crash"               // the machine loses power, and restarts with its disk
+	lossWipe           lossKind = "disk loss"           // the machine loses power, and restarts with an empty disk
+	lossPartition      lossKind = "partition"           // the machine is partitioned from all others in both directions for a while
+	lossShutdown       lossKind = "shutdown"            // the machine is shut down by SIGTERM, and restarts with its disk
+	lossReplace        lossKind = "replacement"         // the machine is removed permanently, and a new one starts
+	lossPlannedReplace lossKind = "planned replacement" // the machine is shut down by SIGTERM and removed permanently, and a new one starts
 )
 
-// lossKinds lists all kinds of losses.
+// lossKinds lists all ways in which a test makes a machine fail or disappear.
 var lossKinds = []lossKind{lossCrash, lossWipe, lossPartition, lossShutdown, lossReplace, lossPlannedReplace}
 
 // lossCompactAt is the size of the log in bytes above which members compact it in these tests.
@@ -30,10 +30,10 @@
 // lossTarget selects the machine that is lost.
 type lossTarget string
 
-// Targets of a loss.
+// Machines that a simulated loss can hit.
 const (
 	targetLeader    lossTarget = "leader"
-	targetFirstLost lossTarget = "machine that was lost first" // or its replacement
+	targetFirstLost lossTarget = "machine that was lost first" // the machine that was lost first or, if it was replaced, its replacement
 	targetFollower  lossTarget = "follower"
 )
 
@@ -42,7 +42,7 @@
 
 // Durations that the contract guarantees for small sites, and upper bounds that follow from them.
 const (
-	catchUpTime           = 4 * time.Second         // time after its return during which a machine still counts as lost
+	catchUpTime           = 4 * time.Second         // time for which a machine still counts as lost after it has returned
 	lossDowntime          = 1500 * time.Millisecond // time from a loss to the return of the machine
 	lossGracePeriod       = 8 * time.Second         // time from SIGTERM until the process is killed
 	maxQuorumRecoveryTime = 4 * time.Second         // time until a change is acknowledged again after a loss
@@ -83,8 +83,8 @@
 
 // joinState simulates the state of a machine's Node.joinLoop.
 type joinState struct {
-	generation   int             // generation of the process
-	nextAttempt  time.Duration   // time of the next join request
+	generation   int             // generation of the machine's process to which this state belongs
+	nextAttempt  time.Duration   // simulated time of the next join request
 	failures     int             // number of failed join requests
 	unresponsive map[string]bool // addresses that did not respond to the last request
 }
--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -16,7 +16,7 @@
 const (
 	defectBlankVote           = "blank member votes"                   // a member that lost its disk votes before it has caught up
 	defectStaleWatchResponse  = "watch ignores unapplied entries"      // watch responses ignore newer versions in unapplied log entries
-	defectStaleWatchAfterKill = "watch ignores unapplied after a kill" // as defectStaleWatchResponse, but only in the polls right after the leader is killed
+	defectStaleWatchAfterKill = "watch ignores unapplied after a kill" // watch responses ignore newer versions in unapplied entries, but only in the polls right after the leader is killed
 	defectStaleView           = "published view lacks unapplied"       // a group's published view ignores newer versions in unapplied log entries
 	defectLateLease           = "lease measured from response"         // a holder measures its lease from the response instead of the request, plus lateLeaseExtension
 	defectDeadTimer           = "election timer stopped"               // the election timer of a follower stops once it knows a leader
@@ -49,7 +49,7 @@
 	trace        []string       // log of the run, printed if a check fails
 	violations   []string       // failed checks, oldest first
 	counts       map[string]int // number of occurrences of each event
-	defect       string         // one of the defect constants, or empty
+	defect       string         // defect that is built in on purpose, one of the defect constants; empty: none
 }
 
 // newSimBase returns the base of a simulator. Each simulator passes a different stream, so that simulators with the
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -23,7 +23,7 @@
 
 // Timing of the group simulator.
 const (
-	groupSimStep = 5 * time.Millisecond   // step of virtual time
+	groupSimStep = 5 * time.Millisecond   // virtual time by which each step of the group simulator advances
 	groupSimTick = 100 * time.Millisecond // tick interval of a member, by its node's own clock
 )
 
@@ -56,7 +56,7 @@
 	restartAt    time.Duration   // time at which the process is started again; 0: not scheduled
 }
 
-// simTimer is an action to be run at a time.
+// simTimer is an action that the group simulator runs at a given virtual time.
 type simTimer struct {
 	at  time.Duration
 	run func()
@@ -65,7 +65,7 @@
 // groupSim is a simulation of a site with one group.
 type groupSim struct {
 	simBase                             // the links in partitioned stay partitioned until a fault or awaitRecovery clears them
-	bootstrapping       bool            // set during the first start of the site
+	bootstrapping       bool            // whether the site is in its first start, in which the seeds bootstrap the group
 	restoreGeneration   uint64          // restore generation of the group that clients use
 	toleratedLosses     int             // number of simultaneous node losses that the site has to tolerate
 	seeds               []string        // addresses of the seeds in the settings
@@ -76,7 +76,7 @@
 	slowAddr            string          // node whose incoming messages are delayed; empty: none
 	compactAt           int             // log size in bytes above which logs are compacted; 0: defaultCompactThreshold
 	trailingLogBytes    int             // compacted entries that members keep for lagging peers, in bytes
-	bodyPadding         string          // appended to the body of every new change
+	bodyPadding         string          // text that is appended to the body of every new change
 	changes             []*groupChange  // all changes that operators made
 	knownVersion        uint64          // newest version that operators know of
 	ackedCount          int             // number of acknowledged changes
--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -249,7 +249,7 @@
 		}
 		for _, node := range s.nodes {
 			if node.shard == nil || node.shard.failure != nil {
-				s.restartNodes(true) // a power loss that was scheduled earlier may still have occurred
+				s.restartNodes(true) // an earlier scheduled power loss may have stopped a node during the recovery
 			}
 		}
 		recovered = s.counts["acked"] > acked+2
--- a/internal/control/controlstate/sim_shard_test.go
+++ b/internal/control/controlstate/sim_shard_test.go
@@ -29,16 +29,16 @@
 	frozenUntil  time.Duration
 	nextTick     time.Duration
 	generation   int           // incremented at each start and kill, to recognize a later process
-	incarnation  string        // incarnation of the disk
+	incarnation  string        // incarnation under which the member uses the current disk
 	maxWriteTime time.Duration // maximum duration of a simulated disk write
-	isBlank      bool          // the member lost its disk and has not caught up yet
+	isBlank      bool          // whether the member lost its disk and has not caught up yet
 }
 
 // simWrite is a change of the document by an operator.
 type simWrite struct {
 	version         uint64
 	body            string
-	sentAt, ackedAt time.Duration // time of sending, and of the acknowledgement; ackedAt is 0 until then
+	sentAt, ackedAt time.Duration // times at which the write was sent and acknowledged; ackedAt is 0 until the acknowledgement
 }
 
 // shardSim is a simulation of a shard with three fixed members.
@@ -50,7 +50,7 @@
 	watcher       *simWatcher
 	grantedNonces map[byte]uint64   // nonces of granted claims, by first byte of the request ID
 	lastStatus    map[string]string // newest traced status by node; used only if debug is set
-	debug         bool              // trace each read and each change of a member's status
+	debug         bool              // whether each read and each change of a member's status is traced
 }
 
 // simWatcher polls all members for newer versions of the document and derives proofs of freshness, as a node agent does.
@@ -61,7 +61,7 @@
 
 // Timing of the shard simulator.
 const (
-	shardSimStep = 5 * time.Millisecond  // step of virtual time
+	shardSimStep = 5 * time.Millisecond  // virtual time by which each step of the shard simulator advances
 	shardSimTick = 50 * time.Millisecond // tick interval of the consensus core, by each node's own clock
 )
 
--- a/internal/control/controlstate/start_fixed.go
+++ b/internal/control/controlstate/start_fixed.go
@@ -19,10 +19,10 @@
 // Timing of a node with fixed members. The ratios are fractions of settings.Bounds.Heal, the configured time to
 // restore service after a fault.
 const (
-	fixedTickRatio           = 1.0 / 240 // interval between ticks of each consensus core
+	fixedTickRatio           = 1.0 / 240 // interval between ticks of each consensus core, as a fraction of Bounds.Heal
 	fixedHeartbeatTicks      = 2
 	fixedElectionTicks       = 12
-	seedRefreshIntervalRatio = 0.25 // interval between reads of the seeds in the configuration document
+	seedRefreshIntervalRatio = 0.25 // interval between reads of the seeds in the configuration document, as a fraction of Bounds.Heal
 )
 
 // configuredSeedCount is the number of seeds of the cluster membership that a configuration must list. Lists of
--- a/internal/control/controlstate/state_test.go
+++ b/internal/control/controlstate/state_test.go
@@ -194,17 +194,17 @@
 	stateMachine := newState()
 	for number := range maxClaims {
 		if granted, full := applyClaim(stateMachine, 0, claimOf(number, 1)); !granted || full {
-			t.Fatalf("claim %d of %d: granted %v, table full %v, want it granted", number+1, maxClaims, granted, full)
+			t.Fatalf("claim of request ID %d of %d: granted %v, table full %v, want it granted", number+1, maxClaims, granted, full)
 		}
 	}
 	if granted, full := applyClaim(stateMachine, defaultClaimRetention-1, claimOf(maxClaims, 1)); granted || !full {
-		t.Fatalf("claim of a new ID in a full table: granted %v, table full %v, want it rejected as full", granted, full)
+		t.Fatalf("claim of a new request ID in a full table: granted %v, table full %v, want it rejected as full", granted, full)
 	}
 	if granted, _ := applyClaim(stateMachine, 0, claimOf(0, 2)); granted {
-		t.Fatal("ID of the oldest claim was granted to another caller before the end of its retention")
+		t.Fatal("request ID of the oldest claim was granted to another caller before the end of its retention")
 	}
 	if granted, _ := applyClaim(stateMachine, 0, claimOf(0, 1)); !granted {
-		t.Fatal("claim that its holder repeated was rejected, want it granted again")
+		t.Fatal("claim of a request ID that its holder repeated was rejected, want it granted again")
 	}
 	saved, err := stateMachine.save()
 	if err != nil || len(saved) > 4<<20 {
@@ -236,16 +236,16 @@
 func checkReleases(t *testing.T, s *state) {
 	t.Helper()
 	if granted, _ := applyClaim(s, 0, releaseOf(7, 1)); !granted {
-		t.Fatal("release of a claimed ID by its holder was rejected")
+		t.Fatal("release of a claimed request ID by its holder was rejected")
 	}
 	if granted, _ := applyClaim(s, 0, claimOf(7, 9)); !granted {
-		t.Fatal("claim of a released ID was rejected")
+		t.Fatal("claim of a released request ID was rejected")
 	}
 	if granted, _ := applyClaim(s, 1, claimOf(0, 2)); !granted {
-		t.Fatal("ID of a claim older than the retention was not granted to another caller")
+		t.Fatal("request ID whose claim is older than the retention was not granted to another caller")
 	}
 	if granted, _ := applyClaim(s, 0, claimOf(7, 8)); granted {
-		t.Fatal("ID that was released and claimed again was evicted by the age of its first claim")
+		t.Fatal("request ID that was released and claimed again was evicted by the age of its first claim")
 	}
 }
 
--- a/internal/control/controlstate/transport.go
+++ b/internal/control/controlstate/transport.go
@@ -18,8 +18,8 @@
 	maxQueuedLarge       = 2        // maximum number of large messages queued for one address
 	maxBatchMessages     = 16       // maximum number of small messages sent in one Deliver request
 	largeMessageBytes    = 16 << 10 // payload size in bytes from which a message counts as large
-	sendTimeoutRatio     = 1.0 / 24 // time-out of a Deliver request without a payload
-	megabyteTimeoutRatio = 1.0      // added to the time-out of a Deliver request for each MiB of payload
+	sendTimeoutRatio     = 1.0 / 24 // time-out of a Deliver request without a payload, as a fraction of Bounds.Heal
+	megabyteTimeoutRatio = 1.0      // time added to the time-out of a Deliver request for each MiB of payload, as a fraction of Bounds.Heal
 )
 
 // transport sends the consensus messages of a group. Each address has a queue for small messages and one for large
--- a/internal/control/controlstate/two_changes_test.go
+++ b/internal/control/controlstate/two_changes_test.go
@@ -20,7 +20,7 @@
 	newLeader
 	snapshotAndRestart
 	eventCount
-	secondNewLeader = eventCount // only if longSearchVar is set
+	secondNewLeader = eventCount // second change of leader, which is an event only if longSearchVar is set
 )
 
 // longSearchVar is the environment variable that, if it is not empty, adds a second change of leader to the events.
@@ -36,7 +36,7 @@
 
 const (
 	toLeader         sendTarget = iota
-	toIsolatedMember            // the leader if no member is isolated
+	toIsolatedMember            // the isolated member; the leader if no member is isolated
 )
 
 // otherKey is the key of a document other than the routing configuration. Changes of it are neither merged nor
@@ -110,7 +110,7 @@
 		tc.runEvent(cluster, event)
 	}
 	cluster.heal()
-	if !first.acked && !second.acked && !first.inForce && !second.inForce { // no attempt had an effect
+	if !first.acked && !second.acked && !first.inForce && !second.inForce { // neither change was acknowledged or applied by any of its attempts
 		cluster.sendAndDeliver(first, cluster.leader())
 	}
 	third := &testChange{name: "third", baseVersion: version, newVersion: 2 * version}
