--- a/internal/control/controlstate/catch_up_test.go
+++ b/internal/control/controlstate/catch_up_test.go
@@ -82,9 +82,9 @@
 // catchUpRun injects faults into a catchUpSim while configuration changes are made.
 type catchUpRun struct {
 	*catchUpSim
-	routes  int                      // size of the routing configurations
-	longest map[string]time.Duration // by fault: the longest time that a member took to catch up
-	counts  map[string]int           // by fault: how often it was injected
+	routes  int                      // size of the routing configurations, in routes
+	longest map[string]time.Duration // longest time that a member took to catch up, by name of the fault
+	counts  map[string]int           // number of times that each fault was injected, by its name
 }
 
 // makeChanges makes a number of configuration changes, and fails the test if one is not acknowledged within 20 s.
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -28,33 +28,33 @@
 	queued         []catchUpMessage
 	sentMessages   int
 	links          map[string]*simLink // links between machines; keys have the form "from>to", with the addresses of the two machines
-	bytesPerSecond int                 // bandwidth of each link
+	bytesPerSecond int                 // bandwidth of each link, in bytes per second
 	isolated       map[string]bool     // addresses of isolated machines
 	ackedVersion   uint64              // last acknowledged version of the routing configuration
-	bodies         map[uint64][]byte   // by version: the bodies of the last eight versions that were sent
-	termLeaders    map[uint64]string   // by term: the incarnation of the leader
-	trailingBytes  int                 // consensus.Config.TrailingLogBytes of the members
+	bodies         map[uint64][]byte   // bodies of the last eight routing configurations that were sent, by version
+	termLeaders    map[uint64]string   // incarnation of the leader of each term, by term
+	trailingBytes  int                 // compacted log entries that members keep for lagging peers, in bytes
 }
 
 // catchUpNode is one simulated machine.
 type catchUpNode struct {
 	addr          string
 	disk          *simDisk
-	shard         *shard // nil while the process is down
+	shard         *shard // the machine's member of the group; nil while the process is down
 	clock         *clock.Manual
 	starts        int // incremented at each start and stop, so that messages of an earlier process are recognized
 	nextTick      time.Duration
-	nextJoin      time.Duration // earliest time of the next join request
+	nextJoin      time.Duration // earliest virtual time at which the machine sends its next join request
 	version       uint64        // version of the routing configuration that the current process has applied
-	isRemoved     bool          // the machine was removed permanently
+	isRemoved     bool          // whether the machine was removed permanently
 	receivedBytes int           // total payload of the large messages sent to this machine
 }
 
 // Timing of the simulation. Virtual time advances by catchUpStep; the other values follow from the default heal bound.
 const (
 	catchUpStep = 5 * time.Millisecond
-	catchUpTick = 100 * time.Millisecond // groupTick of catchUpHeal
-	catchUpHeal = 12 * time.Second       // default heal bound
+	catchUpTick = 100 * time.Millisecond // interval between ticks of a member: the fraction groupTick of catchUpHeal
+	catchUpHeal = 12 * time.Second       // heal bound (time to restore service after a fault) of the simulated site, which is the default
 	linkDelay   = 2 * time.Millisecond   // latency of a message, in addition to its transmission time
 )
 
--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -21,7 +21,7 @@
 // while machines stop, restart, become unreachable and lose their leadership.
 const (
 	searchOperators = 8                // number of operators, each with one change in flight
-	searchMachines  = 5                // three voters and two spares
+	searchMachines  = 5                // number of machines: three voters and two spares
 	searchTime      = 15 * time.Second // duration of the faults and requests of one seed
 	searchSeeds     = 2
 	searchSeedsVar  = "ORDERS_SEEDS" // environment variable that overrides searchSeeds
@@ -51,10 +51,10 @@
 	mu           sync.Mutex
 	nodes        map[int]*Node // nodes of the running machines, by machine number
 	changes      []*sentChange
-	knownVersion uint64          // newest version that was acknowledged or read
-	ackedVersion uint64          // newest version that was acknowledged
-	counts       map[string]int  // number of occurrences, by event
-	readBodies   map[string]bool // configurations that were read
+	knownVersion uint64          // newest version of the configuration that was acknowledged or read
+	ackedVersion uint64          // newest version of the configuration that was acknowledged
+	counts       map[string]int  // number of occurrences of each event, by its name
+	readBodies   map[string]bool // bodies of all configurations that were returned by reads
 	violations   []string
 	stopped      atomic.Bool
 }
--- a/internal/control/controlstate/group_disk_test.go
+++ b/internal/control/controlstate/group_disk_test.go
@@ -19,7 +19,7 @@
 	replica   *shard
 	newest    uint64 // highest acknowledged version of the document
 	starts    int
-	crashes   int // crashes of the process during a write
+	crashes   int // number of crashes of the process during a write
 	ackedPuts int
 }
 
--- a/internal/control/controlstate/idempotency_test.go
+++ b/internal/control/controlstate/idempotency_test.go
@@ -77,7 +77,7 @@
 // been applied. A new change that is based on an old version is a conflict if all changes since that version are still
 // on record, and gets an unknown outcome otherwise.
 func TestForgottenChangeHasUnknownOutcome(t *testing.T) {
-	const evicted = 50 // changes whose records have been evicted
+	const evicted = 50 // number of changes whose idempotency records have been evicted
 	s := stateAfter(t, maxConfigRecords+evicted)
 	for name, s := range map[string]*state{"state from the log": s, "state from a snapshot": reloaded(t, s)} {
 		for n := 1; n <= maxConfigRecords+evicted; n++ {
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -54,7 +54,7 @@
 	direction         isolationDirection
 	restarts          restartSet
 	onlyIsolatedSeeds bool // members restart with the isolated member as their only seed
-	withSpare         bool // a fourth machine is a spare
+	withSpare         bool // whether a fourth machine runs as a spare
 	isolatesPair      bool // two of five members are isolated together, and can reach each other
 }
 
@@ -251,7 +251,7 @@
 			w.putAtOthers(base, config)
 		}
 		for _, machine := range w.others[:2] {
-			_ = w.readConfig(machine) // checks that the version is not stale
+			_ = w.readConfig(machine) // the call also checks that the version it reads is not stale
 		}
 		if view := w.node(w.isolatedMachine).shards[0].published.current(); view.isLeader && w.elapsed()-begun > maxStepDownTime {
 			w.t.Errorf("at %v: isolated member is still the leader %v after the start of the isolation, want a step-down within %v", w.elapsed(), w.elapsed()-begun, maxStepDownTime)
--- a/internal/control/controlstate/isolation_world_test.go
+++ b/internal/control/controlstate/isolation_world_test.go
@@ -23,11 +23,11 @@
 	isolatedMachine int // number of the machine to isolate
 	// isolatedPeer is a machine that is isolated together with the first one and can still reach it; 0: none.
 	isolatedPeer int
-	others       []int // machines that are not isolated
+	others       []int // numbers of the machines that are not isolated
 
 	mu              sync.Mutex
 	ackedVersion    uint64               // newest acknowledged version of the configuration
-	ackedAt         map[uint64]time.Time // time of the first acknowledgement, by version
+	ackedAt         map[uint64]time.Time // time of the first acknowledgement of each version of the configuration, by version
 	edges           []*isolationEdge
 	leases          [2]*controlclient.Lease // leases of the two holders: the first uses the isolated member, the second the others
 	lastLeaseAt     [2]time.Duration        // time at which each holder last had the lease
@@ -38,7 +38,7 @@
 
 // isolationEdge is a simulated edge machine that follows the configuration through long polls to some members.
 type isolationEdge struct {
-	machines []int // machines that the edge can reach
+	machines []int // numbers of the machines that the edge machine can reach
 	mu       sync.Mutex
 	proof    *agent.FreshnessProof
 	version  uint64
--- a/internal/control/controlstate/join_test.go
+++ b/internal/control/controlstate/join_test.go
@@ -10,8 +10,8 @@
 func TestJoinCandidates(t *testing.T) {
 	all := []string{"a", "b", "c", "d"}
 	for _, test := range []struct {
-		unresponsive string // addresses, one character each
-		want         string // candidates after 0 to 8 failed requests
+		unresponsive string // addresses that did not respond to their last join request, one character each
+		want         string // candidates for the next join requests, after 0 to 8 failed ones
 	}{
 		{"", "[[a b] [b c] [c d] [d a] [a b] [b c] [c d] [d a] [a b]]"},
 		{"a", "[[b c] [c d] [d b] [b a] [c d] [d b] [b c] [c a] [d b]]"},
--- a/internal/control/controlstate/merge.go
+++ b/internal/control/controlstate/merge.go
@@ -14,7 +14,7 @@
 // before the change is proposed.
 type mergedConfig struct {
 	baseVersion uint64 // version of the configuration document that the change was merged into
-	body        []byte // merged configuration
+	body        []byte // encoded configuration that results from the merge
 	version     uint64 // version that the configuration document gets; 0: baseVersion plus one
 	err         error  // why the merged configuration is invalid; nil if it is valid
 }
--- a/internal/control/controlstate/node_history_test.go
+++ b/internal/control/controlstate/node_history_test.go
@@ -36,10 +36,10 @@
 	history      history.History
 	mu           sync.Mutex
 	random       *rand.Rand
-	counts       map[string]int    // by event or fault: how often it happened
+	counts       map[string]int    // number of occurrences of each event or fault, by its name
 	knownVersion uint64            // highest version of the routing configuration in any response to an operator or reader
 	ackedWeights uint64            // highest acknowledged weights version of weightsModel
-	tokenHolders map[uint64]string // by fencing token: the lease holder that received it
+	tokenHolders map[uint64]string // lease holder that received each fencing token, by token
 }
 
 func newNodeHistoryCluster(t *testing.T, seed uint64) *nodeHistoryCluster {
@@ -227,7 +227,7 @@
 // nodeFault is a kind of fault. inject returns after the fault has ended, except that partitions last until heal is called.
 type nodeFault struct {
 	name   string
-	inject func(*nodeHistoryCluster, int) // receives the number of a random machine
+	inject func(*nodeHistoryCluster, int) // injects the fault; receives the number of a random machine
 }
 
 // nodeFaults are the faults from which a run chooses at random.
--- a/internal/control/controlstate/repeated_weights_test.go
+++ b/internal/control/controlstate/repeated_weights_test.go
@@ -70,7 +70,7 @@
 			cluster.start(i+1, false)
 		}
 		nodes = []*Node{cluster.node(1)}
-		set(nodes[0], "m0", 2) // lower than the highest version that was set
+		set(nodes[0], "m0", 2) // version 2 is lower than the highest one that was set for this model
 		cluster.waitUntil("weights version 6 of the models m0 and m1", 3*time.Second, func() bool { follow(); return observed["m0"] == 6 && observed["m1"] == 6 })
 	})
 }
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -29,7 +29,7 @@
 	members     []*scriptedMember
 	inFlight    []*wire.Message
 	isolated    *scriptedMember   // member that can neither send nor receive; nil if there is none
-	bodies      map[uint64]string // by version: the applied body of the document
+	bodies      map[uint64]string // applied body of each version of the document, by version
 	newestAcked uint64            // highest acknowledged version of the document
 	changes     []*testChange
 	violations  []string
@@ -48,8 +48,8 @@
 type testChange struct {
 	name                    string
 	baseVersion, newVersion uint64
-	acked, rejected         bool // some response acknowledged or rejected the change
-	inForce                 bool // some member has applied the change
+	acked, rejected         bool // whether some response acknowledged or rejected the change
+	inForce                 bool // whether some member has applied the change
 }
 
 // newScriptedCluster starts three members, none of which is the leader yet.
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -140,8 +140,8 @@
 
 // repairRow is a row of the table in docs/control.md. It describes which losses each step of a repair tolerates.
 type repairRow struct {
-	tolerated          []int            // by step: number of further machines that may be lost
-	stepsWithoutQuorum map[string][]int // by second loss: steps at which that loss leaves no quorum
+	tolerated          []int            // number of further machines that may be lost at each step of the repair
+	stepsWithoutQuorum map[string][]int // steps of the repair at which a second loss leaves no quorum, by kind of the second loss
 }
 
 // secondLossColumns lists the second losses, each of which is a column of the table of second losses in docs/control.md.
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -75,9 +75,9 @@
 	checksTolerance  bool                         // check at each step that the group tolerates no fewer losses than initialTolerance
 	initialTolerance int                          // number of losses that the group tolerated when the repair began
 	lastReturnAt     time.Duration                // latest time at which a lost machine returns
-	joins            map[*groupSimNode]*joinState // join requests of each machine
+	joins            map[*groupSimNode]*joinState // state of each machine's join requests
 
-	bytesPerSecond float64               // bandwidth of each machine's link; 0: no limit
+	bytesPerSecond float64               // bandwidth of each machine's link, in bytes per second; 0: no limit
 	throttled      map[*groupSimNode]int // generation of the machine's process whose link is throttled
 }
 
@@ -85,8 +85,8 @@
 type joinState struct {
 	generation   int             // generation of the machine's process to which this state belongs
 	nextAttempt  time.Duration   // simulated time of the next join request
-	failures     int             // number of failed join requests
-	unresponsive map[string]bool // addresses that did not respond to the last request
+	failures     int             // number of this machine's join requests that failed
+	unresponsive map[string]bool // addresses that did not respond to the last join request sent to them
 }
 
 // newLossRun starts the machines of a scenario.
--- a/internal/control/controlstate/shard.go
+++ b/internal/control/controlstate/shard.go
@@ -31,7 +31,7 @@
 	log      hclog.Logger
 	send     func(*wire.Message)
 	commands *queue.Ring[func()]
-	ctx      context.Context // context that ends with the process
+	ctx      context.Context // context that ends when the node's process ends
 	failure  error           // why this member does not take part in consensus; nil while it does
 
 	pendingProposals map[uint64]pendingProposal // proposals of this leader that wait for their entry to be applied, by log index
@@ -42,7 +42,7 @@
 
 	claimRetention  time.Duration // how long the claim of an at-most-once request ID is kept
 	ageRecordedAt   time.Duration // local time at which this member last proposed an advance of the shard's clock (claimTable.age)
-	ageRecordedTerm uint64        // term in which ageRecordedAt was set
+	ageRecordedTerm uint64        // term in which this member last proposed an advance of the shard's clock (at ageRecordedAt)
 
 	compactThreshold int // log size in bytes above which the log is compacted if it is also larger than the newest snapshot
 	snapshotBytes    int // size of the state in the newest snapshot, in bytes
--- a/internal/control/controlstate/sim_disk_test.go
+++ b/internal/control/controlstate/sim_disk_test.go
@@ -11,9 +11,9 @@
 // synced when it returns.
 type simDisk struct {
 	files       map[string][]byte
-	failWrites  bool   // every write fails, as on a full disk
+	failWrites  bool   // whether every write fails, as on a full disk
 	powerBudget int    // bytes that can still be written before the power fails; negative: it does not fail
-	beforeWrite func() // called before every write
+	beforeWrite func() // function that is called before every write to this disk
 }
 
 // corruptSnapshots flips a bit in each snapshot file of a disk, so that no snapshot can be decoded.
@@ -83,7 +83,7 @@
 	failWrites       bool
 	writesUntilCrash int // writes until the process crashes during one; negative: it does not crash
 	crashed          bool
-	beforeWrite      func() // called before every write
+	beforeWrite      func() // function that is called before every write to this disk
 }
 
 // newCacheDisk returns an empty disk that draws its random numbers from random.
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -52,7 +52,7 @@
 	knownAddrs   map[string]bool // addresses of other control nodes that the node knows: the seeds and those learned by gossip
 	generation   int             // incremented at each start and kill, to recognize a later process
 	maxWriteTime time.Duration   // maximum duration of a simulated disk write
-	isRemoved    bool            // the node was removed permanently
+	isRemoved    bool            // whether the node was removed permanently
 	restartAt    time.Duration   // time at which the process is started again; 0: not scheduled
 }
 
@@ -72,20 +72,20 @@
 	nodes               []*groupSimNode // all nodes, including those that are down or permanently removed
 	phasePartitions     map[string]bool // links that drop all messages for the duration of a phase, by "from>to"
 	isolatedAddr        string          // node whose links are partitioned in both directions by isolationPhase; empty: none
-	isolatedSince       time.Duration   // start of the isolation of isolatedAddr
+	isolatedSince       time.Duration   // virtual time at which the isolation of the node isolatedAddr began
 	slowAddr            string          // node whose incoming messages are delayed; empty: none
 	compactAt           int             // log size in bytes above which logs are compacted; 0: defaultCompactThreshold
 	trailingLogBytes    int             // compacted entries that members keep for lagging peers, in bytes
 	bodyPadding         string          // text that is appended to the body of every new change
 	changes             []*groupChange  // all changes that operators made
-	knownVersion        uint64          // newest version that operators know of
+	knownVersion        uint64          // newest version of the routing configuration that operators know of
 	ackedCount          int             // number of acknowledged changes
 	timers              []simTimer
 	eventHooks          map[string]func() // functions to be called at the next occurrence of an event
-	secondFaultInjected bool              // a fault armed by armSecondFault has been injected
+	secondFaultInjected bool              // whether a fault armed by armSecondFault has been injected
 	lastLeader          string            // address and term of the newest leader
 	writeLoad           *simWriteLoad     // sustained write load in progress; nil: none
-	history             history.History   // operations of operators and readers
+	history             history.History   // requests of operators and readers, with their responses, for the linearizability check
 	agent               *simAgent
 	fencingTokenHolders map[uint64]string // clients that were granted the lease, by fencing token
 	// With allFaults, operators make concurrent changes, send bursts and retry very old changes, nodes exchange
--- a/internal/control/controlstate/sim_network_test.go
+++ b/internal/control/controlstate/sim_network_test.go
@@ -16,7 +16,7 @@
 type simNetwork struct {
 	mu          sync.Mutex
 	partitioned map[[2]string]bool // partitioned links, by sender and receiver
-	changed     chan struct{}      // closed whenever a partition begins or ends
+	changed     chan struct{}      // channel that is closed, and replaced, whenever a partition begins or ends
 }
 
 // dialTimeout limits an attempt to connect, like the dial time-out of a process.
@@ -87,11 +87,11 @@
 	network        *simNetwork
 	from, to       string
 	mu             sync.Mutex
-	buffer         []byte // data that was sent and not yet read
+	buffer         []byte // data that was sent over the connection and not yet read
 	senderClosed   bool
 	receiverClosed bool
-	deadline       time.Time     // deadline for reads
-	changed        chan struct{} // closed at the next change of the fields above
+	deadline       time.Time     // time at which a pending read of the connection fails; zero: never
+	changed        chan struct{} // channel that is closed at the next change of the buffer, the deadline or the end of the connection
 }
 
 // newHalfConn returns one direction of a new connection.
--- a/internal/control/controlstate/state.go
+++ b/internal/control/controlstate/state.go
@@ -32,9 +32,9 @@
 // state is the replicated state machine of a shard. Only apply changes it, in log order. All members compute the same
 // state from the same log, except for grantedAt, which is local.
 type state struct {
-	documents     map[string]*wire.Document // documents by key
+	documents     map[string]*wire.Document // documents of the shard, by key
 	documentBytes int                       // total size of all documents' bodies, in bytes
-	leases        map[string]*wire.Lease    // leases by name
+	leases        map[string]*wire.Lease    // leases of the shard, by name
 	grantedAt     map[string]time.Duration  // local time at which this member applied the last grant of a lease, by the lease's name
 	claims        claimTable
 	recentTokens  []*wire.ChangeToken            // newest idempotency tokens of changes of all documents, oldest first
--- a/internal/control/controlstate/transport_test.go
+++ b/internal/control/controlstate/transport_test.go
@@ -19,9 +19,9 @@
 type stalledMember struct {
 	wire.ControlNode
 	mu                           sync.Mutex
-	stalled                      chan struct{} // large messages wait until this channel is closed; nil: they do not stall
+	stalled                      chan struct{} // channel for whose closing the delivery of large messages waits; nil: they do not stall
 	smallMessages, largeMessages int
-	largeStarted                 int // large messages whose delivery has started
+	largeStarted                 int // number of large messages whose delivery has started
 }
 
 func (s *stalledMember) Deliver(ctx context.Context, b *wire.MessageBatch) (*wire.BatchReceipt, error) {
