--- a/internal/control/controlstate/catch_up_test.go
+++ b/internal/control/controlstate/catch_up_test.go
@@ -129,7 +129,7 @@
 	r.awaitComplete()
 }
 
-// awaitComplete waits until the group has three voters and all of them have caught up.
+// awaitComplete waits until the group has three voters and all of them have applied the last acknowledged version.
 func (r *catchUpRun) awaitComplete() {
 	r.t.Helper()
 	r.waitUntil("three voters that have all caught up", 30*time.Second, func() bool {
--- a/internal/control/controlstate/catch_up_world_test.go
+++ b/internal/control/controlstate/catch_up_world_test.go
@@ -36,7 +36,7 @@
 	trailingBytes  int                 // compacted log entries that members keep for lagging peers, in bytes
 }
 
-// catchUpNode is one simulated machine.
+// catchUpNode is a simulated control machine of a catchUpSim.
 type catchUpNode struct {
 	addr          string
 	disk          *simDisk
@@ -267,7 +267,7 @@
 	return s.now - startedAt
 }
 
-// logStatus logs the status of all running members.
+// logStatus writes the status of all running members to the test log.
 func (s *catchUpSim) logStatus() {
 	for _, node := range s.nodes {
 		if node.shard != nil {
--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -38,7 +38,7 @@
 	attempts                int
 }
 
-// name identifies a change in messages.
+// name returns a text that identifies a change in test messages.
 func (c *sentChange) name() string {
 	return fmt.Sprintf("to configuration version %d (%s)", c.newVersion, c.text)
 }
@@ -59,7 +59,7 @@
 	stopped      atomic.Bool
 }
 
-// locked runs a function with the mutex locked. The function must not block.
+// locked runs a function while it holds the mutex of the changeSearch. The function must not block.
 func (s *changeSearch) locked(run func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -48,7 +48,8 @@
 	restartAll      restartSet = "all members"
 )
 
-// isolationScenario is one combination of isolation and restarts.
+// isolationScenario is one combination of which members are isolated, in which direction, and which members restart
+// meanwhile.
 type isolationScenario struct {
 	isolatesLeader    bool // the leader is isolated instead of a follower
 	direction         isolationDirection
@@ -76,7 +77,7 @@
 	return text
 }
 
-// isolationScenarios returns all combinations to test.
+// isolationScenarios returns all combinations of isolated members, directions and restarts to test.
 func isolationScenarios() (scenarios []isolationScenario) {
 	for _, isolatesLeader := range []bool{true, false} {
 		for _, direction := range []isolationDirection{isolatedBoth, isolatedOut, isolatedIn} {
--- a/internal/control/controlstate/node_history_test.go
+++ b/internal/control/controlstate/node_history_test.go
@@ -18,7 +18,7 @@
 	"pebbleloom/internal/sim/history"
 )
 
-// Parameters of a run of nodeHistoryCluster.
+// Numbers of machines and clients, and durations, of a run of nodeHistoryCluster.
 const (
 	historyMachines  = 4
 	historyOperators = 3
@@ -74,7 +74,7 @@
 	return c.knownVersion
 }
 
-// learnVersion records a version that a response contained.
+// learnVersion records a version of the routing configuration that a response contained.
 func (c *nodeHistoryCluster) learnVersion(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -230,7 +230,7 @@
 	inject func(*nodeHistoryCluster, int) // injects the fault; receives the number of a random machine
 }
 
-// nodeFaults are the faults from which a run chooses at random.
+// nodeFaults are the faults of which nodeHistoryCluster injects random ones into the machines.
 var nodeFaults = []nodeFault{
 	{"machine killed", func(c *nodeHistoryCluster, machine int) { c.restart([]int{machine}, c.kill) }},
 	{"leader killed", func(c *nodeHistoryCluster, machine int) { c.restart([]int{max(1, c.leader())}, c.kill) }},
@@ -286,7 +286,7 @@
 	})
 }
 
-// heal ends all partitions.
+// heal ends all partitions between machines.
 func (c *nodeHistoryCluster) heal() {
 	c.network.update(func(partitioned map[[2]string]bool) { clear(partitioned) })
 }
--- a/internal/control/controlstate/restore_test.go
+++ b/internal/control/controlstate/restore_test.go
@@ -16,7 +16,7 @@
 	"pebbleloom/internal/wire"
 )
 
-// Checks the objections to a restore for various reports of the control nodes.
+// Checks the reasons against restoring a group from one member that result from various reports of the control nodes.
 func TestObjectionsToRestore(t *testing.T) {
 	five := membership{[]string{"a/0", "b/0", "c/0", "d/0", "e/0"}, logPosition{2, 7}}
 	reportOf := func(name string, end logPosition) memberReport {
@@ -37,7 +37,7 @@
 		name     string
 		self     memberReport
 		answered []memberReport
-		want     string // substring of the objections; empty: no objection
+		want     string // text that the objections to the restore must contain; empty: no objection
 	}{
 		{"only this member responds", self, nil, ""},
 		{"two of five members respond", self, []memberReport{reportOf("b/0", logPosition{2, 8})}, ""},
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// violationf records a violation of an invariant, once for each text.
+// violationf records a violation of an invariant, unless one with the same text is recorded already.
 func (c *scriptedCluster) violationf(format string, args ...any) {
 	if text := fmt.Sprintf(format, args...); !slices.Contains(c.violations, text) {
 		c.violations = append(c.violations, text)
--- a/internal/control/controlstate/second_loss_join_test.go
+++ b/internal/control/controlstate/second_loss_join_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// memberCount returns the number of members in the newest membership.
+// memberCount returns the number of voters in the newest membership in the logs of all running machines.
 func (r *lossRun) memberCount() int { return len(r.newestMembership()) }
 
 // throttle limits the link of a node to bytesPerSecond: its messages are sent one after another at that rate.
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -22,7 +22,7 @@
 // repairFailure is the way in which members are lost. The values appear in the table in docs/control.md.
 type repairFailure string
 
-// Ways in which members are lost.
+// Ways in which the members that a repair replaces are lost.
 const (
 	failureWiped   repairFailure = "disk lost"         // the machine returns with an empty disk
 	failureSilent  repairFailure = "silent, disk kept" // the machine does not respond, but may return with its disk
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -27,7 +27,7 @@
 // lossCompactAt is the size of the log in bytes above which members compact it in these tests.
 const lossCompactAt = 3000
 
-// lossTarget selects the machine that is lost.
+// lossTarget selects the machine that a simulated loss hits.
 type lossTarget string
 
 // Machines that a simulated loss can hit.
@@ -37,7 +37,7 @@
 	targetFollower  lossTarget = "follower"
 )
 
-// lossTargets lists all targets of a second loss.
+// lossTargets lists all machines that a simulated second loss can hit.
 var lossTargets = []lossTarget{targetLeader, targetFirstLost, targetFollower}
 
 // Durations that the contract guarantees for small sites, and upper bounds that follow from them.
--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -27,7 +27,7 @@
 // lateLeaseExtension is the time that defectLateLease adds to a lease.
 const lateLeaseExtension = 2 * time.Second
 
-// Time-outs of simulated clients.
+// Durations after which simulated clients stop waiting for a response.
 const (
 	answerTimeout = 10 * time.Second       // maximum wait for the response to a request
 	pollTime      = 300 * time.Millisecond // duration of a long poll if there is no newer version
@@ -65,7 +65,7 @@
 	message   *wire.Message
 }
 
-// simRead is a completed read of the document.
+// simRead is a completed read of the document that simulated clients change and read.
 type simRead struct {
 	version            uint64
 	body               string
@@ -82,7 +82,7 @@
 	pausedUntil    time.Duration // the client sends no request before this time
 }
 
-// Clocks and leases of a simulation.
+// Drift of the clocks and duration of the leases in a simulation.
 const (
 	clockDrift  = 0.03            // the clocks of nodes and lease holders run at rates from 1-clockDrift to 1+clockDrift
 	simLeaseTTL = 3 * time.Second // duration of a granted lease
@@ -93,7 +93,7 @@
 	s.trace = append(s.trace, fmt.Sprintf("%8.3f ", s.now.Seconds())+fmt.Sprintf(format, a...))
 }
 
-// violationf records a failed check.
+// violationf records a failed check of the simulation with the given message.
 func (s *simBase) violationf(format string, a ...any) {
 	s.tracef("failed check: "+format, a...)
 	s.violations = append(s.violations, fmt.Sprintf(format, a...))
--- a/internal/control/controlstate/sim_group_clients_test.go
+++ b/internal/control/controlstate/sim_group_clients_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// read sends a read to a node and checks the result.
+// read sends a read of the routing configuration to a node and checks the result against earlier changes and reads.
 func (s *groupSim) read(node *groupSimNode) {
 	startedAt, query := s.now, s.history.BeginRead(routingconfig.DocumentKey)
 	s.readAt(node, func(version uint64, body string) {
--- a/internal/control/controlstate/sim_group_faults_test.go
+++ b/internal/control/controlstate/sim_group_faults_test.go
@@ -24,7 +24,7 @@
 	inject func(*groupSim, *groupSimNode)
 }
 
-// simFaults are drawn with probabilities proportional to their weights.
+// simFaults are the faults that the group simulator injects, each with a probability proportional to its weight.
 var simFaults = []simFault{
 	{"node killed", 2, func(s *groupSim, node *groupSimNode) {
 		s.tracef("kill node %s", node.addr)
@@ -90,7 +90,7 @@
 	}
 }
 
-// killLeader kills the leader, if there is one.
+// killLeader kills the process of the leader's node, if there is a leader.
 func (s *groupSim) killLeader(powerLoss bool) {
 	if leader := s.leader(); leader != nil {
 		s.tracef("kill leader %s, power loss %v", leader.addr, powerLoss)
@@ -225,7 +225,7 @@
 	return response.Outcome == wire.OutcomeDone
 }
 
-// secondFaults are the faults that may occur during a repair or a replacement. None of them destroys a disk.
+// secondFaults are the faults that may occur while a lost group member is repaired or replaced. None of them destroys a disk.
 var secondFaults = []simFault{
 	{"kill the leader", 1, func(s *groupSim, _ *groupSimNode) { s.killLeader(false) }},
 	{"power loss of the leader", 1, func(s *groupSim, _ *groupSimNode) { s.killLeader(true) }},
--- a/internal/control/controlstate/sim_group_step_test.go
+++ b/internal/control/controlstate/sim_group_step_test.go
@@ -67,7 +67,7 @@
 	s.timers = append(s.timers, simTimer{s.now + delay, run})
 }
 
-// fireEvent runs and removes the hook for an event, if there is one.
+// fireEvent runs and removes the function that the simulation has registered for an event in eventHooks, if any.
 func (s *groupSim) fireEvent(name string) {
 	if hook := s.eventHooks[name]; hook != nil {
 		delete(s.eventHooks, name)
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -39,7 +39,7 @@
 	eventNewLeader      = "new leader"
 )
 
-// groupSimNode is a simulated control node.
+// groupSimNode is a control node in the group simulator.
 type groupSimNode struct {
 	addr         string
 	disk         *cacheDisk
--- a/internal/control/controlstate/sim_network_test.go
+++ b/internal/control/controlstate/sim_network_test.go
@@ -36,7 +36,7 @@
 	n.changed = make(chan struct{})
 }
 
-// heal ends all partitions.
+// heal ends all partitions of the simulated network.
 func (n *simNetwork) heal() {
 	n.update(func(partitioned map[[2]string]bool) { clear(partitioned) })
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// halfConn is one direction of a connection.
+// halfConn is one direction of a simulated network connection.
 type halfConn struct {
 	network        *simNetwork
 	from, to       string
@@ -99,7 +99,7 @@
 	return &halfConn{network: network, from: from, to: to, changed: make(chan struct{})}
 }
 
-// update changes the state of the direction and wakes its readers.
+// update changes the state of one direction of a connection and wakes its readers.
 func (h *halfConn) update(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -145,7 +145,7 @@
 	}
 }
 
-// write appends to the buffer, also while the link is partitioned.
+// write appends to the buffer of sent and unread data, also while the link is partitioned.
 func (h *halfConn) write(b []byte) (int, error) {
 	open, _ := h.network.isOpen(h.from, h.to)
 	err := error(nil)
@@ -162,7 +162,7 @@
 	return len(b), nil
 }
 
-// netConn is one end of a connection.
+// netConn is one end of a simulated network connection.
 type netConn struct{ in, out *halfConn }
 
 func (c *netConn) Read(b []byte) (int, error)  { return c.in.read(b) }
--- a/internal/control/controlstate/sim_shard_faults_test.go
+++ b/internal/control/controlstate/sim_shard_faults_test.go
@@ -8,7 +8,7 @@
 	inject func(*shardSim, *shardSimNode)
 }
 
-// shardSimFaults are drawn with equal probability.
+// shardSimFaults are the faults that the shard simulator injects, each with the same probability.
 var shardSimFaults = []shardSimFault{
 	{"node killed", (*shardSim).kill},
 	{"node frozen", (*shardSim).freeze},
@@ -40,7 +40,7 @@
 	fault.inject(s, node)
 }
 
-// kill ends the process of a node.
+// kill ends the process of a simulated node without a shutdown.
 func (s *shardSim) kill(node *shardSimNode) {
 	s.tracef("kill node %s", node.name)
 	s.count("node killed")
--- a/internal/control/controlstate/sim_shard_run_test.go
+++ b/internal/control/controlstate/sim_shard_run_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// read sends a read to a random node and checks the result.
+// read sends a read of the document to a random node and checks the result against all earlier writes and reads.
 func (s *shardSim) read() {
 	node := s.randomNode()
 	if !s.isRunning(node) {
@@ -218,7 +218,7 @@
 	}
 }
 
-// shardSimActions are what clients and faults may do in each step.
+// shardSimActions are the client requests and faults of which each step of the shard simulator may start some.
 var shardSimActions = []struct {
 	odds int // average number of steps between two runs of the action
 	do   func(*shardSim)
--- a/internal/control/controlstate/two_changes_test.go
+++ b/internal/control/controlstate/two_changes_test.go
@@ -31,7 +31,7 @@
 // but not committed), or 100 (all messages are delivered).
 var deliveriesAfterSend = []int{0, 2, 3, 100}
 
-// sendTarget is the member to which attempts are sent.
+// sendTarget selects the member to which the attempts to make a change are sent.
 type sendTarget int
 
 const (
@@ -88,7 +88,8 @@
 	return runs
 }
 
-// twoChangesCase is one case of TestTwoChangesInEveryOrder.
+// twoChangesCase is a case of TestTwoChangesInEveryOrder: an order of events, with the deliveries of messages after the
+// attempts and the receivers of the attempts.
 type twoChangesCase struct {
 	events     []int
 	deliveries [2]int // values of deliveriesAfterSend for the first attempts and for the second ones
