--- a/internal/control/controlstate/group_test.go
+++ b/internal/control/controlstate/group_test.go
@@ -142,7 +142,7 @@
 		replaceLeaderBySpare(t, cluster)
 		replaceLostDisk(cluster)
 		cluster.putVersion(3)
-		for i := range 2 { // the second time, no other spare is left
+		for i := range 2 { // in the second iteration, no other spare is left
 			replaceLeaderByNewMachine(cluster, 5+i)
 			cluster.putVersion(uint64(4 + i))
 		}
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -18,12 +18,12 @@
 // and the default time-out of acknowledgements (4 s).
 const (
 	isolationTime   = 20 * time.Second
-	answerWithin    = 950 * time.Millisecond  // time to respond: an operator's client tries another node after about 1 s
-	maxServeTime    = 1600 * time.Millisecond // time to respond to any request: serveTimeoutRatio of the heal bound, plus a tick
-	maxFailFastTime = 450 * time.Millisecond  // time to fail after long isolation: the client shortens its time-out for unresponsive nodes
-	maxStepDownTime = 2300 * time.Millisecond // time until a leader without a quorum steps down: two election time-outs, plus some ticks
-	maxFailoverTime = 6 * time.Second         // time until the others accept changes: step-down of a leader, election and restart
-	maxRecoveryTime = 8 * time.Second         // time from the end of the isolation until the isolated member serves again
+	answerWithin    = 950 * time.Millisecond  // maximum time to respond to an operator, whose client tries another node after about 1 s
+	maxServeTime    = 1600 * time.Millisecond // maximum time to respond to any request: serveTimeoutRatio of the heal bound, plus a tick
+	maxFailFastTime = 450 * time.Millisecond  // maximum time to fail a request after long isolation: the control client shortens its time-out for unresponsive nodes
+	maxStepDownTime = 2300 * time.Millisecond // maximum time until a leader without a quorum steps down: two election time-outs, plus some ticks
+	maxFailoverTime = 6 * time.Second         // maximum time until the members that are not isolated accept changes: step-down of a leader, election and restart
+	maxRecoveryTime = 8 * time.Second         // maximum time from the end of the isolation until the isolated member serves again
 	leaseTTL        = 1200 * time.Millisecond
 )
 
--- a/internal/control/controlstate/join.go
+++ b/internal/control/controlstate/join.go
@@ -18,7 +18,7 @@
 // the configured time to restore service after a fault.
 const joinTimeoutRatio = 1.0 / 30
 
-// Ticks without a message from the leader after which a learner or a voter requests to join its group. A voter
+// Numbers of ticks without a message from the leader after which a learner or a voter requests to join its group. A voter
 // that hears from no leader may have been removed from the group, in which case it cannot win an election. It
 // therefore requests to join after the election time-out.
 const (
--- a/internal/control/controlstate/restore.go
+++ b/internal/control/controlstate/restore.go
@@ -173,7 +173,7 @@
 	}
 	if err != nil {
 		s.halt(err) // the member stays failed until retryReopen has reopened the disk
-		return errs.Wrap(err, "store and reopen the restored group")
+		return errs.Wrap(err, "restore")
 	}
 	s.publishRecovered()
 	s.log.Warn("restored the control group from this member alone", "from", from, "member", name, "generation", generation)
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -45,9 +45,9 @@
 	catchUpTime           = 4 * time.Second         // time for which a machine still counts as lost after it has returned
 	lossDowntime          = 1500 * time.Millisecond // time from a loss to the return of the machine
 	lossGracePeriod       = 8 * time.Second         // time from SIGTERM until the process is killed
-	maxQuorumRecoveryTime = 4 * time.Second         // time until a change is acknowledged again after a loss
-	maxRepairTime         = catchUpTime             // time until the group has all its members again after a machine has returned
-	maxStartTime          = 12 * time.Second        // time until a starting site is complete and acknowledges changes
+	maxQuorumRecoveryTime = 4 * time.Second         // maximum time until a change is acknowledged again after a tolerated loss
+	maxRepairTime         = catchUpTime             // maximum time until the group has all its members again after a machine has returned
+	maxStartTime          = 12 * time.Second        // maximum time until a starting site is complete and acknowledges changes
 )
 
 // lossScenario describes two losses in a complete group, the second one after a delay.
@@ -71,7 +71,7 @@
 	scenario         lossScenario
 	lostUntil        map[string]time.Duration     // time until which a machine counts as lost, by its original address
 	originalAddrs    map[string]string            // original address of the machine that a replacement stands for, by the replacement's address
-	destroyedVoters  int                          // number of members whose disks were destroyed
+	destroyedVoters  int                          // number of voters whose disks were destroyed in this run
 	checksTolerance  bool                         // check at each step that the group tolerates no fewer losses than initialTolerance
 	initialTolerance int                          // number of losses that the group tolerated when the repair began
 	lastReturnAt     time.Duration                // latest time at which a lost machine returns
--- a/internal/control/controlstate/sim_group_run_test.go
+++ b/internal/control/controlstate/sim_group_run_test.go
@@ -29,7 +29,7 @@
 	clear(s.phasePartitions)
 	clear(s.eventHooks)
 	s.lossRate, s.isolatedAddr, s.timers = 0, "", nil
-	for _, node := range s.nodes { // the timers that would end these shutdowns were dropped above
+	for _, node := range s.nodes { // shutdowns in progress are ended here, since the timers that would end them were dropped above
 		if node.shard != nil && node.shard.stopping {
 			s.kill(node, false, 0)
 		}
