--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -21,7 +21,7 @@
 // while machines stop, restart, become unreachable and lose their leadership.
 const (
 	searchOperators = 8                // number of operators, each with one change in flight
-	searchMachines  = 5                // three voters and two spares
+	searchMachines  = 5                // number of machines: three voters and two spares
 	searchTime      = 15 * time.Second // duration of the faults and requests of one seed
 	searchSeeds     = 2
 	searchSeedsVar  = "ORDERS_SEEDS" // environment variable that overrides searchSeeds
@@ -32,15 +32,15 @@
 type sentChange struct {
 	baseVersion, newVersion uint64
 	text                    string // content of the configuration
-	partial                 bool   // merge the content with that of the base version
+	partial                 bool   // whether the change is a patch, which is merged with the base version
 	acked                   bool
-	rejection               error // nil: not rejected
+	rejection               error // error with which the change was rejected; nil if it was not
 	attempts                int
 }
 
-// name identifies a change in messages.
+// name returns a text that identifies a change in test messages.
 func (c *sentChange) name() string {
-	return fmt.Sprintf("to version %d (%s)", c.newVersion, c.text)
+	return fmt.Sprintf("to configuration version %d (%s)", c.newVersion, c.text)
 }
 
 // changeSearch is a run of TestEightConcurrentChanges with one seed.
@@ -51,15 +51,15 @@
 	mu           sync.Mutex
 	nodes        map[int]*Node // nodes of the running machines, by machine number
 	changes      []*sentChange
-	knownVersion uint64          // newest version that was acknowledged or read
-	ackedVersion uint64          // newest version that was acknowledged
-	counts       map[string]int  // number of occurrences, by event
-	readBodies   map[string]bool // configurations that were read
+	knownVersion uint64          // newest version of the configuration that was acknowledged or read
+	ackedVersion uint64          // newest version of the configuration that was acknowledged
+	counts       map[string]int  // number of occurrences of each event, by its name
+	readBodies   map[string]bool // bodies of all configurations that were returned by reads
 	violations   []string
 	stopped      atomic.Bool
 }
 
-// locked runs a function with the mutex locked. The function must not block.
+// locked runs a function while it holds the mutex of the changeSearch. The function must not block.
 func (s *changeSearch) locked(run func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,9 +100,9 @@
 		change = &sentChange{baseVersion: s.knownVersion, newVersion: s.knownVersion + 1 + random.Uint64N(2), partial: random.IntN(3) == 0}
 		author := fmt.Sprint(operator)
 		if random.IntN(4) == 0 {
-			author = "any" // such changes of several operators with equal versions and content are the same change
+			author = "any" // operators that send a change by "any" with equal versions and content send the same change
 		}
-		change.text = fmt.Sprintf("author %s, base %d, partial %v", author, change.baseVersion, change.partial) // makes the body of each change unique
+		change.text = fmt.Sprintf("author %s, base %d, partial %v", author, change.baseVersion, change.partial) // different changes get different bodies
 		for _, other := range s.changes {
 			if other.baseVersion == change.baseVersion && other.newVersion == change.newVersion && other.text == change.text {
 				change = other
--- a/internal/control/controlstate/isolation_test.go
+++ b/internal/control/controlstate/isolation_test.go
@@ -18,12 +18,12 @@
 // and the default time-out of acknowledgements (4 s).
 const (
 	isolationTime   = 20 * time.Second
-	maxResponseTime = 950 * time.Millisecond  // time to respond: an operator's client tries another node after about 1 s
-	maxServeTime    = 1600 * time.Millisecond // time to respond to any request: serveTimeoutRatio of the recovery time bound, plus a tick
-	maxFailFastTime = 450 * time.Millisecond  // time to fail after long isolation: the client shortens its time-out for unresponsive nodes
-	maxStepDownTime = 2300 * time.Millisecond // time until a leader without a quorum steps down: two election time-outs, plus some ticks
-	maxFailoverTime = 6 * time.Second         // time until the others accept changes: step-down of a leader, election and restart
-	maxRecoveryTime = 8 * time.Second         // time from the end of the isolation until the isolated member serves again
+	maxResponseTime = 950 * time.Millisecond  // maximum time to respond to an operator, whose client tries another node after about 1 s
+	maxServeTime    = 1600 * time.Millisecond // maximum time to respond to any request: serveTimeoutRatio of the recovery time bound, plus a tick
+	maxFailFastTime = 450 * time.Millisecond  // maximum time to fail a request after long isolation: the control client shortens its time-out for unresponsive nodes
+	maxStepDownTime = 2300 * time.Millisecond // maximum time until a leader without a quorum steps down: two election time-outs, plus some ticks
+	maxFailoverTime = 6 * time.Second         // maximum time until the members that are not isolated accept changes: step-down of a leader, election and restart
+	maxRecoveryTime = 8 * time.Second         // maximum time from the end of the isolation until the isolated member serves again
 	leaseTTL        = 1200 * time.Millisecond
 )
 
@@ -33,14 +33,14 @@
 // Directions in which a member can be isolated.
 const (
 	isolatedBoth isolationDirection = "in both directions"
-	isolatedOut  isolationDirection = "outbound" // the member cannot send
-	isolatedIn   isolationDirection = "inbound"  // the member cannot receive
+	isolatedOut  isolationDirection = "outbound" // the isolated member cannot send
+	isolatedIn   isolationDirection = "inbound"  // the isolated member cannot receive
 )
 
 // restartSet selects the members that restart during the isolation.
 type restartSet string
 
-// Sets of members that restart.
+// Sets of members that restart while a member is isolated.
 const (
 	restartNone     restartSet = "no member"
 	restartIsolated restartSet = "the isolated member"
@@ -48,13 +48,14 @@
 	restartAll      restartSet = "all members"
 )
 
-// isolationScenario is one combination of isolation and restarts.
+// isolationScenario is one combination of which members are isolated, in which direction, and which members restart
+// meanwhile.
 type isolationScenario struct {
-	isolatesLeader    bool // isolates the leader instead of a follower
+	isolatesLeader    bool // the leader is isolated instead of a follower
 	direction         isolationDirection
 	restarts          restartSet
 	onlyIsolatedSeeds bool // members restart with the isolated member as their only seed
-	withSpare         bool // a fourth machine is a spare
+	withSpare         bool // whether a fourth machine runs as a spare
 	isolatesPair      bool // two of five members are isolated together, and can reach each other
 }
 
@@ -76,7 +77,7 @@
 	return text
 }
 
-// isolationScenarios returns all combinations to test.
+// isolationScenarios returns all combinations of isolated members, directions and restarts to test.
 func isolationScenarios() (scenarios []isolationScenario) {
 	for _, isolatesLeader := range []bool{true, false} {
 		for _, direction := range []isolationDirection{isolatedBoth, isolatedOut, isolatedIn} {
@@ -251,7 +252,7 @@
 			w.putAtOthers(base, config)
 		}
 		for _, machine := range w.others[:2] {
-			_ = w.readConfig(machine) // checks that the version is not stale
+			_ = w.readConfig(machine) // the call also checks that the version it reads is not stale
 		}
 		if view := w.node(w.isolatedMachine).shards[0].published.current(); view.isLeader && w.elapsed()-begun > maxStepDownTime {
 			w.t.Errorf("at %v: isolated member is still the leader %v after the start of the isolation, want a step-down within %v", w.elapsed(), w.elapsed()-begun, maxStepDownTime)
@@ -278,10 +279,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if until := w.edges[0].freshUntil(); until > begun {
-		w.t.Errorf("edge that reaches only the isolated member has a proof of freshness up to %v, want none after the start of the isolation at %v", until, begun)
+		w.t.Errorf("edge node that reaches only the isolated member has a proof up to %v that its configuration is the newest, want none after the start of the isolation at %v", until, begun)
 	}
 	if until := w.edges[2].freshUntil(); until < w.elapsed()-time.Second {
-		w.t.Errorf("edge that reaches the other members has a proof of freshness only up to %v, want at most 1 s before now (%v)", until, w.elapsed())
+		w.t.Errorf("edge node that reaches the other members has a proof only up to %v that its configuration is the newest, want at most 1 s before now (%v)", until, w.elapsed())
 	}
 }
 
--- a/internal/control/controlstate/node_history_test.go
+++ b/internal/control/controlstate/node_history_test.go
@@ -18,7 +18,7 @@
 	"pebbleloom/internal/sim/history"
 )
 
-// Parameters of a run of nodeHistoryCluster.
+// Numbers of machines and clients, and durations, of a run of nodeHistoryCluster.
 const (
 	historyMachines  = 4
 	historyOperators = 3
@@ -29,17 +29,17 @@
 )
 
 // nodeHistoryCluster runs real nodes, with their goroutines, transports, clients and long polls, in virtual time while
-// machines fail. The history of the requests of operators and readers is checked for linearizability at the end. Weights
-// versions, the lease and the freshness proofs of edges are checked during the run.
+// machines fail. It checks weights versions, the lease and each edge node's proof that its configuration is the newest
+// (agent.FreshnessProof) during the run, and the linearizability of the operators' and readers' requests at the end.
 type nodeHistoryCluster struct {
 	*isolationWorld
 	history      history.History
 	mu           sync.Mutex
 	random       *rand.Rand
-	counts       map[string]int    // by event or fault: how often it happened
+	counts       map[string]int    // number of occurrences of each event or fault, by its name
 	knownVersion uint64            // highest version of the routing configuration in any response to an operator or reader
 	ackedWeights uint64            // highest acknowledged weights version of weightsModel
-	tokenHolders map[uint64]string // by fencing token: the lease holder that received it
+	tokenHolders map[uint64]string // lease holder that received each fencing token, by token
 }
 
 func newNodeHistoryCluster(t *testing.T, seed uint64) *nodeHistoryCluster {
@@ -74,7 +74,7 @@
 	return c.knownVersion
 }
 
-// learnVersion records a version that a response contained.
+// learnVersion records a version of the routing configuration that a response contained.
 func (c *nodeHistoryCluster) learnVersion(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -227,10 +227,10 @@
 // nodeFault is a kind of fault. inject returns after the fault has ended, except that partitions last until heal is called.
 type nodeFault struct {
 	name   string
-	inject func(*nodeHistoryCluster, int) // receives the number of a random machine
+	inject func(*nodeHistoryCluster, int) // injects the fault; receives the number of a random machine
 }
 
-// nodeFaults are the faults from which a run chooses at random.
+// nodeFaults are the faults of which nodeHistoryCluster injects random ones into the machines.
 var nodeFaults = []nodeFault{
 	{"machine killed", func(c *nodeHistoryCluster, machine int) { c.restart([]int{machine}, c.kill) }},
 	{"leader killed", func(c *nodeHistoryCluster, machine int) { c.restart([]int{max(1, c.leader())}, c.kill) }},
@@ -286,7 +286,7 @@
 	})
 }
 
-// heal ends all partitions.
+// heal ends all partitions between machines.
 func (c *nodeHistoryCluster) heal() {
 	c.network.update(func(partitioned map[[2]string]bool) { clear(partitioned) })
 }
@@ -340,7 +340,7 @@
 	healedAt, version := c.elapsed(), c.newestAcked()
 	c.waitUntil("a change to be acknowledged after the last fault", within, func() bool { return c.newestAcked() > version })
 	edge := c.edges[0]
-	c.waitUntil("the edge to hold a proven newer version after the last fault", within, func() bool {
+	c.waitUntil("the edge node to hold a newer configuration version, proven to be the newest, after the last fault", within, func() bool {
 		edge.mu.Lock()
 		isNewest := edge.version > version
 		edge.mu.Unlock()
--- a/internal/control/controlstate/scripted_cluster_test.go
+++ b/internal/control/controlstate/scripted_cluster_test.go
@@ -23,14 +23,14 @@
 type scriptedCluster struct {
 	mu          sync.Mutex // guards the outcomes in changes, and newestAcked
 	t           *testing.T
-	ctx         context.Context // context of all requests
+	ctx         context.Context // context of all requests that the test sends
 	cancel      context.CancelFunc
 	key         string // key of the document that all changes are made to
 	members     []*scriptedMember
 	inFlight    []*wire.Message
 	isolated    *scriptedMember   // member that can neither send nor receive; nil if there is none
-	bodies      map[uint64]string // by version: the applied body of the document
-	newestAcked uint64            // the highest acknowledged version
+	bodies      map[uint64]string // applied body of each version of the document, by version
+	newestAcked uint64            // highest acknowledged version of the document
 	changes     []*testChange
 	violations  []string
 }
@@ -48,8 +48,8 @@
 type testChange struct {
 	name                    string
 	baseVersion, newVersion uint64
-	acked, rejected         bool // some response acknowledged or rejected the change
-	inForce                 bool // some member has applied the change
+	acked, rejected         bool // whether some response acknowledged or rejected the change
+	inForce                 bool // whether some member has applied the change
 }
 
 // newScriptedCluster starts three members, none of which is the leader yet.
@@ -140,7 +140,7 @@
 	}
 }
 
-// violationf records a violation of an invariant, once for each text.
+// violationf records a violation of an invariant, unless one with the same text is recorded already.
 func (c *scriptedCluster) violationf(format string, args ...any) {
 	if text := fmt.Sprintf(format, args...); !slices.Contains(c.violations, text) {
 		c.violations = append(c.violations, text)
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -14,7 +14,7 @@
 // X and Y are the members that are lost first, N and M are their replacements, and all others are followers.
 type repairCase struct {
 	members  string // voters before the loss
-	lost     string // "X" or "XY"
+	lost     string // members that are lost: "X" or "XY"
 	failure  repairFailure
 	newcomer string // replacements: "N", "NM" or "" (none available)
 }
@@ -22,7 +22,7 @@
 // repairFailure is the way in which members are lost. The values appear in the table in docs/control.md.
 type repairFailure string
 
-// Ways in which members are lost.
+// Ways in which the members that a repair replaces are lost.
 const (
 	failureWiped   repairFailure = "disk lost"         // the machine returns with an empty disk
 	failureSilent  repairFailure = "silent, disk kept" // the machine does not respond, but may return with its disk
@@ -33,7 +33,7 @@
 // docs/control.md.
 type changeSequence string
 
-// Sequences of membership changes that the table compares.
+// Sequences of membership changes that the table of second losses in docs/control.md compares.
 const (
 	sequenceRemoveFirst changeSequence = "remove, then add"
 	sequenceAddFirst    changeSequence = "add, then remove"
@@ -133,21 +133,21 @@
 		return holds(lost)
 	}
 	if len(alive) < count {
-		return true // there is no such subset
+		return true // count exceeds the number of machines that are alive, so there is no such set
 	}
 	return everySubset(alive[1:], count-1, lost+string(alive[0]), holds) && everySubset(alive[1:], count, lost, holds)
 }
 
 // repairRow is a row of the table in docs/control.md. It describes which losses each step of a repair tolerates.
 type repairRow struct {
-	tolerated          []int            // by step: number of further machines that may be lost
-	stepsWithoutQuorum map[string][]int // by second loss: steps at which that loss leaves no quorum
+	tolerated          []int            // number of further machines that may be lost at each step of the repair
+	stepsWithoutQuorum map[string][]int // steps of the repair at which a second loss leaves no quorum, by kind of the second loss
 }
 
-// secondLossColumns lists the second losses, each of which is a column of the table.
+// secondLossColumns lists the second losses, each of which is a column of the table of second losses in docs/control.md.
 var secondLossColumns = []string{"the leader", "a follower", "the newcomer", "the leader, the first one back"}
 
-// row computes the table row of a sequence of membership changes.
+// row computes the row of a repair's sequence of membership changes in the table of second losses.
 func (r repairCase) row(sequence changeSequence) repairRow {
 	row := repairRow{stepsWithoutQuorum: map[string][]int{}}
 	steps := r.steps(sequence)
@@ -177,7 +177,8 @@
 	chosen    changeSequence
 }
 
-// evaluatedRepairs lists the repairs in the table.
+// evaluatedRepairs lists the replacements or removals of lost group members that are compared in the table of second
+// losses in docs/control.md.
 var evaluatedRepairs = []evaluatedRepair{
 	{repairCase{"ABX", "X", failureWiped, "N"}, []changeSequence{sequenceRemoveFirst, sequenceAddFirst, sequenceJoint, sequenceNone}, sequenceRemoveFirst},
 	{repairCase{"ABX", "X", failureSilent, "N"}, []changeSequence{sequenceRemoveFirst, sequenceAddFirst, sequenceJoint, sequenceNone}, sequenceRemoveFirst},
@@ -192,7 +193,8 @@
 	{repairCase{"ABCXY", "XY", failureSilent, ""}, []changeSequence{sequenceRemoveOnly, sequenceNone}, sequenceNone},
 }
 
-// secondLossTable returns the Markdown table that docs/control.md must contain.
+// secondLossTable returns the Markdown table of second losses that docs/control.md must contain: for each repair and
+// sequence of membership changes, the further losses that the group tolerates at each step.
 func secondLossTable() string {
 	var b strings.Builder
 	b.WriteString("| members | first loss | newcomers | order | losses tolerated, step by step | no quorum if then lost: " + strings.Join(secondLossColumns, " | ") + " |\n")
@@ -221,7 +223,7 @@
 	return b.String()
 }
 
-// formatSteps returns a list of steps as text for a cell of the table.
+// formatSteps formats a list of step numbers of a repair for a cell of the table of second losses.
 func formatSteps(steps []int) string {
 	if len(steps) == 0 {
 		return "never"
@@ -232,33 +234,34 @@
 	return "step " + strings.ReplaceAll(strings.Trim(fmt.Sprint(steps), "[]"), " ", ", ")
 }
 
-// docs/control.md contains the computed table. With the chosen sequences, no step tolerates fewer losses than the group
-// did before the repair. After the loss of a member, no step depends on its replacement for a quorum, as it would if
-// the replacement were added first.
+// docs/control.md contains the table that secondLossTable computes: how many further losses a group tolerates while lost
+// members are replaced. With the sequences of membership changes that membershipPlanner implements, no step tolerates
+// fewer losses than the group did before the repair. After the loss of a member, no step depends on its replacement
+// for a quorum, as it would if the replacement were added first.
 func TestSecondLossTableMatchesTheDocs(t *testing.T) {
 	table := secondLossTable()
 	page, err := os.ReadFile("../../../docs/control.md")
 	if err != nil {
-		t.Fatalf("read the page that contains the table: %v", err)
+		t.Fatalf("read docs/control.md, which contains the table of second losses: %v", err)
 	}
 	if !strings.Contains(string(page), table) {
-		t.Errorf("docs/control.md does not contain the computed table:\n%s", table)
+		t.Errorf("docs/control.md does not contain the table of second losses that secondLossTable computes:\n%s", table)
 	}
 	for _, evaluated := range evaluatedRepairs {
 		row := evaluated.row(evaluated.chosen)
 		if evaluated.chosen != sequenceNone && slices.Min(row.tolerated) < row.tolerated[0] {
-			t.Errorf("repair %+v, sequence %q: tolerated losses by step are %v, want none lower than the first", evaluated.repairCase, evaluated.chosen, row.tolerated)
+			t.Errorf("repair %+v, sequence %q: numbers of further losses tolerated at each step are %v, want none lower than the first", evaluated.repairCase, evaluated.chosen, row.tolerated)
 		}
 		if evaluated.failure != failureLeaving && len(row.stepsWithoutQuorum[secondLossColumns[2]]) > 0 {
-			t.Errorf("repair %+v, sequence %q: the quorum depends on the newcomer at steps %v, want none", evaluated.repairCase, evaluated.chosen, row.stepsWithoutQuorum[secondLossColumns[2]])
+			t.Errorf("repair %+v, sequence %q: the quorum depends on the replacement machine at steps %v, want none", evaluated.repairCase, evaluated.chosen, row.stepsWithoutQuorum[secondLossColumns[2]])
 		}
 	}
 	if len(evaluatedRepairs[0].row(sequenceAddFirst).stepsWithoutQuorum[secondLossColumns[2]]) == 0 {
-		t.Error("no step of \"add, then remove\" depends on the newcomer for a quorum, want at least one: the table must distinguish the sequences")
+		t.Error("no step of \"add, then remove\" depends on the replacement machine for a quorum, want at least one: the table of second losses must distinguish the sequences")
 	}
 }
 
-// membershipPlanner proposes the membership changes of the chosen sequence, one at each step.
+// membershipPlanner proposes the membership changes of the sequence that evaluatedRepairs names for it, one at a time.
 func TestPlannerTakesTheChosenSteps(t *testing.T) {
 	for _, evaluated := range evaluatedRepairs {
 		members := strings.Split(evaluated.members, "")
--- a/internal/control/controlstate/second_loss_world_test.go
+++ b/internal/control/controlstate/second_loss_world_test.go
@@ -11,43 +11,43 @@
 // lossKind is the way in which a machine is lost. The table in docs/control.md, section 3, lists the kinds.
 type lossKind string
 
-// Kinds of losses.
+// Ways in which a test makes a control machine fail or disappear.
 const (
-	lossCrash          lossKind = "crash"               // loses power, and restarts with its disk
-	lossWipe           lossKind = "disk loss"           // loses power, and restarts with an empty disk
-	lossPartition      lossKind = "partition"           // is partitioned in both directions for a while
-	lossShutdown       lossKind = "shutdown"            // is shut down by SIGTERM, and restarts with its disk
-	lossReplace        lossKind = "replacement"         // is removed permanently, and a new machine starts
-	lossPlannedReplace lossKind = "planned replacement" // is shut down by SIGTERM and removed permanently, and a new machine starts
+	lossCrash          lossKind = "crash"               // the machine loses power, and restarts with its disk
+	lossWipe           lossKind = "disk loss"           // the machine loses power, and restarts with an empty disk
+	lossPartition      lossKind = "partition"           // the machine is partitioned from all others in both directions for a while
+	lossShutdown       lossKind = "shutdown"            // the machine is shut down by SIGTERM, and restarts with its disk
+	lossReplace        lossKind = "replacement"         // the machine is removed permanently, and a new one starts
+	lossPlannedReplace lossKind = "planned replacement" // the machine is shut down by SIGTERM and removed permanently, and a new one starts
 )
 
-// lossKinds lists all kinds of losses.
+// lossKinds lists all ways in which a test makes a machine fail or disappear.
 var lossKinds = []lossKind{lossCrash, lossWipe, lossPartition, lossShutdown, lossReplace, lossPlannedReplace}
 
 // lossCompactAt is the size of the log in bytes above which members compact it in these tests.
 const lossCompactAt = 3000
 
-// lossTarget selects the machine that is lost.
+// lossTarget selects the machine that a simulated loss hits.
 type lossTarget string
 
-// Targets of a loss.
+// Machines that a simulated loss can hit.
 const (
 	targetLeader    lossTarget = "leader"
-	targetFirstLost lossTarget = "machine that was lost first" // or its replacement
+	targetFirstLost lossTarget = "machine that was lost first" // the machine that was lost first or, if it was replaced, its replacement
 	targetFollower  lossTarget = "follower"
 )
 
-// lossTargets lists all targets of a second loss.
+// lossTargets lists all machines that a simulated second loss can hit.
 var lossTargets = []lossTarget{targetLeader, targetFirstLost, targetFollower}
 
 // Durations that the contract guarantees for small sites, and upper bounds that follow from them.
 const (
-	catchUpTime           = 4 * time.Second         // time after its return during which a machine still counts as lost
+	catchUpTime           = 4 * time.Second         // time for which a machine still counts as lost after it has returned
 	lossDowntime          = 1500 * time.Millisecond // time from a loss to the return of the machine
 	lossGracePeriod       = 8 * time.Second         // time from SIGTERM until the process is killed
-	maxQuorumRecoveryTime = 4 * time.Second         // time until a change is acknowledged again after a loss
-	maxRepairTime         = catchUpTime             // time until the group has all its members again after a machine has returned
-	maxStartTime          = 12 * time.Second        // time until a starting site is complete and acknowledges changes
+	maxQuorumRecoveryTime = 4 * time.Second         // maximum time until a change is acknowledged again after a tolerated loss
+	maxRepairTime         = catchUpTime             // maximum time until the group has all its members again after a machine has returned
+	maxStartTime          = 12 * time.Second        // maximum time until a starting site is complete and acknowledges changes
 )
 
 // lossScenario describes two losses in a complete group, the second one after a delay.
@@ -71,22 +71,22 @@
 	scenario         lossScenario
 	lostUntil        map[string]time.Duration     // time until which a machine counts as lost, by its original address
 	originalAddrs    map[string]string            // original address of the machine that a replacement stands for, by the replacement's address
-	destroyedVoters  int                          // number of members whose disks were destroyed
+	destroyedVoters  int                          // number of voters whose disks were destroyed in this run
 	checksTolerance  bool                         // check at each step that the group tolerates no fewer losses than initialTolerance
 	initialTolerance int                          // number of losses that the group tolerated when the repair began
 	lastReturnAt     time.Duration                // latest time at which a lost machine returns
-	joins            map[*groupSimNode]*joinState // join requests of each machine
+	joins            map[*groupSimNode]*joinState // state of each machine's join requests
 
-	bytesPerSecond float64               // bandwidth of each machine's link; 0: no limit
+	bytesPerSecond float64               // bandwidth of each machine's link, in bytes per second; 0: no limit
 	throttled      map[*groupSimNode]int // generation of the machine's process whose link is throttled
 }
 
 // joinState simulates the state of a machine's Node.joinLoop.
 type joinState struct {
-	generation   int             // generation of the process
-	nextAttempt  time.Duration   // time of the next join request
-	failures     int             // number of failed join requests
-	unresponsive map[string]bool // addresses that did not respond to the last request
+	generation   int             // generation of the machine's process to which this state belongs
+	nextAttempt  time.Duration   // simulated time of the next join request
+	failures     int             // number of this machine's join requests that failed
+	unresponsive map[string]bool // addresses that did not respond to the last join request sent to them
 }
 
 // newLossRun starts the machines of a scenario.
--- a/internal/control/controlstate/sim_base_test.go
+++ b/internal/control/controlstate/sim_base_test.go
@@ -16,7 +16,7 @@
 const (
 	defectBlankVote           = "blank member votes"                   // a member that lost its disk votes before it has caught up
 	defectStaleWatchResponse  = "watch ignores unapplied entries"      // watch responses ignore newer versions in unapplied log entries
-	defectStaleWatchAfterKill = "watch ignores unapplied after a kill" // as defectStaleWatchResponse, but only in the polls right after the leader is killed
+	defectStaleWatchAfterKill = "watch ignores unapplied after a kill" // watch responses ignore newer versions in unapplied entries, but only in the polls right after the leader is killed
 	defectStaleView           = "published view lacks unapplied"       // a group's published view ignores newer versions in unapplied log entries
 	defectLateLease           = "lease measured from response"         // a holder measures its lease from the response instead of the request, plus lateLeaseExtension
 	defectDeadTimer           = "election timer stopped"               // the election timer of a follower stops once it knows a leader
@@ -27,7 +27,7 @@
 // lateLeaseExtension is the time that defectLateLease adds to a lease.
 const lateLeaseExtension = 2 * time.Second
 
-// Time-outs of simulated clients.
+// Durations after which simulated clients stop waiting for a response.
 const (
 	responseTimeout = 10 * time.Second       // maximum wait for the response to a request
 	pollTime        = 300 * time.Millisecond // duration of a long poll if there is no newer version
@@ -49,7 +49,7 @@
 	trace        []string       // log of the run, printed if a check fails
 	violations   []string       // failed checks, oldest first
 	counts       map[string]int // number of occurrences of each event
-	defect       string         // one of the defect constants, or empty
+	defect       string         // defect that is built in on purpose, one of the defect constants; empty: none
 }
 
 // newSimBase returns the base of a simulator. Each simulator passes a different stream, so that simulators with the
@@ -65,7 +65,7 @@
 	message   *wire.Message
 }
 
-// simRead is a completed read of the document.
+// simRead is a completed read of the document that simulated clients change and read.
 type simRead struct {
 	version            uint64
 	body               string
@@ -82,7 +82,7 @@
 	pausedUntil    time.Duration // the client sends no request before this time
 }
 
-// Clocks and leases of a simulation.
+// Drift of the clocks and duration of the leases in a simulation.
 const (
 	clockDrift  = 0.03            // the clocks of nodes and lease holders run at rates from 1-clockDrift to 1+clockDrift
 	simLeaseTTL = 3 * time.Second // duration of a granted lease
@@ -93,7 +93,7 @@
 	s.trace = append(s.trace, fmt.Sprintf("%8.3f ", s.now.Seconds())+fmt.Sprintf(format, a...))
 }
 
-// violationf records a failed check.
+// violationf records a failed check of the simulation with the given message.
 func (s *simBase) violationf(format string, a ...any) {
 	s.tracef("failed check: "+format, a...)
 	s.violations = append(s.violations, fmt.Sprintf(format, a...))
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -23,7 +23,7 @@
 
 // Timing of the group simulator.
 const (
-	groupSimStep = 5 * time.Millisecond   // step of virtual time
+	groupSimStep = 5 * time.Millisecond   // virtual time by which each step of the group simulator advances
 	groupSimTick = 100 * time.Millisecond // tick interval of a member, by its node's own clock
 )
 
@@ -39,7 +39,7 @@
 	eventNewLeader      = "new leader"
 )
 
-// groupSimNode is a simulated control node.
+// groupSimNode is a control node in the group simulator.
 type groupSimNode struct {
 	addr         string
 	disk         *cacheDisk
@@ -52,11 +52,11 @@
 	knownAddrs   map[string]bool // addresses of other control nodes that the node knows: the seeds and those learned by gossip
 	generation   int             // incremented at each start and kill, to recognize a later process
 	maxWriteTime time.Duration   // maximum duration of a simulated disk write
-	isRemoved    bool            // the node was removed permanently
+	isRemoved    bool            // whether the node was removed permanently
 	restartAt    time.Duration   // time at which the process is started again; 0: not scheduled
 }
 
-// simTimer is an action to be run at a time.
+// simTimer is an action that the group simulator runs at a given virtual time.
 type simTimer struct {
 	at  time.Duration
 	run func()
@@ -65,27 +65,27 @@
 // groupSim is a simulation of a site with one group.
 type groupSim struct {
 	simBase                             // the links in partitioned stay partitioned until a fault or awaitRecovery clears them
-	bootstrapping       bool            // set during the first start of the site
+	bootstrapping       bool            // whether the site is in its first start, in which the seeds bootstrap the group
 	restoreGeneration   uint64          // restore generation of the group that clients use
 	toleratedLosses     int             // number of simultaneous node losses that the site has to tolerate
 	seeds               []string        // addresses of the seeds in the settings
 	nodes               []*groupSimNode // all nodes, including those that are down or permanently removed
 	phasePartitions     map[string]bool // links that drop all messages for the duration of a phase, by "from>to"
 	isolatedAddr        string          // node whose links are partitioned in both directions by isolationPhase; empty: none
-	isolatedSince       time.Duration   // start of the isolation of isolatedAddr
+	isolatedSince       time.Duration   // virtual time at which the isolation of the node isolatedAddr began
 	slowAddr            string          // node whose incoming messages are delayed; empty: none
 	compactAt           int             // log size in bytes above which logs are compacted; 0: defaultCompactThreshold
 	trailingLogBytes    int             // compacted entries that members keep for lagging peers, in bytes
-	bodyPadding         string          // appended to the body of every new change
+	bodyPadding         string          // text that is appended to the body of every new change
 	changes             []*groupChange  // all changes that operators made
-	knownVersion        uint64          // newest version that operators know of
+	knownVersion        uint64          // newest version of the routing configuration that operators know of
 	ackedCount          int             // number of acknowledged changes
 	timers              []simTimer
 	eventHooks          map[string]func() // functions to be called at the next occurrence of an event
-	secondFaultInjected bool              // a fault armed by armSecondFault has been injected
+	secondFaultInjected bool              // whether a fault armed by armSecondFault has been injected
 	lastLeader          string            // address and term of the newest leader
 	writeLoad           *simWriteLoad     // sustained write load in progress; nil: none
-	history             history.History   // operations of operators and readers
+	history             history.History   // requests of operators and readers, with their responses, for the linearizability check
 	agent               *simAgent
 	fencingTokenHolders map[uint64]string // clients that were granted the lease, by fencing token
 	// With allFaults, operators make concurrent changes, send bursts and retry very old changes, nodes exchange
--- a/internal/control/controlstate/sim_network_test.go
+++ b/internal/control/controlstate/sim_network_test.go
@@ -16,7 +16,7 @@
 type simNetwork struct {
 	mu          sync.Mutex
 	partitioned map[[2]string]bool // partitioned links, by sender and receiver
-	changed     chan struct{}      // closed whenever a partition begins or ends
+	changed     chan struct{}      // channel that is closed, and replaced, whenever a partition begins or ends
 }
 
 // dialTimeout limits an attempt to connect, like the dial time-out of a process.
@@ -36,7 +36,7 @@
 	n.changed = make(chan struct{})
 }
 
-// heal ends all partitions.
+// heal ends all partitions of the simulated network.
 func (n *simNetwork) heal() {
 	n.update(func(partitioned map[[2]string]bool) { clear(partitioned) })
 }
@@ -82,16 +82,16 @@
 	}
 }
 
-// halfConn is one direction of a connection.
+// halfConn is one direction of a simulated network connection.
 type halfConn struct {
 	network        *simNetwork
 	from, to       string
 	mu             sync.Mutex
-	buffer         []byte // data that was sent and not yet read
+	buffer         []byte // data that was sent over the connection and not yet read
 	senderClosed   bool
 	receiverClosed bool
-	deadline       time.Time     // deadline for reads
-	changed        chan struct{} // closed at the next change of the fields above
+	deadline       time.Time     // time at which a pending read of the connection fails; zero: never
+	changed        chan struct{} // channel that is closed at the next change of the buffer, the deadline or the end of the connection
 }
 
 // newHalfConn returns one direction of a new connection.
@@ -99,7 +99,7 @@
 	return &halfConn{network: network, from: from, to: to, changed: make(chan struct{})}
 }
 
-// update changes the state of the direction and wakes its readers.
+// update changes the state of one direction of a connection and wakes its readers.
 func (h *halfConn) update(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -145,7 +145,7 @@
 	}
 }
 
-// write appends to the buffer, also while the link is partitioned.
+// write appends to the buffer of sent and unread data, also while the link is partitioned.
 func (h *halfConn) write(b []byte) (int, error) {
 	open, _ := h.network.isOpen(h.from, h.to)
 	err := error(nil)
@@ -162,7 +162,7 @@
 	return len(b), nil
 }
 
-// netConn is one end of a connection.
+// netConn is one end of a simulated network connection.
 type netConn struct{ in, out *halfConn }
 
 func (c *netConn) Read(b []byte) (int, error)  { return c.in.read(b) }
--- a/internal/control/controlstate/two_changes_test.go
+++ b/internal/control/controlstate/two_changes_test.go
@@ -20,7 +20,7 @@
 	newLeader
 	snapshotAndRestart
 	eventCount
-	secondNewLeader = eventCount // only if longSearchVar is set
+	secondNewLeader = eventCount // second change of leader, which is an event only if longSearchVar is set
 )
 
 // longSearchVar is the environment variable that, if it is not empty, adds a second change of leader to the events.
@@ -31,12 +31,12 @@
 // but not committed), or 100 (all messages are delivered).
 var deliveriesAfterSend = []int{0, 2, 3, 100}
 
-// sendTarget is the member to which attempts are sent.
+// sendTarget selects the member to which the attempts to make a change are sent.
 type sendTarget int
 
 const (
 	toLeader         sendTarget = iota
-	toIsolatedMember            // the leader if no member is isolated
+	toIsolatedMember            // the isolated member; the leader if no member is isolated
 )
 
 // otherKey is the key of a document other than the routing configuration. Changes of it are neither merged nor
@@ -88,7 +88,8 @@
 	return runs
 }
 
-// twoChangesCase is one case of TestTwoChangesInEveryOrder.
+// twoChangesCase is a case of TestTwoChangesInEveryOrder: an order of events, with the deliveries of messages after the
+// attempts and the receivers of the attempts.
 type twoChangesCase struct {
 	events     []int
 	deliveries [2]int // values of deliveriesAfterSend for the first attempts and for the second ones
@@ -110,7 +111,7 @@
 		tc.runEvent(cluster, event)
 	}
 	cluster.heal()
-	if !first.acked && !second.acked && !first.inForce && !second.inForce { // no attempt had an effect
+	if !first.acked && !second.acked && !first.inForce && !second.inForce { // neither change was acknowledged or applied by any of its attempts
 		cluster.sendAndDeliver(first, cluster.leader())
 	}
 	third := &testChange{name: "third", baseVersion: version, newVersion: 2 * version}
