--- a/internal/control/controlstate/metrics.go
+++ b/internal/control/controlstate/metrics.go
@@ -10,20 +10,20 @@
 // registerMetrics registers the gauges whose values are sums over the shards of this node.
 func (n *Node) registerMetrics() {
 	meter := n.process.Meter
-	meter.Gauge("pebbleloom_parts_owned", "number of shards that this node leads", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
+	meter.Gauge("pebbleloom_parts_owned", "shards that this node leads", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
 		return boolToGauge(shard.IsLeader)
 	}))
 	isUnavailable := func(shard *wire.ShardStatus) float64 {
 		return boolToGauge(shard.Failure != "" || shard.Blank || shard.Stuck != "")
 	}
-	meter.Gauge("pebbleloom_parts_out", "shards whose member on this node has failed, has not recovered its state since it started on an empty disk, or can't rejoin", n.sumOverShards(isUnavailable))
-	meter.Gauge("pebbleloom_state_bytes", "total size of the documents in the applied state, in bytes", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
+	meter.Gauge("pebbleloom_parts_out", "shards whose member here has failed, is blank or can't rejoin", n.sumOverShards(isUnavailable))
+	meter.Gauge("pebbleloom_state_bytes", "bytes of the documents in the applied state", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
 		return float64(shard.StateBytes)
 	}))
-	meter.Gauge("pebbleloom_log_bytes", "size of the consensus logs since their last snapshots, in bytes", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
+	meter.Gauge("pebbleloom_log_bytes", "bytes of the logs since their snapshots", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
 		return float64(shard.LogBytes)
 	}))
-	meter.Gauge("pebbleloom_log_behind", "number of consensus log entries that this node has stored but not applied yet", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
+	meter.Gauge("pebbleloom_log_behind", "log entries that aren't applied yet", n.sumOverShards(func(shard *wire.ShardStatus) float64 {
 		return float64(shard.LastIndex - shard.AppliedIndex)
 	}))
 }
@@ -49,10 +49,10 @@
 // view.
 func (n *Node) registerGroupMetrics(shard *shard) {
 	meter := n.process.Meter
-	meter.Gauge("pebbleloom_group_members", "number of voters in the newest group membership that this member knows", func() float64 {
+	meter.Gauge("pebbleloom_group_members", "voters of the newest membership that this member knows", func() float64 {
 		return float64(len(shard.published.current().members))
 	})
-	meter.Gauge("pebbleloom_group_votes", "1 while the group member on this node is a voter and its disk works, otherwise 0", func() float64 {
+	meter.Gauge("pebbleloom_group_votes", "1 while this member is a voter and its disk works", func() float64 {
 		return boolToGauge(shard.published.current().isVoter)
 	})
 	meter.Gauge("pebbleloom_plan_version", "version of the routing configuration that this member holds", func() float64 {
