--- a/internal/control/consensus/core.go
+++ b/internal/control/consensus/core.go
@@ -125,8 +125,9 @@
 	}
 }
 
-// BlankSnapshot returns the initial snapshot of a fixed member that starts with an empty disk. The incarnation
-// distinguishes the member from earlier ones of the same name. The member doesn't vote until it has rejoined (rejoin.go).
+// BlankSnapshot returns the initial snapshot of one of a shard's three fixed members (unlike those of a group, they
+// never change) that starts with an empty disk. The incarnation distinguishes the member from earlier ones of the
+// same name. The member doesn't vote until it has rejoined (rejoin.go).
 //
 // Example: err := store.SaveSnapshot(consensus.BlankSnapshot("core-1/9f3a"), nil)
 func BlankSnapshot(incarnation string) *wire.Snapshot {
--- a/internal/control/consensus/model_invariants_test.go
+++ b/internal/control/consensus/model_invariants_test.go
@@ -21,7 +21,7 @@
 	committedWhenAsked int                 // number of commands committed when the client asked whether its copy of the replicated state is the newest; 0: it hasn't asked
 	attestations       []attestation       // responses of members to the client that they have no newer state than its copy
 	votes              map[string]castVote // by incarnation of a member: the latest vote that it granted
-	generation         uint64              // newest restore generation of the group; committed holds the entries committed in this generation
+	generation         uint64              // newest restore generation of the group (rises with each restore from a surviving member); committed holds the entries committed in it
 }
 
 // castVote is a vote that a member has granted, possibly to itself.
--- a/internal/control/consensus/model_restore_test.go
+++ b/internal/control/consensus/model_restore_test.go
@@ -64,7 +64,8 @@
 	return ""
 }
 
-// sameGeneration reports whether two members have the same restore generation.
+// sameGeneration reports whether two members have the same restore generation, a number that rises whenever an operator
+// restores a group that has lost the majority of its disks from one surviving member.
 func sameGeneration(a, b nodeEntry) bool {
 	return a.core.hardState.RestoreGeneration == b.core.hardState.RestoreGeneration
 }
--- a/internal/control/consensus/model_search_test.go
+++ b/internal/control/consensus/model_search_test.go
@@ -142,6 +142,6 @@
 	if message.Snapshot != nil {
 		fmt.Fprintf(&b, ", snapshot term/index %d/%d", message.Snapshot.Term, message.Snapshot.Index)
 	}
-	fmt.Fprintf(&b, ", commit index %d, ok %v, read sequence number %d", message.Commit, message.Ok, message.Probe)
+	fmt.Fprintf(&b, ", commit index %d, (pre-)vote granted or append accepted: %v, read sequence number %d", message.Commit, message.Ok, message.Probe)
 	return b.String()
 }
--- a/internal/control/controlclient/client.go
+++ b/internal/control/controlclient/client.go
@@ -112,8 +112,8 @@
 // be applied twice.
 //
 // The error is of kind errs.MayHaveExecuted if the change was sent but no response shows whether it was applied. It
-// is of kind errs.OutcomeUnknown if no leader responded, in which case the change was not applied. If the leader
-// rejected the change, the error is of the kind that the leader gave.
+// is of kind errs.OutcomeUnknown if no leader responded: despite the name of this kind, the change was then not
+// applied. If the leader rejected the change, the error is of the kind that the leader gave.
 //
 // Example: response, err := c.Change(ctx, &wire.ChangeRequest{Shard: 0, Command: cmd})
 func (c *Client) Change(ctx context.Context, request *wire.ChangeRequest) (*wire.ChangeResponse, error) {
--- a/internal/control/controllers/concurrency_test.go
+++ b/internal/control/controllers/concurrency_test.go
@@ -26,7 +26,7 @@
 		}
 	}
 	if got := rollout.concurrencyLimit(0, 18, 18, -1, "daka"); got != 3 {
-		t.Errorf("concurrencyLimit for 18 workers when the start of the time span is unknown: got %d, want 3", got)
+		t.Errorf("concurrencyLimit for 18 workers when the start of the rollout's time span is unknown: got %d, want 3", got)
 	}
 }
 
--- a/internal/control/controllers/process_test.go
+++ b/internal/control/controllers/process_test.go
@@ -27,7 +27,7 @@
 		return nil, errors.New("simulated index node: no response")
 	}
 	if request.Service != "reading" {
-		return nil, fmt.Errorf("simulated index node: request for service %q, want reading", request.Service)
+		return nil, fmt.Errorf("simulated index node: request for service %q, want \"reading\"", request.Service)
 	}
 	return &wire.HottestResponse{Prefixes: n.hot}, nil
 }
--- a/internal/data/proxy/server.go
+++ b/internal/data/proxy/server.go
@@ -193,9 +193,9 @@
 func discardLogger() *log.Logger { return log.New(io.Discard, "", 0) }
 
 // awaitLimits returns the HTTP limits of the first routing plan if the plan comes within firstPlanRatio of
-// Bounds.ConfigMs, and the default limits otherwise. If key revocation is enforced, the control nodes must also have
-// attested that the plan is the newest. In the meantime client connections wait in the listen queue, so that early
-// requests are delayed instead of rejected.
+// Bounds.ConfigMs (longest time that a superseded configuration stays in use), and the default limits otherwise. If
+// key revocation is enforced, the control nodes must also have attested that the plan is the newest. In the meantime
+// client connections wait in the listen queue, so that early requests are delayed instead of rejected.
 func (s *server) awaitLimits() routingconfig.Limits {
 	bounds := s.process.Settings.Bounds
 	pause := bounds.Config(firstPlanRatio / firstPlanChecks)
--- a/internal/data/proxy/shutdown_test.go
+++ b/internal/data/proxy/shutdown_test.go
@@ -110,7 +110,7 @@
 			want int
 		}{
 			{"no worker seen since the start", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 503},
-			{"only a worker of a service without a route was seen", func(snapshot *fleet.Snapshot) { snapshot.Workers = []fleet.Worker{{ID: "x", Service: "other"}} }, 503},
+			{"edge node has seen only a worker of a service without a route since the start", func(snapshot *fleet.Snapshot) { snapshot.Workers = []fleet.Worker{{ID: "x", Service: "other"}} }, 503},
 			{"a worker of a service with a route was seen", func(snapshot *fleet.Snapshot) { snapshot.Workers = workers }, 200},
 			{"all workers have left after one was seen", func(snapshot *fleet.Snapshot) { snapshot.Workers = nil }, 200},
 			{"proof that the routing plan is the newest is too old", func(snapshot *fleet.Snapshot) { snapshot.ProofAt = site.process.Clock.Now() - 5*time.Second }, 503},
--- a/internal/data/proxy/stream_test.go
+++ b/internal/data/proxy/stream_test.go
@@ -86,7 +86,7 @@
 				t.Errorf("worker broke off the stream after %d bytes of events: got status %d, error %v, body %q; want a 502 before the first byte, else an error after a part of the events", bytesBeforeClose, response.status, response.err, response.body)
 			}
 			if n := s.workers[1].requestCount(); n != 0 {
-				t.Errorf("first worker broke off the stream after %d bytes of events: second worker received %d requests, want 0", bytesBeforeClose, n)
+				t.Errorf("stream that may not be resumed on another worker, broken off by the first worker after %d bytes of events: second worker received %d requests, want 0", bytesBeforeClose, n)
 			}
 		})
 	}
--- a/internal/data/selection/doc.go
+++ b/internal/data/selection/doc.go
@@ -11,8 +11,8 @@
 //
 // The prompt index is a service that records which workers and stores cache which prompt parts. The control
 // state is the replicated configuration of the site. It contains the cache placement, which lists the parts
-// that are replicated to several workers, and names for each model the version of the weights that workers
-// should serve.
+// that are replicated to several workers, and for each model the target version, that is the version of the
+// weights that workers should serve.
 //
 // # The score
 //
--- a/internal/data/selection/eligibility.go
+++ b/internal/data/selection/eligibility.go
@@ -23,7 +23,7 @@
 // an earlier attempt of the request and workers on weights that are too old are excluded; of the rest, only
 // those with the weakest reason to be avoided are included, without ejected ones (see withoutEjected).
 func (t *table) usable(group *serviceGroup, versions *modelVersions, snapshot *fleet.Snapshot, model string, tried map[string]bool, now time.Duration) []int {
-	named, oldest := snapshot.TargetVersions[model], t.oldestAllowedVersion(snapshot, model, versions, now)
+	target, oldest := snapshot.TargetVersions[model], t.oldestAllowedVersion(snapshot, model, versions, now)
 	weakest := avoidNotReady
 	allowed, reasons := t.usableScratch[:0], t.reasonScratch[:0]
 	for i, candidate := range group.candidates {
@@ -33,7 +33,7 @@
 			continue
 		}
 		reason := candidate.stats.avoidReason(version, now)
-		if group.cordoned[i] && version < named {
+		if group.cordoned[i] && version < target {
 			reason = max(reason, avoidCordoned)
 		}
 		weakest = min(weakest, reason)
--- a/internal/data/selection/scorer.go
+++ b/internal/data/selection/scorer.go
@@ -192,9 +192,9 @@
 	return l
 }
 
-// cacheSalt returns the salt of the prompt's cache keys for a weights version. If the control state names a
-// version of the model but workers don't report which one they serve, each request gets a salt of its own, so
-// that no cached parts are shared.
+// cacheSalt returns the salt of the prompt's cache keys for a weights version. If the control state has a
+// target version of the model but workers don't report which version they serve, each request gets a salt of its
+// own, so that no cached parts are shared.
 func (s *scorer) cacheSalt(version uint64) string {
 	salt := CacheSalt(s.model, version, s.request.Tenant)
 	if !s.versions.reported && s.snapshot.TargetVersions[s.model] > 0 {
--- a/internal/data/selection/tuning.go
+++ b/internal/data/selection/tuning.go
@@ -208,17 +208,18 @@
 	misdirectedRatio: 1.0 / 12,
 }
 
-// rolloutParameters control how requests move to newer model weights. A version is named when the control
-// state lists it as the one to serve. The rollout time limit is settings.Bounds.WeightsMs: once this time has
-// passed since newer weights were named, no request may start on older ones.
+// rolloutParameters control how requests move to newer model weights. A version becomes a model's target
+// version when the control state lists it as the one to serve. The rollout time limit is
+// settings.Bounds.WeightsMs: once this time has passed since newer weights became the target version, no request
+// may start on older ones.
 type rolloutParameters struct {
-	// olderVersionRatio is for how long after the control state named newer weights a worker on older ones may
+	// olderVersionRatio is for how long after newer weights became the target version a worker on older ones may
 	// be selected, as a ratio of the rollout time limit. Range: 0 to below 1, so that the request starts within
 	// the limit. Source: docs/design.md (0.85 of the limit).
 	olderVersionRatio float64
 	// inheritedRatio is the time after the process's start within which a weights version that the process
-	// sees for the first time counts as named before the start, as a ratio of the recovery time limit. Range: 0
-	// to 1.
+	// sees for the first time counts as the target version since before the start, as a ratio of the
+	// recovery time limit. Range: 0 to 1.
 	inheritedRatio float64
 	// contactRatio is the time after the process's start during which the process counts as not in contact
 	// with the control state, so that the rollout time limit doesn't apply to it. It is a ratio of the site's
@@ -273,8 +274,9 @@
 	// the worker.
 	prefillRatio float64
 	// lookupRatio is the age from which this edge machine's record that a worker caches a prompt part no longer
-	// replaces a lookup in the prompt index, as a ratio of the recovery time limit. Higher values save lookups,
-	// lower values find copies at other workers sooner.
+	// replaces a lookup in the prompt index, as a ratio of the recovery time limit (settings.Bounds.RecoveryMs,
+	// the longest time until service is restored after a fault). Higher values save lookups, lower values find
+	// copies at other workers sooner.
 	lookupRatio float64
 	// indexLagRatio is the time within which the prompt index learns that a worker evicted a prompt part, as a
 	// ratio of the recovery time limit. If the index knows the part, records of this edge machine that are
@@ -300,8 +302,9 @@
 // weights of the samples that update the estimates.
 type estimatorParameters struct {
 	// priorFirstEventRatio is the prior of the time to the first response event of an empty prompt, and
-	// priorTokenRatio the prior of the prefill time per token. Both are ratios of the recovery time limit;
-	// range: above 0.
+	// priorTokenRatio the prior of the prefill time per token. Both are ratios of the recovery time limit
+	// (settings.Bounds.RecoveryMs, the longest time until service is restored after a fault), with which all
+	// durations of a site scale; range: above 0.
 	priorFirstEventRatio, priorTokenRatio float64
 	// The regression of the time to the first response event starts with priorSamples samples of an empty
 	// prompt and as many of a prompt of priorTokens tokens, all with the times that the priors predict. Range
--- a/internal/data/selection/versions.go
+++ b/internal/data/selection/versions.go
@@ -51,37 +51,37 @@
 }
 
 // oldestAllowedVersion returns the oldest weights version on which a request may still start. Each version that
-// the control state named ends the use of all older versions once the rollout time limit since its naming is
-// over, even if yet another version was named in the meantime.
+// became the target version in the control state ends the use of all older versions once the rollout time limit
+// since then is over, even if yet another version became the target in the meantime.
 func (t *table) oldestAllowedVersion(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) (oldest uint64) {
 	if !t.olderVersionAllowed(snapshot, model, versions, now) {
 		return snapshot.TargetVersions[model]
 	}
-	for _, named := range snapshot.EarlierVersions[model] {
-		if now >= t.rolloutLimitAppliesFrom && now-named.At >= t.bounds.Weights(rolloutTuning.olderVersionRatio) {
-			oldest = max(oldest, named.Version)
+	for _, earlier := range snapshot.EarlierVersions[model] {
+		if now >= t.rolloutLimitAppliesFrom && now-earlier.At >= t.bounds.Weights(rolloutTuning.olderVersionRatio) {
+			oldest = max(oldest, earlier.Version)
 		}
 	}
 	return oldest
 }
 
-// olderVersionAllowed reports whether a request may still start on weights older than the version that the
-// control state names. The rollout time limit doesn't apply to a process that has just started and isn't in
-// contact with the control state yet. After that, if the version was named before the process started, part of
+// olderVersionAllowed reports whether a request may still start on weights older than the model's target
+// version. The rollout time limit doesn't apply to a process that has just started and isn't in contact with the
+// control state yet. After that, if the version became the target before the process started, part of
 // the limit has already elapsed (package agent, which supplies the snapshot, assumes half): then an older
-// version is allowed only while no worker serves the named one.
+// version is allowed only while no worker serves the target version.
 func (t *table) olderVersionAllowed(snapshot *fleet.Snapshot, model string, versions *modelVersions, now time.Duration) bool {
-	named := snapshot.TargetVersions[model]
-	if named == 0 {
+	target := snapshot.TargetVersions[model]
+	if target == 0 {
 		return true
 	}
-	namedAt, ok := snapshot.TargetSetAt[model]
+	targetSetAt, ok := snapshot.TargetSetAt[model]
 	if !ok || now < t.rolloutLimitAppliesFrom {
 		return true
 	}
-	isInherited := namedAt-t.startedAt < t.bounds.Recovery(rolloutTuning.inheritedRatio)
-	if isInherited && slices.ContainsFunc(versions.distinct, func(version uint64) bool { return version >= named }) {
+	isInherited := targetSetAt-t.startedAt < t.bounds.Recovery(rolloutTuning.inheritedRatio)
+	if isInherited && slices.ContainsFunc(versions.distinct, func(version uint64) bool { return version >= target }) {
 		return false
 	}
-	return now-namedAt < t.bounds.Weights(rolloutTuning.olderVersionRatio)
+	return now-targetSetAt < t.bounds.Weights(rolloutTuning.olderVersionRatio)
 }
--- a/internal/data/selection/versions_test.go
+++ b/internal/data/selection/versions_test.go
@@ -49,7 +49,7 @@
 }
 
 // Workers on older weights are selected until 0.85 of the rollout time limit has passed since newer weights
-// were named; then only workers on the newer weights are.
+// became the target version; then only workers on the newer weights are.
 func TestOlderWeightsEndWithinTheirBound(t *testing.T) {
 	snapshot := newFleet(9)
 	snapshot.TargetVersions["m"], snapshot.TargetSetAt["m"] = 2, processStart+time.Minute
@@ -62,27 +62,27 @@
 	}
 	edge.now = snapshot.TargetSetAt["m"] + edge.bounds.Weights(0.84)
 	if edge.upgrade(snapshot, 1); edge.countOlder() == 0 {
-		t.Error("1 of 9 workers serves weights version 2, named 0.84 of the rollout time limit ago, less than the 0.85 after which older weights are excluded: 0 of 60 requests assigned to older weights, want some")
+		t.Error("1 of 9 workers serves weights version 2, which became the target version 0.84 of the rollout time limit ago, less than the 0.85 after which older weights are excluded: 0 of 60 requests assigned to older weights, want some")
 	}
 	edge.now = snapshot.TargetSetAt["m"] + edge.bounds.Weights(0.86)
 	if n := edge.countOlder(); n != 0 {
-		t.Errorf("1 of 9 workers serves weights version 2, named 0.86 of the rollout time limit ago, more than the 0.85 after which older weights are excluded: %d of 60 requests assigned to older weights, want 0", n)
+		t.Errorf("1 of 9 workers serves weights version 2, which became the target version 0.86 of the rollout time limit ago, more than the 0.85 after which older weights are excluded: %d of 60 requests assigned to older weights, want 0", n)
 	}
 	edge.upgrade(snapshot, 0)
 	if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 1000), nil, nil, edge.now); ok {
-		t.Error("all workers serve older weights than version 2, named 0.86 of the rollout time limit ago, more than the 0.85 after which older weights are excluded: a worker was selected, want none")
+		t.Error("all workers serve older weights than version 2, which became the target version 0.86 of the rollout time limit ago, more than the 0.85 after which older weights are excluded: a worker was selected, want none")
 	}
 }
 
-// A process that has just started doesn't know how long ago the newest weights version was named, so it doesn't
-// know how much of the rollout time limit has passed.
+// A process that has just started doesn't know how long ago the newest weights version became the
+// target version, so it doesn't know how much of the rollout time limit has passed.
 func TestNewProcessBoundsOlderWeights(t *testing.T) {
 	snapshot := newFleet(9)
 	snapshot.TargetVersions["m"], snapshot.TargetSetAt["m"] = 2, processStart
 	edge := newEdge(snapshot)
 	edge.now = processStart + time.Second
 	if edge.upgrade(snapshot, 1); edge.countOlder() != 0 {
-		t.Error("process started 1 s ago and can't know how long ago weights version 2 was named, and a worker serves that version: requests assigned to older weights, want none")
+		t.Error("process started 1 s ago and can't know how long ago weights version 2 became the target version, and a worker serves that version: requests assigned to older weights, want none")
 	}
 	// Until the process counts as in contact with the control state, the rollout time limit doesn't apply.
 	edge.rolloutLimitAppliesFrom = processStart + 2*time.Second
@@ -101,7 +101,7 @@
 	for ratio, want := range map[float64]bool{0.01: true, 0.34: true, 0.36: false} {
 		edge.now = processStart + edge.bounds.Weights(ratio)
 		if _, ok := edge.selectWorker(edge.snapshot, edge.newRequest("p", 1000), nil, nil, edge.now); ok != want {
-			t.Errorf("weights version 2, which no worker serves, was named 0.5 of the rollout time limit before the process started, and older weights are excluded after 0.85 of it; %v of the limit after the start: selected a worker: %t, want %t", ratio, ok, want)
+			t.Errorf("weights version 2, which no worker serves, became the target version 0.5 of the rollout time limit before the process started, and older weights are excluded after 0.85 of it; %v of the limit after the start: selected a worker: %t, want %t", ratio, ok, want)
 		}
 	}
 }
@@ -201,7 +201,7 @@
 			}
 		}
 	}
-	// If the control state names a version of the model but no worker reports which version it serves, requests
+	// If the control state has a target version of the model but no worker reports which version it serves, requests
 	// share no cached parts.
 	snapshot := newFleet(3)
 	for i := range snapshot.Workers {
@@ -242,7 +242,7 @@
 				prioritized.Priority, request.Route, request.PromptTokens = priority, &prioritized, tokens
 				level := edge.mustSelect(t, request).Urgency
 				if level < last || level > 9 || i == 0 && level <= last || lowest < 3 && level <= last {
-					t.Errorf("routing plan with %d priorities: prompt of %d tokens and priority %d got level %d, and the shorter or more urgent one before it level %d; want rising levels up to 9", lowest+1, tokens, priority, level, last)
+					t.Errorf("routing plan with %d priorities: prompt of %d tokens and priority %d got urgency %d, and the shorter or more urgent one before it urgency %d; want rising urgencies up to 9", lowest+1, tokens, priority, level, last)
 				}
 				last = level
 			}
@@ -250,9 +250,9 @@
 	}
 }
 
-// Version 2 of the weights is named, and version 3 before the rollout time limit of version 2 has passed. This
-// doesn't extend the limit of version 2: once 0.85 of it has passed, no request starts on version 1. Requests
-// may start on version 2 until 0.85 of the limit of version 3 has passed.
+// Version 2 of the weights becomes the target version in the control state, and version 3 before the rollout time
+// limit of version 2 has passed. This doesn't extend the limit of version 2: once 0.85 of it has passed, no request
+// starts on version 1. Requests may start on version 2 until 0.85 of the limit of version 3 has passed.
 func TestNamedAgainBeforeTheBoundIsOver(t *testing.T) {
 	// newFleet returns workers that serve version 1 of the weights; one of them is changed to version 2 below.
 	snapshot := newFleet(4)
@@ -273,14 +273,14 @@
 	}
 	edge.now = first + edge.bounds.Weights(0.84)
 	if counts := countByVersion(); counts[1] == 0 {
-		t.Errorf("weights version 2 was named 0.84 of the rollout time limit ago, less than the 0.85 after which version 1 is excluded: number of requests by version: %v, want some on version 1", counts)
+		t.Errorf("weights version 2 became the target version 0.84 of the rollout time limit ago, less than the 0.85 after which version 1 is excluded: number of requests by version: %v, want some on version 1", counts)
 	}
 	edge.now = first + edge.bounds.Weights(0.86)
 	if counts := countByVersion(); counts[1] != 0 || counts[2] == 0 {
-		t.Errorf("weights version 2 was named 0.86 of the rollout time limit ago, more than the 0.85 after which version 1 is excluded, and version 3 later, less than 0.85 ago: number of requests by version: %v, want none on version 1 and some on version 2", counts)
+		t.Errorf("weights version 2 became the target version 0.86 of the rollout time limit ago, more than the 0.85 after which version 1 is excluded, and version 3 became the target version later, less than 0.85 ago: number of requests by version: %v, want none on version 1 and some on version 2", counts)
 	}
 	edge.now = second + edge.bounds.Weights(0.86)
 	if counts := countByVersion(); len(counts) != 0 {
-		t.Errorf("weights version 3 was named 0.86 of the rollout time limit ago, more than the 0.85 after which versions 1 and 2 are excluded: number of requests by version: %v, want no requests", counts)
+		t.Errorf("weights version 3 became the target version 0.86 of the rollout time limit ago, more than the 0.85 after which versions 1 and 2 are excluded: number of requests by version: %v, want no requests", counts)
 	}
 }
