--- a/internal/control/consensus/model_restore_test.go
+++ b/internal/control/consensus/model_restore_test.go
@@ -64,8 +64,8 @@
 	return ""
 }
 
-// sameGeneration reports whether two members have the same restore generation, a number that rises whenever an operator
-// restores a group that has lost the majority of its disks from one surviving member.
+// sameGeneration reports whether two members have the same restore generation. This number rises whenever an operator
+// lets a group continue from one surviving member after the majority of its disks was lost.
 func sameGeneration(a, b nodeEntry) bool {
 	return a.core.hardState.RestoreGeneration == b.core.hardState.RestoreGeneration
 }
