--- a/internal/contract/backends.go
+++ b/internal/contract/backends.go
@@ -157,7 +157,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/start", bytes.NewReader(raw))
 	if err != nil {
-		return nil, errs.Wrap(err, "create HTTP request to start a request at worker "+addr)
+		return nil, errs.Wrap(err, "start")
 	}
 	request.GetBody = nil // without GetBody, net/http can't resend the request after a connection error, which could run it twice
 	for name, value := range hints {
