--- a/internal/sim/testbed/calendar.go
+++ b/internal/sim/testbed/calendar.go
@@ -13,7 +13,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// executeCalendarStep executes a scenario step that concerns the calendar, retirements or the worker list.
+// executeCalendarStep executes a scenario step that changes or reads the calendar of planned operations, retires a base
+// model, changes the platform's worker list, or patches the configuration.
 func (run *scenarioRun) executeCalendarStep(ctx context.Context, step Step) error {
 	argument := strings.ReplaceAll(step.Argument, "{model}", run.fleet.Site.Traffic.Model)
 	target := strings.ReplaceAll(step.Targets, "{model}", run.fleet.Site.Traffic.Model)
@@ -29,10 +30,10 @@
 	case "clash":
 		raw, err := json.Marshal(map[string]any{"move": json.RawMessage(argument)})
 		if err != nil {
-			return errs.Wrap(err, "write")
+			return errs.Wrap(err, "encode a conflicting calendar entry as JSON")
 		}
 		if code, body := run.fleet.Post(ctx, run.fleet.Site.Operators[0], "/v1/calendar", raw); code != 409 || !strings.Contains(body, "clashes") {
-			return errs.New(errs.Internal, "a clashing calendar entry was answered with %d %s, want 409", code, body)
+			return errs.New(errs.Internal, "calendar entry that conflicts with an existing one: got status %d and body %s, want status 409 and a body with \"clashes\"", code, body)
 		}
 		return nil
 	case "patch":
@@ -51,7 +52,8 @@
 	return run.awaitCalendarEntry(ctx, target, argument)
 }
 
-// moveToSecondService makes the platform simulator list the workers under the site's second service.
+// moveToSecondService makes the platform simulator list the workers that match target under the service "MODEL-two"
+// instead of the model's main service.
 func (run *scenarioRun) moveToSecondService(ctx context.Context, target string) error {
 	names, err := run.resolveTargets(ctx, target)
 	if err != nil {
@@ -72,32 +74,34 @@
 }
 
 const (
-	calendarPolls     = 60 // polls after which an entry that hasn't reached its state is an error
-	calendarPollPause = 500 * time.Millisecond
+	calendarPolls     = 60                     // maximum number of polls for a calendar entry to reach the awaited state
+	calendarPollPause = 500 * time.Millisecond // between two polls of the calendar
 
-	workerReplacementPollPause = 300 * time.Millisecond // between polls for drained workers
-	workerStopGrace            = 300 * time.Millisecond // from SIGTERM to SIGKILL of a replaced worker
+	workerReplacementPollPause = 300 * time.Millisecond // between two reads of the configuration for newly drained workers
+	workerStopGrace            = 300 * time.Millisecond // from SIGTERM to SIGKILL of a drained worker that is restarted
 )
 
-// awaitCalendarEntry polls until the calendar entry target, given as service/name, reaches a state.
+// awaitCalendarEntry polls the operator addresses until the calendar entry target, given as service/name, is in the
+// state. It fails with errs.Internal after calendarPolls polls.
 func (run *scenarioRun) awaitCalendarEntry(ctx context.Context, target, state string) error {
 	for i := 0; ; i++ {
 		_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[i%len(run.fleet.Site.Operators)], "/v1/calendar")
 		last := body
 		if entry := calendarEntry(body, target); entry != nil {
-			last = fmt.Sprintf("%s, step %d of %d, %s", entry.State, entry.CurrentStep, len(entry.Steps), entry.Reason)
+			last = fmt.Sprintf("state %s, step %d of %d, reason: %s", entry.State, entry.CurrentStep, len(entry.Steps), entry.Reason)
 			if string(entry.State) == state {
 				return nil
 			}
 		}
 		if i >= calendarPolls {
-			return errs.New(errs.Internal, "%s isn't %s: %s", target, state, last)
+			return errs.New(errs.Internal, "calendar entry %s did not reach state %s within %d polls; last response: %s", target, state, calendarPolls, last)
 		}
 		time.Sleep(calendarPollPause)
 	}
 }
 
-// calendarEntry returns an entry of the calendar in a response; nil if there is none.
+// calendarEntry returns the entry target, given as service/name, from the body of a response to GET /v1/calendar; nil
+// if the body can't be decoded or doesn't list the entry.
 func calendarEntry(body, target string) *calendar.Entry {
 	var list struct {
 		Moves []json.RawMessage `json:"moves"`
@@ -105,8 +109,8 @@
 	if json.Unmarshal([]byte(body), &list) != nil {
 		return nil
 	}
-	for _, move := range list.Moves {
-		if entry, err := calendar.Decode(move); err == nil && entry.Service+"/"+entry.Name == target {
+	for _, rawEntry := range list.Moves {
+		if entry, err := calendar.Decode(rawEntry); err == nil && entry.Service+"/"+entry.Name == target {
 			return entry
 		}
 	}
@@ -117,20 +121,20 @@
 func (run *scenarioRun) listWorker(ctx context.Context, w contract.ListedWorker) error {
 	raw, err := json.Marshal(w)
 	if err != nil {
-		return errs.Wrap(err, "write")
+		return errs.Wrap(err, "encode the list entry of worker "+w.Name+" as JSON")
 	}
 	if code, body := run.fleet.Post(ctx, run.fleet.platformAddr(), "/v1/workers", raw); code != 200 {
-		return errs.New(errs.Internal, "list %s: %d %s", w.Name, code, body)
+		return errs.New(errs.Internal, "add worker %s to the platform simulator's list: got status %d and body %s, want status 200", w.Name, code, body)
 	}
 	return nil
 }
 
-// replaceDrainedWorkers acts as the platform does: it restarts every worker that the configuration drains,
-// once the worker is idle, until ctx is done. Each worker is restarted once.
+// replaceDrainedWorkers simulates the platform: until ctx is done, it restarts every worker that the configuration
+// drains as soon as the worker has no running or queued requests. Each worker is restarted once at most.
 func (run *scenarioRun) replaceDrainedWorkers(ctx context.Context) {
 	backends := contract.NewBackends(run.fleet.env.Dial)
 	defer backends.Close()
-	done := map[string]bool{}
+	restarted := map[string]bool{}
 	for ctx.Err() == nil {
 		time.Sleep(workerReplacementPollPause)
 		_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[5], "/v1/setup")
@@ -144,15 +148,15 @@
 		}
 		for worker := range config.Configuration.Draining {
 			state, err := backends.State(ctx, run.fleet.Site.Workers[worker])
-			if done[worker] || err != nil || state.Busy > 0 || state.Queued > 0 {
+			if restarted[worker] || err != nil || state.Busy > 0 || state.Queued > 0 {
 				continue
 			}
-			done[worker] = true
+			restarted[worker] = true
 			if run.fleet.Signal(worker, syscall.SIGTERM) == nil {
 				time.Sleep(workerStopGrace)
 				if err := run.fleet.Signal(worker, syscall.SIGKILL); err == nil || errs.KindOf(err) == errs.Internal {
 					if err := run.fleet.Start(worker); err != nil {
-						run.addFault("platform: %v", err)
+						run.addViolation("platform simulation: restart of drained worker %s: %v", worker, err)
 					}
 				}
 			}
--- a/internal/sim/testbed/capacity.go
+++ b/internal/sim/testbed/capacity.go
@@ -8,24 +8,25 @@
 	"pebbleloom/internal/errs"
 )
 
-// measureCapacity measures the resource use of each role over the size of the fleet and merges the series into
-// options.Out, which keeps its other series. With the part "page" it regenerates the page in the folder options.Out.
-func measureCapacity(options Options, out, bad io.Writer) error {
+// measureCapacity measures the resource use of each role at several fleet sizes and merges the series into the file
+// options.Out, which keeps its other series; without a file it prints them. If options.Part is "page" it measures nothing
+// and regenerates the capacity page in the folder options.Out.
+func measureCapacity(options Options, out, errOut io.Writer) error {
 	if options.Part == "page" {
 		return capacity.WritePage(options.Out)
 	}
-	measured, err := capacity.Measure(options.Part, options.Quick, bad)
+	series, err := capacity.Measure(options.Part, options.Quick, errOut)
 	if err != nil {
 		return err
 	}
 	if raw, err := os.ReadFile(options.Out); options.Out != "" && err == nil {
-		old, err := capacity.Read(raw)
+		previous, err := capacity.Read(raw)
 		if err != nil {
 			return errs.Wrap(err, options.Out)
 		}
-		measured = capacity.Join(old, measured)
+		series = capacity.Join(previous, series)
 	}
-	raw, err := measured.Write()
+	raw, err := series.Write()
 	if err != nil {
 		return err
 	}
@@ -34,5 +35,5 @@
 	} else {
 		err = os.WriteFile(options.Out, raw, 0o644)
 	}
-	return errs.WrapAs(err, errs.BadInput, "write what was measured")
+	return errs.WrapAs(err, errs.BadInput, "write the measured capacity series")
 }
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -13,27 +13,28 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// checkRun checks the invariants on a finished run: closed is the wall time in milliseconds at which the last step
-// ended, heal the recovery bound in milliseconds.
-func (run *scenarioRun) checkRun(ctx context.Context, log *loadgen.OutcomeLog, closed int64, heal int) error {
+// checkRun checks the outcomes of a finished run and adds each violation to the report. lastStepEndMs is the Unix time
+// in milliseconds at which the last step ended; recoveryMs is the time in milliseconds within which service must
+// recover after that.
+func (run *scenarioRun) checkRun(ctx context.Context, log *loadgen.OutcomeLog, lastStepEndMs int64, recoveryMs int) error {
 	journals, err := run.fleet.Journals()
 	if err != nil {
-		return errs.Wrap(err, "journals")
+		return errs.Wrap(err, "read the journals of the worker simulators")
 	}
 	run.report.Sum = log.Summarize(journals, true)
 	for _, f := range run.report.Sum.Faults {
-		run.addFault("%s", f)
+		run.addViolation("%s", f)
 	}
-	run.checkSealedShares(log, closed, int64(heal))
+	run.checkRecoveryAndRejections(log, lastStepEndMs, int64(recoveryMs))
 	run.checkRevokedKeys(log, journals)
 	run.checkWeightsAndDraining(journals)
 	run.checkRetryBudget(log, journals)
 	orders, err := run.fleet.Orders()
 	if err != nil {
-		return errs.Wrap(err, "orders")
+		return errs.Wrap(err, "read the workers' journals of lease holders' orders")
 	}
-	for _, f := range append(checkFencing(orders), run.checkOldBaseOutlivesMigration(journals, orders)...) {
-		run.addFault("%s", f)
+	for _, f := range append(checkFencing(orders), run.checkOldBaseUnloadedLast(journals, orders)...) {
+		run.addViolation("%s", f)
 	}
 	if run.scenario.ReadAll {
 		run.checkConfigurationsAgree(ctx)
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// recordPlacement puts the placement that is in force at the end into the report.
+// recordPlacement reads the placement of the main model's service at the end of the run into the report.
 func (run *scenarioRun) recordPlacement(ctx context.Context) {
 	_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/placements/"+mainService(run.fleet.Site.Traffic.Model))
 	var s struct {
@@ -53,12 +54,12 @@
 			Replicated []string `json:"replicated"`
 		} `json:"placement"`
 	}
-	if json.Unmarshal([]byte(body), &s) == nil { // otherwise the placement is unknown, which other checks report
+	if json.Unmarshal([]byte(body), &s) == nil { // otherwise the report leaves the placement empty; other checks report that the site is unavailable
 		run.report.RMax, run.report.Replicated = s.Placement.RMax, len(s.Placement.Replicated)
 	}
 }
 
-// hitCounter counts prompt tokens, and those of them that were cache hits.
+// hitCounter counts prompt tokens, and those of them that were found in a worker's prompt cache.
 type hitCounter struct{ hit, total int }
 
 func (c *hitCounter) add(o loadgen.Outcome) {
@@ -68,11 +69,12 @@
 
 func (c *hitCounter) share() float64 { return float64(c.hit) / float64(max(1, c.total)) }
 
-// checkSealedShares checks that service recovers within the bound and that only allowed rejections occur.
-func (run *scenarioRun) checkSealedShares(log *loadgen.OutcomeLog, closed, heal int64) {
+// checkRecoveryAndRejections checks that enough requests get a sealed response, one whose final record has a valid
+// checksum, over the whole run and after recoveryMs, and that only rejections of allowed kinds occur.
+func (run *scenarioRun) checkRecoveryAndRejections(log *loadgen.OutcomeLog, lastStepEndMs, recoveryMs int64) {
 	afterTotal, afterSealed, duringTotal, duringSealed := 0, 0, 0, 0
 	var before, during, after hitCounter
-	firstStepMs := closed
+	firstStepMs := lastStepEndMs
 	for _, step := range run.scenario.Steps {
 		if step.Action != "patch" {
 			firstStepMs = min(firstStepMs, run.startedMs+int64(step.At))
@@ -82,7 +84,7 @@
 		switch {
 		case outcome.SentMs < firstStepMs:
 			before.add(outcome)
-		case outcome.SentMs < closed+heal: // the fault and the recovery from it
+		case outcome.SentMs < lastStepEndMs+recoveryMs: // while faults are injected, and the time to recover from them
 			during.add(outcome)
 		default:
 			after.add(outcome)
@@ -90,7 +92,7 @@
 		if _, revoked := run.keyRevokedMs[outcome.Request.Key]; revoked {
 			continue
 		}
-		if outcome.SentMs >= closed+heal {
+		if outcome.SentMs >= lastStepEndMs+recoveryMs {
 			if afterTotal++; outcome.Sealed {
 				afterSealed++
 			}
@@ -105,7 +107,7 @@
 			allowed = allowed || kind == outcome.Rejected
 		}
 		if !allowed || strings.HasPrefix(outcome.Rejected, "untyped") {
-			run.addFault("%s: rejected as %s", outcome.Request.ID, outcome.Rejected)
+			run.addViolation("request %s: rejected as %s, which the scenario doesn't allow", outcome.Request.ID, outcome.Rejected)
 		}
 	}
 	run.report.HitShares = [3]float64{before.share(), during.share(), after.share()}
@@ -116,17 +118,17 @@
 		run.report.SealedDuring = float64(duringSealed) / float64(duringTotal)
 	}
 	if run.report.SealedAfterRecovery < 0.97 {
-		run.addFault("service did not recover: %.3f of %d requests sealed from %d ms after the last step on", run.report.SealedAfterRecovery, afterTotal, heal)
+		run.addViolation("service did not recover: a share of %.3f of the %d requests sent later than %d ms after the last step got a complete response, want at least 0.97", run.report.SealedAfterRecovery, afterTotal, recoveryMs)
 	}
 	if all := float64(run.report.Sum.Sealed) / float64(max(1, run.report.Sum.Requests)); all < run.scenario.MinSealedShare {
-		run.addFault("only %.3f of all requests sealed, at least %.3f are due", all, run.scenario.MinSealedShare)
+		run.addViolation("a share of %.3f of all requests got a complete response, want at least %.3f", all, run.scenario.MinSealedShare)
 	}
 }
 
-// checkRevokedKeys checks that a revoked key is accepted no longer than its bound, both by the time at which
-// requests were sent and by the time at which workers started them.
+// checkRevokedKeys checks that no request with a revoked API key is sent and accepted, or started by a worker, later
+// than Bounds.KeyRevocationMs after the revocation was acknowledged.
 func (run *scenarioRun) checkRevokedKeys(log *loadgen.OutcomeLog, journals map[string][]workersim.Run) {
-	revokedMs := map[string]int64{} // request -> when its key was revoked
+	revokedMs := map[string]int64{} // by request ID: Unix time at which the revocation of its key was acknowledged
 	for _, outcome := range log.All() {
 		if revokedAtMs, ok := run.keyRevokedMs[outcome.Request.Key]; ok {
 			revokedMs[outcome.Request.ID] = revokedAtMs
@@ -135,7 +137,7 @@
 	for name, runs := range journals {
 		for _, workerRun := range runs {
 			if revokedAtMs, ok := revokedMs[workerRun.RequestID]; ok && workerRun.AtMs > revokedAtMs+int64(run.fleet.Site.Processes[0].Settings.Bounds.KeyRevocationMs) {
-				run.addFault("%s started %s %d ms after its key was revoked", name, workerRun.RequestID, workerRun.AtMs-revokedAtMs)
+				run.addViolation("worker %s started request %s %d ms after its key was revoked", name, workerRun.RequestID, workerRun.AtMs-revokedAtMs)
 			}
 		}
 	}
@@ -148,44 +150,45 @@
 		}
 		if outcome.Sealed || outcome.Interrupted != "" {
 			late++
-			run.addFault("%s: a key revoked %d ms before was accepted", outcome.Request.ID, outcome.SentMs-revokedAtMs)
+			run.addViolation("request %s: an API key that had been revoked %d ms earlier was accepted", outcome.Request.ID, outcome.SentMs-revokedAtMs)
 		} else if outcome.Rejected == "bad-key" {
 			rejected++
 		}
 	}
 	if len(run.keyRevokedMs) > 0 && late == 0 && rejected == 0 {
-		run.addFault("no request used the revoked key: the check had nothing to judge")
+		run.addViolation("no request used a revoked API key after the revocation bound of %d ms, so that revocation was not checked", bound)
 	}
 }
 
-// checkWeightsAndDraining checks that no request starts on older weights after their bound, nor on a drained worker.
+// checkWeightsAndDraining checks that no worker starts a request on superseded weights later than Bounds.WeightsMs after
+// newer ones were acknowledged, or later than Bounds.LeaveMs after it was drained.
 func (run *scenarioRun) checkWeightsAndDraining(journals map[string][]workersim.Run) {
 	bounds := run.fleet.Site.Processes[0].Settings.Bounds
 	newer := map[uint64]int{}
 	for name, runs := range journals {
 		for _, workerRun := range runs {
-			for weights, atMs := range run.weightsNamedMs {
+			for weights, atMs := range run.weightsSetMs {
 				if workerRun.Weights < weights && workerRun.AtMs > atMs+int64(bounds.WeightsMs) {
-					run.addFault("%s started %s on weights %d, %d ms after %d were acknowledged", name, workerRun.RequestID, workerRun.Weights, workerRun.AtMs-atMs, weights)
+					run.addViolation("worker %s started request %s on weights %d, %d ms after version %d of the weights was acknowledged", name, workerRun.RequestID, workerRun.Weights, workerRun.AtMs-atMs, weights)
 				}
 				if workerRun.Weights >= weights {
 					newer[weights]++
 				}
 			}
 			if atMs, ok := run.drainedMs[name]; ok && workerRun.AtMs > atMs+int64(bounds.LeaveMs) {
-				run.addFault("%s started %s %d ms after it was drained", name, workerRun.RequestID, workerRun.AtMs-atMs)
+				run.addViolation("worker %s started request %s %d ms after it was drained", name, workerRun.RequestID, workerRun.AtMs-atMs)
 			}
 		}
 	}
-	for weights := range run.weightsNamedMs {
+	for weights := range run.weightsSetMs {
 		if newer[weights] == 0 {
-			run.addFault("nothing ever ran on weights %d", weights)
+			run.addViolation("no request ran on weights %d or newer, although they were set", weights)
 		}
 	}
 }
 
-// checkRetryBudget checks the repeated runs in every retry window against the budget: a share of the window's
-// requests plus the site's allowance.
+// checkRetryBudget checks that in every retry window the runs beyond the first of each request stay within the retry
+// budget: Bounds.RetryPercent of the requests in the window plus Bounds.RetryAllowance.
 func (run *scenarioRun) checkRetryBudget(log *loadgen.OutcomeLog, journals map[string][]workersim.Run) {
 	bounds := run.fleet.Site.Processes[0].Settings.Bounds
 	seen := map[string]bool{}
@@ -207,17 +210,19 @@
 		}
 	}
 	run.report.ExtraRuns = len(extra)
-	allow := float64(max(bounds.RetryAllowance, len(run.fleet.Site.Edges))) // an edge machine's share is at least one
-	if extraRuns, firstRuns := worstWindow(extra, first, int64(bounds.RetryWindowMs), float64(bounds.RetryPercent)/100); float64(extraRuns) > float64(bounds.RetryPercent)/100*float64(firstRuns)+allow {
-		run.addFault("%d extra runs on %d requests in a retry window", extraRuns, firstRuns)
+	allowance := float64(max(bounds.RetryAllowance, len(run.fleet.Site.Edges))) // the allowance is split between the edge machines, and each gets at least one retry
+	if extraRuns, firstRuns := worstWindow(extra, first, int64(bounds.RetryWindowMs), float64(bounds.RetryPercent)/100); float64(extraRuns) > float64(bounds.RetryPercent)/100*float64(firstRuns)+allowance {
+		run.addViolation("%d extra runs on %d requests in a retry window of %d ms, want at most %d %% of the requests plus %.0f", extraRuns, firstRuns, bounds.RetryWindowMs, bounds.RetryPercent, allowance)
 	}
 }
 
-// worstWindow finds the window, at any start, whose extra runs exceed the share of its requests by the most. A run may begin up to a tenth of the window after its request earned it.
+// worstWindow returns the counts of the time window, of span milliseconds and at any start, in which the extra runs
+// exceed the share of the requests by the most. A retry may start up to a tenth of the window after the request that
+// paid for it, so requests count from that much earlier on.
 func worstWindow(extra, first []int64, span int64, share float64) (extraRuns, firstRuns int) {
 	slices.Sort(extra)
 	slices.Sort(first)
-	count := func(times []int64, from, to int64) int { // from <= t < to
+	count := func(times []int64, from, to int64) int { // of the times t with from <= t < to
 		at := func(t int64) int { i, _ := slices.BinarySearch(times, t); return i }
 		return at(to) - at(from)
 	}
@@ -238,8 +243,8 @@
 	return extraRuns, firstRuns
 }
 
-// checkConfigurationsAgree checks that every operator address returns the same configuration, at least as new as the latest
-// acknowledged version.
+// checkConfigurationsAgree checks that every operator address returns the same configuration, at a version not older
+// than the latest that was acknowledged to an operator.
 func (run *scenarioRun) checkConfigurationsAgree(ctx context.Context) {
 	bodies := map[string][]string{}
 	for _, addr := range run.fleet.Site.Operators {
@@ -249,16 +254,16 @@
 			Configuration json.RawMessage `json:"setup"`
 		}
 		if code != 200 || json.Unmarshal([]byte(body), &response) != nil {
-			run.addFault("%s doesn't return the configuration: %d %.200s", addr, code, body)
+			run.addViolation("operator address %s doesn't return the configuration: status %d, body %.200s", addr, code, body)
 			continue
 		}
 		if response.Version < run.acknowledgedVersion {
-			run.addFault("%s returned configuration version %d, but %d was acknowledged", addr, response.Version, run.acknowledgedVersion)
+			run.addViolation("operator address %s returned configuration version %d, although version %d had been acknowledged", addr, response.Version, run.acknowledgedVersion)
 		}
 		content := fmt.Sprintf("%d %s", response.Version, response.Configuration)
 		bodies[content] = append(bodies[content], addr)
 	}
 	if len(bodies) > 1 {
-		run.addFault("the operator addresses return %d different configurations", len(bodies))
+		run.addViolation("the operator addresses return %d different configurations, want 1", len(bodies))
 	}
 }
--- a/internal/sim/testbed/environment.go
+++ b/internal/sim/testbed/environment.go
@@ -16,49 +16,50 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// Environment runs a site's processes and injects faults into them: as processes of this machine, or as a simulated
-// cluster in virtual time. Both run the same programs.
+// Environment runs the processes of a site and injects faults into them. One implementation starts them as operating
+// system processes on this machine, another as a simulated cluster in virtual time; both run the same programs.
 type Environment interface {
-	// Start starts a process with the settings that were written last.
+	// Start starts a process with the settings that WriteSettings wrote last for it.
 	Start(process Process) error
 	// Signal sends a signal to a process; after SIGKILL it returns once the process has ended.
 	Signal(name string, s syscall.Signal) error
-	// WriteSettings writes the settings that the process's next start reads.
+	// WriteSettings writes the settings with which Start starts the process the next time.
 	WriteSettings(process Process) error
-	// WipeDisk removes a process's data.
+	// WipeDisk removes the data that a process has stored.
 	WipeDisk(process Process) error
-	// SetFault sets a fault of a machine's "disk" (full, sync or stall MS) or "wall" clock (an offset in
-	// milliseconds); an empty value ends it.
+	// SetFault injects a fault into a process. With what "disk" value is full, sync, or "stall MS" to delay writes by
+	// MS milliseconds; with what "wall" it is an offset of the wall clock in milliseconds. An empty value ends the fault.
 	SetFault(process Process, what, value string) error
-	// Journal reads a worker simulator's journal of runs and orders.
+	// Journal reads a worker simulator's journal: the requests that it ran and the orders of lease holders that it executed.
 	Journal(process Process) ([]workersim.Run, error)
-	// SetLink sets the rule of the link from one machine to another; "*" is any machine.
+	// SetLink sets the rule of the network link from one machine to another; "*" is any machine.
 	SetLink(from, to string, r LinkRule) error
-	// HealLinks removes all link rules.
+	// HealLinks removes the rules of all network links, so that every link works normally.
 	HealLinks()
-	// Dial connects to a process as a client or an operator outside the site does.
+	// Dial connects to a process of the site from outside, as a client or an operator does.
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
 	// Stop ends all processes that were started.
 	Stop()
 }
 
-// localEnvironment runs a site as processes of this machine.
+// localEnvironment is the Environment that runs a site as operating system processes on this machine.
 type localEnvironment struct {
-	dir            string     // of settings and logs
-	programs       string     // folder of the programs
-	links          *Links     // nil: connections go directly
-	earlierRelease string     // the folder of an earlier release, in upgrades
-	mu             sync.Mutex // protects the fields below
-	processes      map[string]*exec.Cmd
-	exited         map[string]chan struct{} // closed once the process has ended
+	dir            string                   // folder of settings, journals and logs
+	programs       string                   // folder of the executables
+	links          *Links                   // nil: processes connect directly, not through relays
+	earlierRelease string                   // in an upgrade test: folder of the executables of an earlier release
+	mu             sync.Mutex               // protects processes and exited
+	processes      map[string]*exec.Cmd     // by process name
+	exited         map[string]chan struct{} // by process name; closed once the process has ended
 }
 
 const (
-	stopGrace   = 6 * time.Second // from SIGTERM to SIGKILL when the environment stops
-	dialTimeout = time.Second
+	stopGrace   = 6 * time.Second // from SIGTERM to SIGKILL when the environment stops its processes
+	dialTimeout = time.Second     // of a connection of a client or operator
 )
 
-// newLocalEnvironment returns an environment that writes settings and logs to dir and runs the programs in a folder.
+// newLocalEnvironment returns an environment that keeps settings, journals and logs in dir and runs the executables in
+// folder.
 func newLocalEnvironment(dir, folder string) *localEnvironment {
 	return &localEnvironment{dir: dir, programs: folder, processes: map[string]*exec.Cmd{}, exited: map[string]chan struct{}{}}
 }
@@ -67,7 +68,7 @@
 func (env *localEnvironment) Start(process Process) error {
 	log, err := os.OpenFile(filepath.Join(env.dir, process.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return errs.Wrap(err, "open log")
+		return errs.Wrap(err, "open the log of process "+process.Name)
 	}
 	folder := process.Bin
 	if folder == "" {
@@ -75,19 +76,20 @@
 	}
 	command := exec.Command(programs.Find(folder, process.Program), "--settings", filepath.Join(env.dir, process.Name+".json"))
 	command.Stdout, command.Stderr = log, log
-	// Small machines: two threads at once, and a heap that stays within 200 MB a machine.
+	// Simulate small machines: at most two threads run Go code at once, and the heap limit of 60 MiB keeps the three
+	// processes of an edge machine within 200 MB.
 	command.Env = append(os.Environ(), "GOMAXPROCS=2", "GOMEMLIMIT=60MiB")
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		log.Close()
-		return errs.Wrap(err, "start "+process.Name)
+		return errs.Wrap(err, "start process "+process.Name)
 	}
 	exited := make(chan struct{})
 	env.mu.Lock()
 	env.processes[process.Name], env.exited[process.Name] = command, exited
 	env.mu.Unlock()
 	go func() {
-		_ = command.Wait() // how it ended is in its log
+		_ = command.Wait() // the process writes the reason of its exit to its log
 		log.Close()
 		close(exited)
 	}()
@@ -100,10 +102,10 @@
 	command, exited := env.processes[name], env.exited[name]
 	env.mu.Unlock()
 	if command == nil {
-		return errs.New(errs.NotFound, "process %q", name)
+		return errs.New(errs.NotFound, "signal: process %q was not started", name)
 	}
 	if err := command.Process.Signal(s); err != nil {
-		return errs.Wrap(err, "signal "+name)
+		return errs.Wrap(err, "send a signal to process "+name)
 	}
 	if s == syscall.SIGKILL {
 		<-exited
@@ -119,7 +121,8 @@
 	return os.RemoveAll(process.Settings.Data)
 }
 
-// SetFault implements Environment: it writes the file that the process's faults= or wall= option names.
+// SetFault implements Environment: it writes the file that the faults= or wall= option of the process names, which the
+// process reads for the fault to inject.
 func (env *localEnvironment) SetFault(process Process, what, value string) error {
 	file := filepath.Join(env.dir, process.Settings.Name+map[string]string{"disk": ".fault", "wall": ".wall"}[what])
 	if value == "" {
@@ -132,16 +135,16 @@
 func (env *localEnvironment) Journal(process Process) ([]workersim.Run, error) {
 	file, err := os.Open(filepath.Join(env.dir, process.Name+".runs"))
 	if err != nil {
-		return nil, errs.Wrap(err, "open journal")
+		return nil, errs.Wrap(err, "open the journal of worker "+process.Name)
 	}
 	defer file.Close()
 	return loadgen.ReadJournal(file)
 }
 
-// SetLink implements Environment. It fails with errs.BadInput if the scenario has no links.
+// SetLink implements Environment. It fails with errs.BadInput if the scenario runs without relays in its links.
 func (env *localEnvironment) SetLink(from, to string, r LinkRule) error {
 	if env.links == nil {
-		return errs.New(errs.BadInput, "the scenario has no links: set \"links\": true")
+		return errs.New(errs.BadInput, "can't set the rule of the link from %s to %s: the scenario runs without relays; set \"links\": true in its file", from, to)
 	}
 	env.links.Set(from, to, r)
 	return nil
@@ -159,12 +162,12 @@
 	return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, addr)
 }
 
-// Stop implements Environment: it sends SIGTERM, and SIGKILL to processes that outlive stopGrace.
+// Stop implements Environment: it sends SIGTERM to all processes, and SIGKILL to those that still run after stopGrace.
 func (env *localEnvironment) Stop() {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	for _, command := range env.processes {
-		_ = command.Process.Signal(syscall.SIGCONT) // one that ended already can't be signalled, nor need it be
+		_ = command.Process.Signal(syscall.SIGCONT) // resumes a stopped process; the error of one that has already ended is ignored
 		_ = command.Process.Signal(syscall.SIGTERM)
 	}
 	timeout := time.After(stopGrace)
--- a/internal/sim/testbed/faultkinds.go
+++ b/internal/sim/testbed/faultkinds.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
-// faultKind is a kind of fault that a mixture may contain.
+// faultKind is a kind of fault that a randomly drawn combination of faults may contain.
 type faultKind struct {
 	name string
-	draw func(gen *faultGenerator, fault *Fault)
+	draw func(gen *faultGenerator, fault *Fault) // adds the steps of a random fault of this kind; none if it can't be injected
 }
 
-// faultKinds are drawn by index: a seed draws other faults if they are reordered.
+// faultKinds are the kinds of faults. DrawFaults selects them by index, so that a change of their order changes the faults
+// that a seed yields.
 var faultKinds = []faultKind{
 	{"workers-killed", onWorkers("kill", "start", 4)},
 	{"workers-vanish", onWorkers("off", "mend", 2)},
@@ -46,22 +47,23 @@
 	{"index", drawIndexKilled},
 }
 
-// atStart adds a step at the fault's beginning.
+// atStart adds a step at the time at which the fault begins.
 func (gen *faultGenerator) atStart(fault *Fault, action, targets, argument string) {
 	fault.Steps = append(fault.Steps, Step{At: gen.startMs, Action: action, Targets: targets, Argument: argument})
 }
 
-// atEnd adds a step at the fault's end.
+// atEnd adds a step at the time at which the fault ends.
 func (gen *faultGenerator) atEnd(fault *Fault, action, targets, argument string) {
 	fault.Steps = append(fault.Steps, Step{At: gen.endMs, Action: action, Targets: targets, Argument: argument})
 }
 
-// after adds a step some milliseconds after the fault's beginning.
+// after adds a step at ms milliseconds after the fault begins.
 func (gen *faultGenerator) after(fault *Fault, ms int, action, targets, argument string) {
 	fault.Steps = append(fault.Steps, Step{At: gen.startMs + ms, Action: action, Targets: targets, Argument: argument})
 }
 
-// onWorkers returns a fault of one to atMost healthy workers.
+// onWorkers returns a function that draws a fault of one to limit workers that have no other fault. The step action
+// injects it and undo ends it.
 func onWorkers(action, undo string, limit int) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		if names := gen.takeHealthy(workerPrefix, workers, 1+gen.random.IntN(limit)); len(names) > 0 {
@@ -70,7 +72,8 @@
 	}
 }
 
-// onEdges returns a fault of count edge machines, or of as many as are healthy.
+// onEdges returns a function that draws a fault of count edge machines that have no other fault, or of fewer if fewer are
+// left. processes is the pattern of the affected processes of a machine.
 func onEdges(action, undo, processes string, count int) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		if names := gen.takeHealthy(edgePrefix, edgeMachines, count); len(names) > 0 {
@@ -79,7 +82,8 @@
 	}
 }
 
-// onCoreMachine returns a fault of one core machine.
+// onCoreMachine returns a function that draws a fault of one core machine. processes is the pattern of the affected
+// processes.
 func onCoreMachine(action, undo, processes string) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		if machine, ok := gen.takeCoreMachine(); ok {
@@ -88,19 +92,22 @@
 	}
 }
 
-// concurrentChanges returns a step in which 3 to 14 operators change the configuration concurrently.
+// concurrentChanges returns a function that draws a step, "storm" or "race", in which 3 to 14 operators change the
+// configuration concurrently.
 func concurrentChanges(action string) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		gen.atStart(fault, action, "", fmt.Sprint(3+gen.random.IntN(12)))
 	}
 }
 
-// withWorkerOption returns a fault of all workers throughout the run.
+// withWorkerOption returns a function that draws a fault that an option causes in all worker simulators throughout the
+// run.
 func withWorkerOption(option string) func(*faultGenerator, *Fault) {
 	return func(_ *faultGenerator, fault *Fault) { fault.WorkerOptions = []string{option} }
 }
 
-// drawAsymmetricPartition draws an asymmetric partition: what an edge machine sends to the core is lost, what it receives isn't.
+// drawAsymmetricPartition draws an asymmetric network partition: the links from one edge machine to the core machines are
+// cut, those in the reverse direction work.
 func drawAsymmetricPartition(gen *faultGenerator, fault *Fault) {
 	const core = "core-1 core-2 core-3 core-4"
 	if names := gen.takeHealthy(edgePrefix, edgeMachines, 1); len(names) > 0 {
@@ -109,8 +116,8 @@
 	}
 }
 
-// drawDiskLost draws the crash of a core machine during concurrent changes. It restarts with an empty disk, in half
-// of the cases at another address.
+// drawDiskLost draws a crash of a core machine, while operators change the configuration, after which the machine restarts
+// with an empty disk, in half of the cases at another address.
 func drawDiskLost(gen *faultGenerator, fault *Fault) {
 	machine, ok := gen.takeCoreMachine()
 	if !ok {
@@ -125,7 +132,8 @@
 	gen.atEnd(fault, "start", expandNames(coreProcesses, machine), "")
 }
 
-// drawDiskFull draws a full disk of a core machine, whose control node restarts once there is space again.
+// drawDiskFull draws a full disk of a core machine. The control node of the machine is restarted once there is space
+// again.
 func drawDiskFull(gen *faultGenerator, fault *Fault) {
 	machine, ok := gen.takeCoreMachine()
 	if !ok {
@@ -144,8 +152,8 @@
 	}
 }
 
-// drawPowerLost draws a power loss of all core machines during concurrent changes. No other fault of a core machine
-// is drawn beside it.
+// drawPowerLost draws a simultaneous crash and restart of all control nodes while operators change the configuration. It
+// excludes any other fault of a core machine in the same run.
 func drawPowerLost(gen *faultGenerator, fault *Fault) {
 	if gen.nextCoreFaultMs != 0 {
 		return
@@ -161,14 +169,14 @@
 }
 
 func drawWeights(gen *faultGenerator, fault *Fault) {
-	if gen.weightsNamed++; gen.weightsNamed == 1 {
+	if gen.weightRollouts++; gen.weightRollouts == 1 {
 		gen.atStart(fault, "weights", "", "2")
 	}
 }
 
-// drawWeightsTwice draws a rollout of weights that starts during the rollout of the ones before.
+// drawWeightsTwice draws two rollouts of model weights, of which the second starts before the first has ended.
 func drawWeightsTwice(gen *faultGenerator, fault *Fault) {
-	if gen.weightsNamed++; gen.weightsNamed == 1 {
+	if gen.weightRollouts++; gen.weightRollouts == 1 {
 		gen.atStart(fault, "weights", "", "2")
 		gen.after(fault, 1000+gen.random.IntN(3000), "weights", "", "3")
 	}
--- a/internal/sim/testbed/faults.go
+++ b/internal/sim/testbed/faults.go
@@ -8,36 +8,36 @@
 	"strings"
 )
 
-// Fault is a fault of a mixture, with the steps that inject and end it.
+// Fault is one of the faults that are drawn for a run, with the scenario steps that inject and end it.
 type Fault struct {
 	Name          string
 	Steps         []Step
-	Links         bool     // it needs relays in the path of every link
-	WorkerOptions []string // of every worker simulator, throughout the run
+	Links         bool     // the fault needs relays between the machines to cut or slow links
+	WorkerOptions []string // options that cause the fault in every worker simulator throughout the run
 }
 
-// faultGenerator draws faults that a site must tolerate together: one core machine at a time, a few workers and
-// edge machines, and no machine in two faults.
+// faultGenerator draws faults that a site must tolerate together: at most one core machine is faulty at a time, only a
+// few workers and edge machines are, and no worker or edge machine has two faults.
 type faultGenerator struct {
 	random          *rand.Rand
-	startMs         int // when the present fault begins
-	endMs           int // and when it ends
-	nextCoreFaultMs int // earliest start of the next fault of a core machine
-	faulty          map[string]bool
-	weightsNamed    int
-	drawn           map[string]bool
+	startMs         int             // time at which the fault that is being drawn begins
+	endMs           int             // time at which the fault that is being drawn ends
+	nextCoreFaultMs int             // earliest start of the next fault of a core machine
+	faulty          map[string]bool // workers and edge machines that already have a fault
+	weightRollouts  int             // rollouts of weights drawn so far; only the first adds steps
+	drawn           map[string]bool // names of the kinds of faults drawn so far
 }
 
 const (
-	earliestFaultMs = 1000
-	latestFaultMs   = 9000
+	earliestFaultMs = 1000 // earliest begin of a fault after the start of the steps
+	latestFaultMs   = 9000 // latest begin of a fault
 	coreFaultGapMs  = 5000 // from the end of a core machine's fault to the start of the next
 )
 
-// takeHealthy draws up to n of the machines with a name prefix, numbered from 1 to of, that have no fault yet. It marks
-// them as faulty.
-func (gen *faultGenerator) takeHealthy(prefix string, of, n int) (names []string) {
-	for _, i := range gen.random.Perm(of) {
+// takeHealthy draws up to n machines without a fault from those whose names are prefix and a number from 1 to total, and
+// marks them as faulty.
+func (gen *faultGenerator) takeHealthy(prefix string, total, n int) (names []string) {
+	for _, i := range gen.random.Perm(total) {
 		if name := fmt.Sprint(prefix, i+1); len(names) < n && !gen.faulty[name] {
 			gen.faulty[name] = true
 			names = append(names, name)
@@ -54,7 +54,7 @@
 	return strings.Join(expanded, " ")
 }
 
-// Patterns of process names; expandNames replaces "%" by a machine.
+// Patterns of process names; expandNames replaces "%" by the name of a machine.
 const (
 	edgeProcesses = agentPrefix + "% " + indexPrefix + "% " + proxyPrefix + "%"
 	coreProcesses = controlNodePrefix + "% " + placementPrefix + "%"
@@ -63,8 +63,9 @@
 	allControlNodes = controlNodePrefix + "*"
 )
 
-// takeCoreMachine draws a core machine and moves the fault's time behind the core machine fault before it. It
-// reports false if there is no time left.
+// takeCoreMachine draws a core machine and delays the start of the fault until coreFaultGapMs after the end of the previous
+// fault of a core machine. It returns false if that is later than latestFaultMs, or if a power loss of all core machines was
+// drawn.
 func (gen *faultGenerator) takeCoreMachine() ([]string, bool) {
 	if gen.nextCoreFaultMs > latestFaultMs || gen.drawn["power"] {
 		return nil, false
@@ -75,11 +76,12 @@
 	return []string{fmt.Sprint(corePrefix, 1+gen.random.IntN(coreMachines))}, true
 }
 
-func (gen *faultGenerator) faultAndRepair(do, undo, who string) []Step {
-	return []Step{{At: gen.startMs, Action: do, Targets: who}, {At: gen.endMs, Action: undo, Targets: who}}
+func (gen *faultGenerator) faultAndRepair(action, undo, targets string) []Step {
+	return []Step{{At: gen.startMs, Action: action, Targets: targets}, {At: gen.endMs, Action: undo, Targets: targets}}
 }
 
-// draw draws a fault of a kind. The fault has neither steps nor options if the site tolerates no more of that kind.
+// draw draws a fault of a kind. The fault has neither steps nor options if the site would not tolerate it beside the faults
+// drawn before.
 func (gen *faultGenerator) draw(kind faultKind) Fault {
 	fault := Fault{Name: kind.name}
 	kind.draw(gen, &fault)
@@ -97,7 +99,8 @@
 	operatorActions = []string{"weights", "revoke", "drain", "storm", "race", "grow", "seeds"}
 )
 
-// DrawFaults draws the faults of a seed: three to seven kinds, within what a site must tolerate at once.
+// DrawFaults draws three to seven faults of different kinds, which a site must tolerate together. A seed always yields
+// the same faults.
 //
 // Example: scenario := testbed.FaultScenario("paramo", 7, testbed.DrawFaults(7))
 func DrawFaults(seed uint64) (faults []Fault) {
@@ -118,7 +121,7 @@
 	return faults
 }
 
-// FaultScenario returns a scenario that injects the faults at a site.
+// FaultScenario returns a scenario that injects the faults into a site.
 //
 // Example: report, err := testbed.Play(ctx, testbed.FaultScenario("daegu", 7, testbed.DrawFaults(7)), options)
 func FaultScenario(site string, seed uint64, faults []Fault) Scenario {
--- a/internal/sim/testbed/fencing.go
+++ b/internal/sim/testbed/fencing.go
@@ -7,29 +7,30 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// leaseToken is a fencing token of a lease; tokens of different leases can't be compared.
+// leaseToken identifies a fencing token together with its lease, since tokens of different leases can't be compared.
 type leaseToken struct {
 	lease string
 	token uint64
 }
 
-// checkFencing finds violations of the worker leases: two holders with one fencing token, or a worker that executed
-// an order with a lower token after one with a higher token of the same lease. A delayed order may reach a frozen worker
-// after the next holder's first order has reached another worker: tokens are ordered for each worker only.
-func checkFencing(orders map[string][]workersim.Run) (faults []string) {
+// checkFencing returns the violations of mutual exclusion between lease holders that the workers' journals show: two
+// holders that sent orders with the same fencing token, or a worker that executed an order with a lower token after one
+// with a higher token of the same lease. The order of tokens is checked for each worker alone, because a delayed order may
+// legitimately reach a frozen worker after another worker has received an order of the next holder.
+func checkFencing(orders map[string][]workersim.Run) (violations []string) {
 	holders := map[leaseToken]string{}
 	for _, worker := range maputil.SortedKeys(orders) {
-		highest := map[string]uint64{} // by lease
+		highest := map[string]uint64{} // by lease: the highest token of the orders that this worker has executed
 		for _, order := range orders[worker] {
 			key := leaseToken{order.Lease, order.FencingToken}
 			if first, ok := holders[key]; ok && first != order.Holder {
-				faults = append(faults, fmt.Sprintf("%s and %s both sent orders with fencing token %d of lease %q", first, order.Holder, order.FencingToken, order.Lease))
+				violations = append(violations, fmt.Sprintf("lease holders %s and %s both sent orders with fencing token %d of lease %q", first, order.Holder, order.FencingToken, order.Lease))
 			}
 			if order.FencingToken < highest[order.Lease] {
-				faults = append(faults, fmt.Sprintf("%s executed an order with fencing token %d of lease %q after %d", worker, order.FencingToken, order.Lease, highest[order.Lease]))
+				violations = append(violations, fmt.Sprintf("worker %s executed an order with fencing token %d of lease %q after one with the higher token %d", worker, order.FencingToken, order.Lease, highest[order.Lease]))
 			}
 			holders[key], highest[order.Lease] = order.Holder, max(highest[order.Lease], order.FencingToken)
 		}
 	}
-	return faults
+	return violations
 }
--- a/internal/sim/testbed/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -13,10 +13,10 @@
 	"pebbleloom/internal/errs"
 )
 
-// fittedWorker is the worker that Fit measures.
+// fittedWorker is the name of the worker simulator whose prefill time Fit measures.
 const fittedWorker = workerPrefix + "1"
 
-// Prompts that Fit sends: each length once in each repeat.
+// Range of the prompt lengths that Fit sends. In each of fitRepeats rounds it sends one prompt of each length.
 const (
 	fitRepeats    = 3
 	minFitTokens  = 50
@@ -24,8 +24,8 @@
 	fitStepTokens = 200
 )
 
-// Fit starts one worker simulator, measures its prefill time for uncached prompts of many lengths, and fits the
-// curve with which the placement estimates prefill time.
+// Fit starts one worker simulator, measures its prefill time for uncached prompts of many lengths, and fits the curve from
+// which the placement controller estimates prefill times.
 //
 // Example: curve, err := testbed.Fit(ctx, testbed.Options{Site: "paramo", Dir: dir, Programs: "bin", AddressByte: 10})
 func Fit(ctx context.Context, options Options) (placement.Curve, error) {
@@ -46,7 +46,7 @@
 		if _, err := backends.State(ctx, site.Workers[fittedWorker]); err == nil {
 			break
 		} else if i > 50 || ctx.Err() != nil {
-			return placement.Curve{}, errs.Wrap(err, "wait for worker")
+			return placement.Curve{}, errs.Wrap(err, "wait for the worker simulator "+fittedWorker+" to answer")
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -63,23 +63,24 @@
 	return placement.Fit(samples, 2)
 }
 
-// measurePrefill measures the prefill time of a prompt that the worker hasn't cached.
+// measurePrefill sends the worker a prompt that isn't in its cache and returns the prefill time from the final record of
+// the response.
 func measurePrefill(ctx context.Context, backends *contract.Backends, site *Site, repeat, tokens int) (sample placement.Sample, err error) {
 	prompt := strings.Repeat(fmt.Sprintf("%02d%06d", repeat, tokens), tokens/2)
 	id := fmt.Sprintf("fit-%d-%d", repeat, tokens)
 	attempt := backends.Start(ctx, site.Workers[fittedWorker], contract.StartRequest{RequestID: id, CacheDomain: "fit", Model: site.Traffic.Model, Weights: 1, Parts: []string{prompt}, Chunks: 1, WaitMs: 5000}, nil)
 	if attempt.Err != nil {
-		return sample, errs.Wrap(attempt.Err, "measure")
+		return sample, errs.Wrap(attempt.Err, "send the prompt to measure prefill time")
 	}
 	defer attempt.Body.Close()
 	verifier := contract.NewStreamVerifier(id, fittedWorker)
 	for lines := bufio.NewScanner(attempt.Body); lines.Scan(); {
 		if violation := verifier.Verify(lines.Bytes()); violation != "" {
-			return sample, errs.New(errs.Internal, "measure: %s", violation)
+			return sample, errs.New(errs.Internal, "measure prefill time: invalid response stream of request %s: %s", id, violation)
 		}
 	}
 	if verifier.Sealed == nil || verifier.Sealed.PrefilledTokens != tokens {
-		return sample, errs.New(errs.Internal, "measure: %d tokens requested, final record is %+v", tokens, verifier.Sealed)
+		return sample, errs.New(errs.Internal, "measure prefill time: want a final record with %d prefilled tokens, got %+v", tokens, verifier.Sealed)
 	}
 	return placement.Sample{Tokens: tokens, Micros: float64(verifier.Sealed.PrefillUs)}, nil
 }
--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -14,40 +14,41 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// Fleet is a running site.
+// Fleet is a site whose processes run in an Environment.
 type Fleet struct {
 	Site   *Site
-	Dir    string
+	Dir    string // folder of the settings, data and logs
 	env    Environment
 	client *http.Client
 }
 
 const (
-	firstConfigTimeout = 60 * time.Second
-	startPollPause     = 200 * time.Millisecond // between polls of a starting site
+	firstConfigTimeout = 60 * time.Second       // until an operator address accepts the first configuration
+	startPollPause     = 200 * time.Millisecond // between two polls of a site that is starting
 )
 
 func newFleet(site *Site, dir string, env Environment) *Fleet {
 	return &Fleet{Site: site, Dir: dir, env: env, client: &http.Client{Transport: &http.Transport{DialContext: env.Dial}}}
 }
 
-// Up starts every process of a site on this machine and waits until the site serves its first configuration.
+// Up starts every process of a site on this machine, applies the first configuration and waits until all processes are
+// ready.
 //
 // Example: fleet, err := testbed.Up(ctx, site, "/tmp/run", "bin")
 func Up(ctx context.Context, site *Site, dir, programs string) (*Fleet, error) {
 	return startSite(ctx, site, dir, newLocalEnvironment(dir, programs), 0)
 }
 
-// startSite starts a site and waits until all processes are ready. A coldStart over 0 is waited for instead, from the
-// start of the first process, whether the site is ready or not.
+// startSite starts a site, applies its first configuration and waits until all processes are ready. If startDelay is over
+// 0, it waits instead until that time has passed since the first process was started, whether the site is ready or not.
 func startSite(ctx context.Context, site *Site, dir string, env Environment, startDelay time.Duration) (*Fleet, error) {
-	begun := time.Now()
+	startedAt := time.Now()
 	fleet := newFleet(site, dir, env)
 	if err := site.Write(dir); err != nil {
 		return nil, err
 	}
 	for _, process := range site.Processes {
-		if err := errs.Wrap(env.WriteSettings(process), "write settings"); err != nil {
+		if err := errs.Wrap(env.WriteSettings(process), "write the settings of process "+process.Name); err != nil {
 			return nil, err
 		}
 		if err := fleet.Start(process.Name); err != nil {
@@ -61,7 +62,7 @@
 	} else if err == nil {
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Until(begun.Add(startDelay))):
+		case <-time.After(time.Until(startedAt.Add(startDelay))):
 		}
 	}
 	if err != nil {
@@ -77,7 +78,7 @@
 			return process, nil
 		}
 	}
-	return Process{}, errs.New(errs.NotFound, "process %q", name)
+	return Process{}, errs.New(errs.NotFound, "the site has no process %q", name)
 }
 
 // Start starts or restarts a process.
@@ -104,27 +105,28 @@
 	f.client.CloseIdleConnections()
 }
 
-// applyFirstConfig applies the site's first configuration through any operator address.
+// applyFirstConfig sends the site's first configuration to the operator addresses in turn until one accepts it. It fails
+// with errs.OutcomeUnknown after firstConfigTimeout.
 func (f *Fleet) applyFirstConfig(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, firstConfigTimeout)
 	defer cancel()
 	raw, err := json.Marshal(map[string]any{"setup": f.Site.Config, "token": "first", "if_epoch": 0})
 	if err != nil {
-		return errs.Wrap(err, "write first configuration")
+		return errs.Wrap(err, "encode the first configuration as JSON")
 	}
-	last := "nothing answered"
+	last := "no operator address answered"
 	for i := 0; ctx.Err() == nil; i++ {
 		code, body := f.Post(ctx, f.Site.Operators[i%len(f.Site.Operators)], "/v1/setup", raw)
 		if code == 200 {
 			return nil
 		}
-		last = fmt.Sprintf("%d %s", code, body)
+		last = fmt.Sprintf("status %d, body %s", code, body)
 		time.Sleep(startPollPause)
 	}
-	return errs.New(errs.OutcomeUnknown, "first configuration: %s", last)
+	return errs.New(errs.OutcomeUnknown, "first configuration was not accepted within %v; last response: %s", firstConfigTimeout, last)
 }
 
-// awaitReady polls until every process is ready and the main service has a placement.
+// awaitReady polls until every process reports that it is ready and the main model's service has a placement.
 func (f *Fleet) awaitReady(ctx context.Context) error {
 	for ctx.Err() == nil {
 		ready := 0
@@ -144,7 +146,7 @@
 		}
 		time.Sleep(startPollPause)
 	}
-	return errs.New(errs.OutcomeUnknown, "the site isn't ready: see the logs in %s", f.Dir)
+	return errs.New(errs.OutcomeUnknown, "the site did not become ready before the run was cancelled: see the logs in %s", f.Dir)
 }
 
 func (f *Fleet) hasPlacement(ctx context.Context) bool {
@@ -152,14 +154,15 @@
 	return code == 200
 }
 
-// Journals reads the runs of every worker, including killed ones, by worker.
+// Journals reads the runs of requests from the journal of every worker, including killed ones. The result is by worker
+// name.
 //
 // Example: journals, err := fleet.Journals()
 func (f *Fleet) Journals() (map[string][]workersim.Run, error) {
 	return f.readJournals(func(r workersim.Run) bool { return r.FencingToken == 0 })
 }
 
-// Orders reads the orders that every worker has executed, by worker.
+// Orders reads the orders of lease holders that the workers executed from their journals. The result is by worker name.
 //
 // Example: orders, err := fleet.Orders()
 func (f *Fleet) Orders() (map[string][]workersim.Run, error) {
@@ -197,15 +200,16 @@
 	return response.StatusCode, body.String()
 }
 
-// Post sends JSON to an operator address and returns the status and the body; the status is 0, and the body the
-// error, if there was no response.
+// Post sends JSON to an operator address and returns the HTTP status and the body of the response. If there was no
+// response, the status is 0 and the body is the text of the error.
 //
 // Example: code, body := fleet.Post(ctx, addr, "/v1/setup", raw)
 func (f *Fleet) Post(ctx context.Context, addr, path string, raw []byte) (int, string) {
 	return f.call(http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(raw)))
 }
 
-// Get reads from an operator address; its results are those of Post.
+// Get sends a GET request to an operator address and returns the HTTP status and the body of the response, or 0 and the
+// text of the error.
 //
 // Example: code, body := fleet.Get(ctx, addr, "/v1/nodes")
 func (f *Fleet) Get(ctx context.Context, addr, path string) (int, string) {
--- a/internal/sim/testbed/layout.go
+++ b/internal/sim/testbed/layout.go
@@ -13,22 +13,22 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// Sizes of a site today, and how far it can be multiplied.
+// Numbers of machines and tenants of a site of regular size, and how far NewScaledSite can multiply it.
 const (
 	zones           = 4
-	coreMachines    = zones // one in each zone
+	coreMachines    = zones // one core machine in each zone
 	edgeMachines    = 9
 	workers         = 18
 	tenants         = 8
-	heavyTenants    = 2 // the first ones
-	heavyWeight     = 5 // their weight in the traffic; the others have 1
-	maxTimes        = 4
-	simulatorsZone  = 9 // third byte of the platform simulator's address
-	initialWeights  = 1
-	maxClientWaitMs = 30000
+	heavyTenants    = 2     // number of tenants, the first in the list, that send more traffic
+	heavyWeight     = 5     // traffic of a heavy tenant relative to that of any other tenant
+	maxTimes        = 4     // largest factor by which NewScaledSite multiplies a site
+	simulatorsZone  = 9     // zone number, the third byte of the address, of the platform simulator; no real zone has it
+	initialWeights  = 1     // version of the model's weights at the start
+	maxClientWaitMs = 30000 // longest wait that a client may request
 )
 
-// Ports of the programs.
+// Ports on which the programs listen.
 const (
 	agentPort            = 7000
 	proxyPort            = 7001
@@ -43,49 +43,51 @@
 	platformInternalPort = 9101
 )
 
-// Names of process instances, and prefixes of them. Scenarios, runbooks and logs of running sites hold them, so they keep
-// the first names of the programs.
+// Names and name prefixes of process instances. They derive from former names of the programs and can't change, since
+// scenarios, runbooks and logs of running sites contain them.
 const (
-	controlNodePrefix = "archive-"    // before the machine's name
-	placementPrefix   = "appraiser-"  // before the machine's name
-	agentPrefix       = "runner-"     // before the machine's name
-	indexPrefix       = "catalogue-"  // before the machine's name
-	proxyPrefix       = "dispatcher-" // before the machine's name
-	workerPrefix      = "cab-"        // before a number from 1
-	edgePrefix        = "edge-"       // of an edge machine, before a number from 1
-	corePrefix        = "core-"       // of a core machine, before a number from 1
-	storeName         = "depot-1"
-	appName           = "app-1"
-	platformName      = "rank-1"
+	controlNodePrefix = "archive-"    // control node; the name of its core machine follows
+	placementPrefix   = "appraiser-"  // placement controller; the name of its core machine follows
+	agentPrefix       = "runner-"     // node agent; the name of its edge machine follows
+	indexPrefix       = "catalogue-"  // prompt index; the name of its edge machine follows
+	proxyPrefix       = "dispatcher-" // proxy; the name of its edge machine follows
+	workerPrefix      = "cab-"        // worker; a number from 1 follows
+	edgePrefix        = "edge-"       // edge machine; a number from 1 follows
+	corePrefix        = "core-"       // core machine; a number from 1 follows
+	storeName         = "depot-1"     // prompt store simulator
+	appName           = "app-1"       // application service simulator
+	platformName      = "rank-1"      // platform simulator
 )
 
-// layout collects the processes of a site.
+// layout builds a Site: it assigns names, addresses and settings to the processes.
 type layout struct {
 	site          *Site
-	dir           string
-	addressByte   int // second byte of the loopback addresses
-	bounds        settings.Bounds
-	linkOptions   []string // of every worker: the speed of its links
-	workerOptions []string // further options of every worker
-	seeds, core   []string
-	platformAddr  string
+	dir           string          // folder of the data and journals
+	addressByte   int             // second byte of the site's loopback addresses
+	bounds        settings.Bounds // time and retry bounds in the settings of all processes
+	linkOptions   []string        // options of every worker simulator for the speed of its links
+	workerOptions []string        // further options of every worker simulator
+	seeds         []string        // addresses through which processes first reach the site
+	core          []string        // names of the core machines
+	platformAddr  string          // address of the platform simulator
 }
 
-// NewSite returns a site of today's size. net is the second byte of its loopback addresses; workerOptions go to every
-// worker simulator. It fails with errs.BadInput for an unknown site.
+// NewSite returns a site of regular size: 4 core machines, 9 edge machines and 18 workers. net is the second byte of its
+// loopback addresses; workerOptions are options of every worker simulator. It fails with errs.BadInput for an unknown
+// site.
 //
 // Example: site, err := testbed.NewSite("paramo", "/tmp/run", 10, nil)
 func NewSite(name, dir string, net int, workerOptions []string) (*Site, error) {
 	return NewScaledSite(name, dir, net, workerOptions, 1)
 }
 
-// NewScaledSite returns a site of 1 to 4 times today's size: the edge machines, the workers and the traffic are
-// multiplied, the four core machines aren't.
+// NewScaledSite returns a site of 1 to 4 times the regular size: it multiplies the edge machines, the workers and the
+// traffic by times; there are always four core machines.
 //
 // Example: site, err := testbed.NewScaledSite("daegu", "/tmp/run", 10, nil, 4)
 func NewScaledSite(name, dir string, net int, workerOptions []string, times int) (*Site, error) {
 	if times < 1 || times > maxTimes {
-		return nil, errs.New(errs.BadInput, "times %d: give 1 to %d", times, maxTimes)
+		return nil, errs.New(errs.BadInput, "factor of the site's size is %d: give 1 to %d", times, maxTimes)
 	}
 	l := &layout{site: &Site{Name: name, Workers: map[string]string{}}, dir: dir, addressByte: net, bounds: settings.DefaultBounds(), workerOptions: workerOptions}
 	fetchTolerance, err := l.setTraffic(name)
@@ -105,8 +107,8 @@
 	return l.site, nil
 }
 
-// setTraffic sets the traffic of the site's clients and the speed of its links. It returns the service's fetch
-// tolerance, a share of the prefill time.
+// setTraffic sets the client traffic and the link speeds of the named site. It returns the fetch tolerance of the main
+// service: how long fetching cached prompt data from another worker may take, as a share of the prefill time.
 func (l *layout) setTraffic(name string) (fetchTolerance float64, err error) {
 	switch name {
 	case "paramo":
@@ -125,10 +127,10 @@
 			{Name: "booking", Share: 0.3, Prefixes: 40, PrefixTokens: 180, Skew: 0.9, SessionTokens: 400, Sessions: 120, QuestionTokens: 40, Chunks: 10}}}
 		return 0.05, nil
 	}
-	return 0, errs.New(errs.BadInput, "site %q: give one of %v", name, Sites())
+	return 0, errs.New(errs.BadInput, "unknown site %q: give one of %v", name, Sites())
 }
 
-// setConfig sets the site's first configuration, with a service for the model and one for the application.
+// setConfig sets the site's first configuration, with one service for the model and one for the application.
 func (l *layout) setConfig(fetchTolerance float64) {
 	model, app := l.site.Traffic.Model, l.site.Traffic.App
 	l.site.Config = serviceconfig.Config{Tenants: map[string]serviceconfig.Tenant{}, MaxWaitMs: maxClientWaitMs,
@@ -137,10 +139,11 @@
 		Routes:   map[string]serviceconfig.Route{model: {Service: mainService(model)}, app: {Service: mainService(app)}}}
 }
 
-// mainService returns the name of a model's service.
+// mainService returns the name of the service that serves a model in the first configuration.
 func mainService(model string) string { return model + "-main" }
 
-// addTenants adds the site's tenants: a few heavy ones, and an isolated one at the end.
+// addTenants adds the site's tenants. The first heavyTenants send more traffic, and the last one is isolated: it shares no
+// cached prompts with other tenants.
 func (l *layout) addTenants() {
 	for i := range tenants {
 		tenant := loadgen.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), Key: fmt.Sprintf("key-of-%s-tenant-%d", l.site.Name, i+1), Weight: 1, Isolated: i == tenants-1}
@@ -152,21 +155,21 @@
 	}
 }
 
-// addr returns a machine's address with a port; the third byte is its zone.
+// addr returns an address of a machine in the form 127.ADDRESSBYTE.ZONE.MACHINE:PORT.
 func (l *layout) addr(zone, machine, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", l.addressByte, zone, machine, port)
 }
 
 func zoneName(zone int) string { return fmt.Sprintf("district-%d", zone) }
 
-// add adds a process and completes the settings that all processes share.
+// add adds a process to the site, with the settings that all processes share.
 func (l *layout) add(name, program string, process settings.Process) {
 	process.Seeds = slices.Clone(l.seeds)
 	process.Bounds, process.Core, process.WorkerList = l.bounds, l.core, l.platformAddr
 	l.site.Processes = append(l.site.Processes, Process{Name: name, Program: program, Settings: process})
 }
 
-// addCoreMachines adds a core machine in each zone: a control node and a placement controller.
+// addCoreMachines adds one core machine in each zone, with a control node and a placement controller.
 func (l *layout) addCoreMachines() {
 	for zone := 1; zone <= zones; zone++ {
 		machine := l.core[zone-1]
@@ -182,7 +185,7 @@
 	}
 }
 
-// addEdgeMachines adds edge machines, zone after zone: a node agent, an index node and a proxy each.
+// addEdgeMachines adds edge machines, in the zones in turn, each with a node agent, a prompt index and a proxy.
 func (l *layout) addEdgeMachines(count int) {
 	for i := range count {
 		zone, host := i%zones+1, 11+i/zones
@@ -202,7 +205,7 @@
 	}
 }
 
-// addWorkers adds simulated workers, zone after zone.
+// addWorkers adds worker simulators, in the zones in turn.
 func (l *layout) addWorkers(count int) {
 	model := l.site.Traffic.Model
 	for i := range count {
@@ -217,7 +220,7 @@
 	}
 }
 
-// addSimulators adds the application service, the prompt store and the platform.
+// addSimulators adds the simulators of the application service, the prompt store and the platform.
 func (l *layout) addSimulators() {
 	app := l.site.Traffic.App
 	appAddr, storeAddr := l.addr(2, 40, workerPort), l.addr(3, 40, workerPort)
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -13,32 +13,34 @@
 	"pebbleloom/internal/programs"
 )
 
-// Links relay all connections between the machines of a site: each process is reached through a relay at an address
-// of its own, which knows the client by its address. A link can be cut in one or both directions, delayed or slowed.
+// Links simulates the network between the machines of a site by TCP relays. Each process is reached through a relay at a
+// separate address, and a relay identifies the machine that connects by its source address. A link can be cut in one or
+// both directions, delayed, or limited in bandwidth.
 type Links struct {
 	mu        sync.Mutex             // protects rules, wake and names
-	rules     map[[2]string]LinkRule // by the machines from and to
-	wake      chan struct{}          // closed when rules change
-	names     map[netip.Addr]string  // machine by address
+	rules     map[[2]string]LinkRule // by sending and receiving machine; "*" is any machine
+	wake      chan struct{}          // closed and replaced when rules change
+	names     map[netip.Addr]string  // name of the machine by its IP address
 	listeners []net.Listener
-	quit      chan struct{}
+	quit      chan struct{} // closed by Close
 }
 
-// LinkRule is how a link treats the bytes from one machine to another; the zero value passes them on at once.
+// LinkRule describes a network link from one machine to another; the zero value is a link that passes bytes on without
+// delay.
 type LinkRule struct {
-	Partitioned    bool
-	Delay          time.Duration
-	BytesPerSecond float64 // 0: no limit
+	Partitioned    bool          // the link holds bytes back until the rule changes
+	Delay          time.Duration // of each block of bytes
+	BytesPerSecond float64       // bandwidth; 0: no limit
 }
 
-// NewLinks returns links without rules.
+// NewLinks returns links without rules or relays.
 //
 // Example: links := testbed.NewLinks()
 func NewLinks() *Links {
 	return &Links{rules: map[[2]string]LinkRule{}, wake: make(chan struct{}), names: map[netip.Addr]string{}, quit: make(chan struct{})}
 }
 
-// NameAddress records the machine that an address belongs to.
+// NameAddress records which machine an IP address belongs to.
 //
 // Example: links.NameAddress("127.10.1.11", "edge-1")
 func (l *Links) NameAddress(ip, machine string) {
@@ -49,7 +51,7 @@
 
 // Set sets the rule of the link from one machine to another; "*" is any machine. The zero rule removes it.
 //
-// Example: links.Set("edge-1", "core-2", testbed.LinkRule{Cut: true})
+// Example: links.Set("edge-1", "core-2", testbed.LinkRule{Partitioned: true})
 func (l *Links) Set(from, to string, r LinkRule) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +64,7 @@
 	l.wake = make(chan struct{})
 }
 
-// HealLinks removes all rules.
+// HealLinks removes all link rules, so that every link passes bytes on without delay.
 //
 // Example: links.HealLinks()
 func (l *Links) HealLinks() {
@@ -73,8 +75,8 @@
 	l.wake = make(chan struct{})
 }
 
-// RuleBetween returns the strictest combination of the rules that apply from one machine to another, and a channel
-// that is closed when rules change.
+// RuleBetween returns the strictest combination of the rules that apply to the link from one machine to another, and a
+// channel that is closed when any rule changes.
 //
 // Example: rule, changed := links.RuleBetween("edge-1", "core-2")
 func (l *Links) RuleBetween(from, to string) (LinkRule, <-chan struct{}) {
@@ -92,20 +94,20 @@
 	return combined, l.wake
 }
 
-// Relay listens at one address and relays connections to another, that of a machine's process.
+// Relay listens at relayAddr and relays connections to the address to, at which a process of the machine listens.
 //
 // Example: err := links.Relay("127.110.1.11:7000", "127.10.1.11:7000", "edge-1")
-func (l *Links) Relay(at, to, machine string) error {
-	listener, err := net.Listen("tcp", at)
+func (l *Links) Relay(relayAddr, to, machine string) error {
+	listener, err := net.Listen("tcp", relayAddr)
 	if err != nil {
-		return errs.WrapAs(err, errs.BadInput, "relay at "+at)
+		return errs.WrapAs(err, errs.BadInput, "listen at "+relayAddr+" as the relay of machine "+machine)
 	}
 	l.listeners = append(l.listeners, listener)
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
-				return // closed
+				return // the listener was closed
 			}
 			go l.proxyConn(conn, to, machine)
 		}
@@ -123,14 +125,14 @@
 		l.mu.Unlock()
 	}
 	defer client.Close()
-	if !l.awaitLink(from, machine, 0) { // connecting waits like the bytes after it
+	if !l.awaitLink(from, machine, 0) { // a connection attempt waits for the link like data does
 		return
 	}
 	server, err := net.DialTimeout("tcp", to, time.Second)
 	if err != nil {
-		// Nobody listens: reset the connection, as the machine itself would refuse it.
+		// No process listens at the target: reset the connection, as the client would see a refused connection.
 		if tcp, ok := client.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // sends a reset instead of an orderly end
+			_ = tcp.SetLinger(0) // Close then sends a TCP reset instead of a FIN
 		}
 		return
 	}
@@ -145,7 +147,7 @@
 	}
 }
 
-// copy relays bytes in one direction, and an orderly end or a reset of it.
+// copy relays bytes in one direction until the source ends its stream, and relays its FIN or reset as well.
 func (l *Links) copy(dst, src net.Conn, from, to string) {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -154,19 +156,19 @@
 			if !l.awaitLink(from, to, n) {
 				break
 			}
-			if _, e := dst.Write(buffer[:n]); e != nil {
+			if _, writeErr := dst.Write(buffer[:n]); writeErr != nil {
 				break
 			}
 		}
 		if err != nil {
 			if err != io.EOF {
 				if tcp, ok := dst.(*net.TCPConn); ok {
-					_ = tcp.SetLinger(0) // a reset is relayed as a reset
+					_ = tcp.SetLinger(0) // Close then sends a TCP reset, as the source did
 				}
 				break
 			}
 			if tcp, ok := dst.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // if it fails, the peer sees a reset
+				_ = tcp.CloseWrite() // if sending the FIN fails, the peer sees a reset
 			}
 			return
 		}
@@ -175,7 +177,8 @@
 	src.Close()
 }
 
-// awaitLink waits until n bytes may pass by the link's rule; it reports false if the links are closed.
+// awaitLink waits until the link's rule lets a block of the given number of bytes pass. It returns false if Close is called
+// first.
 func (l *Links) awaitLink(from, to string, bytes int) bool {
 	for {
 		rule, wake := l.RuleBetween(from, to)
@@ -197,7 +200,7 @@
 	}
 }
 
-// Close closes all relays.
+// Close closes the listeners of all relays and ends their connections.
 //
 // Example: defer links.Close()
 func (l *Links) Close() {
@@ -207,23 +210,23 @@
 	}
 }
 
-// addRelays routes a site's connections through links: each process advertises a relay's address, whose second
-// byte is net+100.
+// addRelays routes the connections between a site's processes through relays: each process advertises the address of its
+// relay, which is its own address with net+100 instead of net as the second byte.
 func (s *Site) addRelays(links *Links, net int) error {
-	old, via := fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+100)
-	relayed := func(a string) string { return strings.Replace(a, old, via, 1) }
+	directPrefix, relayPrefix := fmt.Sprintf("127.%d.", net), fmt.Sprintf("127.%d.", net+100)
+	relayed := func(a string) string { return strings.Replace(a, directPrefix, relayPrefix, 1) }
 	var batch errs.Batch
 	for i := range s.Processes {
 		process := &s.Processes[i].Settings
 		links.NameAddress(strings.Split(process.Listen, ":")[0], process.Name)
-		batch.Add("relay", links.Relay(relayed(process.Listen), process.Listen, process.Name))
+		batch.Add("relay to "+process.Listen, links.Relay(relayed(process.Listen), process.Listen, process.Name))
 		process.Advertise = relayed(process.Listen)
 		switch s.Processes[i].Program {
 		case programs.WorkerSim, programs.StoreSim, programs.AppServiceSim, programs.PlatformSim:
-			batch.Add("relay", links.Relay(relayed(process.Public), process.Public, process.Name))
+			batch.Add("relay to "+process.Public, links.Relay(relayed(process.Public), process.Public, process.Name))
 		}
 		for j := range process.Seeds {
-			process.Seeds[j] = strings.Replace(process.Seeds[j], old, via, 1)
+			process.Seeds[j] = strings.Replace(process.Seeds[j], directPrefix, relayPrefix, 1)
 		}
 		process.WorkerList = relayed(process.WorkerList)
 	}
--- a/internal/sim/testbed/machines.go
+++ b/internal/sim/testbed/machines.go
@@ -12,14 +12,14 @@
 	"pebbleloom/internal/wire"
 )
 
-// settingsOf returns a process's settings; the zero value for an unknown process.
+// settingsOf returns the settings of the named process, or the zero value if the site has no such process.
 func (f *Fleet) settingsOf(name string) settings.Process {
 	process, _ := f.process(name)
 	return process.Settings
 }
 
-// startDuplicate starts a second process, with an empty disk, under the machine name of an existing one and at
-// another address, while the existing process keeps running or is frozen.
+// startDuplicate starts a second process under the machine name of an existing one, with an empty disk and another
+// address. The existing process is left as it is, running or frozen.
 func (f *Fleet) startDuplicate(name string) error {
 	for _, process := range f.Site.Processes {
 		if process.Name != name {
@@ -41,15 +41,15 @@
 		f.Site.Processes = append(f.Site.Processes, process)
 		return f.Start(process.Name)
 	}
-	return errs.New(errs.NotFound, "process %q", name)
+	return errs.New(errs.NotFound, "start a duplicate: the site has no process %q", name)
 }
 
-// addressByte returns the second byte of the site's addresses.
+// addressByte returns the second byte of the site's loopback addresses, in decimal.
 func (f *Fleet) addressByte() string { return strings.Split(f.platformAddr(), ".")[1] }
 
 func (f *Fleet) platformAddr() string { return f.settingsOf(platformName).Public }
 
-// configLeader returns the core machine that leads the configuration's shard.
+// configLeader returns the name of the core machine whose control node leads shard 0, which holds the configuration.
 func (f *Fleet) configLeader(ctx context.Context) (string, error) {
 	for _, process := range f.Site.Processes {
 		if process.Program != programs.ControlNode {
@@ -64,10 +64,11 @@
 			}
 		}
 	}
-	return "", errs.New(errs.OutcomeUnknown, "the configuration's shard has no leader")
+	return "", errs.New(errs.OutcomeUnknown, "no control node reports that it leads shard 0, which holds the configuration")
 }
 
-// moveAddress gives a core machine's process a new address, which its next start uses.
+// moveAddress changes the address of a core machine's process to host 99 of its zone; the process uses it after its next
+// start.
 func (f *Fleet) moveAddress(name string) error {
 	for i := range f.Site.Processes {
 		process := &f.Site.Processes[i]
@@ -76,7 +77,7 @@
 		}
 		host, port, err := net.SplitHostPort(process.Settings.Listen)
 		if err != nil {
-			return errs.Wrap(err, "move")
+			return errs.Wrap(err, "move process "+name+" to another address")
 		}
 		octets := strings.Split(host, ".")
 		host = strings.Join(append(octets[:3], "99"), ".")
@@ -92,5 +93,5 @@
 		}
 		return f.env.WriteSettings(*process)
 	}
-	return errs.New(errs.NotFound, "process %q", name)
+	return errs.New(errs.NotFound, "move to another address: the site has no process %q", name)
 }
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -20,31 +20,31 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// Options are the options of the test bed's commands.
+// Options are the options of the testbed commands.
 type Options struct {
-	Site           string
-	Dir            string  // folder for settings, data and logs; empty: a new one
-	Programs       string  // folder with the programs; empty: that of this program
-	EarlierRelease string  // with upgrade: folder of an earlier release's programs
-	Mode           string  // placement that is forced; empty: the site's own
-	Scenario       string  // with play; empty: all
-	Seconds        int     // how long clients send
+	Site           string  // name of the site, see Sites; empty: the command's default
+	Dir            string  // folder for settings, data and logs; empty: a new temporary folder
+	Programs       string  // folder of the executables; empty: that of this executable
+	EarlierRelease string  // command upgrade: folder of the executables of an earlier release
+	Mode           string  // placement mode, see Modes; empty: that of the site's configuration
+	Scenario       string  // command play: name of the scenario; empty: all scenarios
+	Seconds        int     // duration of the client traffic in seconds
 	AddressByte    int     // second byte of the site's loopback addresses
-	Seeds          int     // how many seeds, from Seed on
-	Times          int     // times today's size, 1 to 4
-	Seed           uint64  // of the traffic and of drawn faults
-	Rate           float64 // requests a second; 0: the site's own
-	Part           string  // with capacity: what is measured; empty: all
-	Out            string  // with capacity: file with the measured series
-	Quick          bool    // with capacity: sizes too small for meaningful figures
+	Seeds          int     // number of consecutive seeds to run, the first of which is Seed
+	Times          int     // factor by which the site is larger than regular size, 1 to 4
+	Seed           uint64  // seed of the random traffic and faults
+	Rate           float64 // client requests per second; 0: the site's default
+	Part           string  // command capacity: part to measure; empty: all parts
+	Out            string  // command capacity: output file for the measured series
+	Quick          bool    // command capacity: measure only fleets too small for meaningful figures, as a test
 }
 
 const (
-	defaultSite = "paramo"
-	exitFaults  = 1 // a run saw a fault
+	defaultSite    = "paramo"
+	exitViolations = 1 // exit code when a run violated an invariant
 )
 
-// command is one command of the test bed. Its exit code counts only if there is no error.
+// command is a subcommand of the testbed program. The exit code of run is used only if it returns no error.
 type command struct {
 	name  string
 	about string
@@ -53,45 +53,45 @@
 
 func commands() []command {
 	return []command{
-		{"up", "start a site and keep it until interrupted", runUp},
-		{"run", "start a site, send clients' traffic, check it, stop", runOnce},
-		{"compare", "run a site under each placement mode in turn, over several seeds, and print a table", runCompare},
-		{"scenarios", "list the scenarios", listScenarios},
-		{"mix", "draw faults by the seed and run them: testbed mix --seed 7 --seeds 10", runMix},
-		{"play", "run one scenario, or all: testbed play --scenario owner-killed", runPlay},
-		{"tally", "print a table from the lines of many runs on standard input", runTally},
+		{"up", "start a site and keep it running until interrupted", runUp},
+		{"run", "start a site, send client traffic, check the responses and stop the site", runOnce},
+		{"compare", "run a site under each placement mode with several seeds and print a table of the results", runCompare},
+		{"scenarios", "list the fault scenarios", listScenarios},
+		{"mix", "run scenarios of random faults, which the seed determines: testbed mix --seed 7 --seeds 10", runMix},
+		{"play", "run one fault scenario, or all: testbed play --scenario owner-killed", runPlay},
+		{"tally", "summarize the result lines of many runs, read from standard input, in a table", runTally},
 		{"upgrade", "upgrade a site of an earlier release to this one and downgrade it again: testbed upgrade --old /tmp/old-bin", runUpgrade},
-		{"capacity", "measure the resource use of each role over the size of the fleet (docs/CAPACITY.md)", nil},
-		{"fit", "measure a worker's prefill time and fit the curve (JSON, stored as internal/data/placement/curve.json)", runFit},
+		{"capacity", "measure the resource use of each role at several fleet sizes (docs/CAPACITY.md)", nil},
+		{"fit", "measure a worker's prefill time by prompt length and print the fitted curve as JSON (stored as internal/data/placement/curve.json)", runFit},
 	}
 }
 
-// Main is the command line of the test bed. It returns the exit code.
+// Main runs the command line of the testbed program and returns the exit code.
 //
 // Example: os.Exit(testbed.Main([]string{"up", "--site", "paramo"}, os.Stdout, os.Stderr))
-func Main(args []string, out, bad io.Writer) int {
-	if os.Getenv(capacity.HollowVariable) != "" { // this process is the peer of another test bed's measurement
+func Main(args []string, out, errOut io.Writer) int {
+	if os.Getenv(capacity.HollowVariable) != "" { // a capacity measurement of another testbed process started this one as its peer
 		return capacity.Hollow(os.Stdin, out)
 	}
 	options := Options{Seconds: 20, Seed: 1, AddressByte: 10}
 	c, err := parseCommand(args, &options)
 	exitCode := 0
 	if err == nil && c.name == "capacity" {
-		err = measureCapacity(options, out, bad)
+		err = measureCapacity(options, out, errOut)
 	} else if err == nil {
 		exitCode, err = runCommand(c, options, out)
 	}
 	if err != nil {
-		fmt.Fprintln(bad, "testbed: "+errs.Text(err))
+		fmt.Fprintln(errOut, "testbed: "+errs.Text(err))
 		return errs.KindOf(err).ExitCode
 	}
 	return exitCode
 }
 
-// parseCommand fills the options from the flags and returns the command.
+// parseCommand parses the command line, sets the options from its flags and returns the command that it names.
 func parseCommand(args []string, options *Options) (*command, error) {
 	parser := flaggy.NewParser("testbed")
-	parser.Description = "runs a complete site on this machine\n\n  testbed up --site paramo              run until interrupted\n  testbed run --site daegu --seconds 20  run with clients, check, report, stop\n  testbed fit > curve.json               fit the prefill curve on a worker"
+	parser.Description = "runs a complete site on this machine\n\n  testbed up --site paramo               run a site until interrupted\n  testbed run --site daegu --seconds 20  run a site with client traffic and check it\n  testbed fit > curve.json               fit the curve of a worker's prefill time"
 	parser.ShowHelpOnUnexpected = false
 	parser.DisableShowVersionWithVersion()
 	parser.ShowCompletion = false
@@ -100,12 +100,12 @@
 		subcommands[candidate.name] = newSubcommand(candidate, options)
 		parser.AttachSubcommand(subcommands[candidate.name], 1)
 	}
-	words, err := settings.ParseStrict(parser, args)
-	if err == nil && len(words) > 1 {
-		err = errs.New(errs.BadInput, "%q: give one command: see --help", words)
+	arguments, err := settings.ParseStrict(parser, args)
+	if err == nil && len(arguments) > 1 {
+		err = errs.New(errs.BadInput, "got several commands %q: give one (see --help)", arguments)
 	}
 	if err == nil {
-		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "flags")
+		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "parse the command line flags")
 	}
 	if err != nil {
 		return nil, err
@@ -115,43 +115,43 @@
 			return &candidate, nil
 		}
 	}
-	return nil, errs.New(errs.BadInput, "no command: give up, run, compare, scenarios, play, mix, capacity or fit (see --help)")
+	return nil, errs.New(errs.BadInput, "no command given: use one of up, run, compare, scenarios, play, mix, tally, upgrade, capacity and fit (see --help)")
 }
 
-// newSubcommand declares a command; all take the same flags.
+// newSubcommand declares a command to the flag parser. All commands accept the same flags.
 func newSubcommand(c command, options *Options) *flaggy.Subcommand {
 	sub := flaggy.NewSubcommand(c.name)
 	sub.Description = c.about
-	sub.String(&options.Site, "s", "site", "paramo or daegu")
+	sub.String(&options.Site, "s", "site", "name of the site: paramo or daegu")
 	sub.String(&options.Dir, "d", "dir", "folder for settings, data and logs")
-	sub.String(&options.Programs, "b", "bin", "folder with the programs")
-	sub.String(&options.EarlierRelease, "o", "old", "with upgrade: folder with an earlier release's programs")
-	sub.String(&options.Mode, "m", "mode", "placement: hrcs, all-replicated, all-sharded or no-index")
-	sub.Int(&options.Seconds, "t", "seconds", "how long clients send")
-	sub.Int(&options.AddressByte, "n", "net", "second byte of the loopback addresses")
-	sub.String(&options.Scenario, "c", "scenario", "with play: its name; without: all of them")
-	sub.Int(&options.Times, "x", "times", "times today's size, 1 to 4")
-	sub.Int(&options.Seeds, "k", "seeds", "with compare: how many seeds")
-	sub.UInt64(&options.Seed, "e", "seed", "seed of the traffic")
-	sub.Float64(&options.Rate, "r", "rate", "requests a second; 0: the site's own")
-	sub.String(&options.Part, "p", "part", "with capacity: nodes, workers, plans, kept, placement, calls, follow, group or traffic; without: all; page: regenerate the page")
-	sub.String(&options.Out, "f", "out", "with capacity: file with the measured series; with page: the folder docs")
-	sub.Bool(&options.Quick, "q", "quick", "with capacity: a few sizes too small for meaningful figures")
+	sub.String(&options.Programs, "b", "bin", "folder of the executables")
+	sub.String(&options.EarlierRelease, "o", "old", "with upgrade: folder of the executables of an earlier release")
+	sub.String(&options.Mode, "m", "mode", "placement mode: hrcs, all-replicated, all-sharded or no-index")
+	sub.Int(&options.Seconds, "t", "seconds", "duration of the client traffic in seconds")
+	sub.Int(&options.AddressByte, "n", "net", "second byte of the site's loopback addresses")
+	sub.String(&options.Scenario, "c", "scenario", "with play: name of the scenario (default: all scenarios)")
+	sub.Int(&options.Times, "x", "times", "factor by which the site is larger than regular size, 1 to 4")
+	sub.Int(&options.Seeds, "k", "seeds", "with compare, play and mix: number of consecutive seeds to run")
+	sub.UInt64(&options.Seed, "e", "seed", "seed of the random traffic and faults")
+	sub.Float64(&options.Rate, "r", "rate", "client requests per second (default: the site's rate)")
+	sub.String(&options.Part, "p", "part", "with capacity: part to measure, one of nodes, workers, plans, kept, placement, calls, follow, group and traffic (default: all); page: regenerate the capacity page")
+	sub.String(&options.Out, "f", "out", "with capacity: output file for the measured series; with --part page: path of the folder docs")
+	sub.Bool(&options.Quick, "q", "quick", "with capacity: measure only fleets too small for meaningful figures, as a test")
 	return sub
 }
 
-// runCommand sets the folders that weren't given and runs a command until it ends or is interrupted.
+// runCommand sets defaults for the folders of executables and data, and runs a command until it ends or is interrupted.
 func runCommand(c *command, options Options, out io.Writer) (exitCode int, err error) {
 	if options.Programs == "" {
 		executable, err := os.Executable()
 		if err != nil {
-			return 0, errs.Wrap(err, "find programs")
+			return 0, errs.Wrap(err, "find the folder of this executable")
 		}
 		options.Programs = filepath.Dir(executable)
 	}
 	if options.Dir == "" {
 		if options.Dir, err = os.MkdirTemp("", "testbed-"); err != nil {
-			return 0, errs.Wrap(err, "make folder")
+			return 0, errs.Wrap(err, "create a temporary folder")
 		}
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -159,7 +159,7 @@
 	return c.run(ctx, options, out)
 }
 
-// withDefaultSite sets the site for commands that run a single one.
+// withDefaultSite returns the options with a default site, for commands that run a single site.
 func (options Options) withDefaultSite() Options {
 	if options.Site == "" {
 		options.Site = defaultSite
@@ -167,11 +167,11 @@
 	return options
 }
 
-// writeJSONTo prints a result, indented.
+// writeJSONTo writes a result as indented JSON.
 func writeJSONTo(out io.Writer, result any) error {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", " ")
-	return errs.Wrap(enc.Encode(result), "write report")
+	return errs.Wrap(enc.Encode(result), "write the result as JSON")
 }
 
 func runUp(ctx context.Context, options Options, out io.Writer) (int, error) {
@@ -180,7 +180,7 @@
 	if err != nil {
 		return 0, err
 	}
-	fmt.Fprintf(out, "site %s is up: %d processes, logs and settings in %s\nask at      http://%s/v1/answers\noperate at  pebblectl --node %s\n",
+	fmt.Fprintf(out, "site %s is up: %d processes, logs and settings in %s\nclient API    http://%s/v1/answers\noperator CLI  pebblectl --node %s\n",
 		options.Site, len(fleet.Site.Processes), options.Dir, fleet.Site.Edges[0], fleet.Site.Operators[0])
 	<-ctx.Done()
 	fleet.Stop()
@@ -196,7 +196,7 @@
 		return 0, err
 	}
 	if len(result.Faults) > 0 || result.Sealed == 0 {
-		return exitFaults, nil
+		return exitViolations, nil
 	}
 	return 0, nil
 }
@@ -220,7 +220,7 @@
 
 func runUpgrade(ctx context.Context, options Options, out io.Writer) (int, error) {
 	if options.EarlierRelease == "" {
-		return 0, errs.New(errs.BadInput, "--old is missing: name the folder of an earlier release's programs")
+		return 0, errs.New(errs.BadInput, "flag --old is missing: give the folder of the executables of an earlier release")
 	}
 	report, err := Upgrade(ctx, options.withDefaultSite())
 	if err != nil {
@@ -229,7 +229,7 @@
 	return printReport(out, report, "upgrade --old "+options.EarlierRelease, options.Dir), nil
 }
 
-// runMix draws faults for each seed, at one site or at all.
+// runMix runs a scenario of randomly drawn faults for each seed, on the given site or on each site.
 func runMix(ctx context.Context, options Options, out io.Writer) (int, error) {
 	return playSeeds(ctx, options, out, func(seed uint64) []Scenario {
 		scenarios := []Scenario{}
@@ -250,7 +250,7 @@
 	return 0, err
 }
 
-// runPlay plays one scenario or all.
+// runPlay runs the given scenario, or all scenarios.
 func runPlay(ctx context.Context, options Options, out io.Writer) (int, error) {
 	all, err := Scenarios()
 	if err != nil {
@@ -263,27 +263,27 @@
 		}
 	}
 	if len(selected) == 0 {
-		return 0, errs.New(errs.NotFound, "no scenario %s: see testbed scenarios", options.Scenario)
+		return 0, errs.New(errs.NotFound, "unknown scenario %s: the command testbed scenarios lists them", options.Scenario)
 	}
 	return playSeeds(ctx, options, out, func(uint64) []Scenario { return selected })
 }
 
-// playSeeds plays the scenarios of each seed and prints a line and the faults of each.
+// playSeeds runs the scenarios of each seed, and prints the result line and the violations of each run.
 func playSeeds(ctx context.Context, options Options, out io.Writer, scenariosOf func(seed uint64) []Scenario) (exitCode int, err error) {
 	for i := range uint64(max(1, options.Seeds)) {
 		for _, scenario := range scenariosOf(options.Seed + i) {
-			one := options
-			one.Seed = options.Seed + i
-			one.Dir = filepath.Join(options.Dir, fmt.Sprintf("%s-%s-%d", scenario.Name, scenario.Site, one.Seed))
-			report, err := Play(ctx, scenario, one)
+			runOptions := options
+			runOptions.Seed = options.Seed + i
+			runOptions.Dir = filepath.Join(options.Dir, fmt.Sprintf("%s-%s-%d", scenario.Name, scenario.Site, runOptions.Seed))
+			report, err := Play(ctx, scenario, runOptions)
 			if err != nil {
-				return 0, errs.Wrap(err, "scenario "+scenario.Name)
+				return 0, errs.Wrap(err, "run scenario "+scenario.Name)
 			}
 			replayCommand := "play --scenario " + scenario.Name
 			if strings.HasPrefix(scenario.Name, "mix-") {
 				replayCommand = "mix"
 			}
-			exitCode = max(exitCode, printReport(out, report, replayCommand, one.Dir))
+			exitCode = max(exitCode, printReport(out, report, replayCommand, runOptions.Dir))
 		}
 	}
 	return exitCode, nil
@@ -305,7 +305,8 @@
 	return Up(ctx, site, options.Dir, options.Programs)
 }
 
-// Run runs a site with client traffic for options.Seconds, and checks the outcomes against the workers' journals.
+// Run runs a site with client traffic for options.Seconds seconds, and checks the responses against the journals of the
+// workers.
 //
 // Example: result, err := testbed.Run(ctx, testbed.Options{Site: "daegu", Seconds: 10, Seed: 1})
 func Run(ctx context.Context, options Options) (RunResult, error) {
@@ -322,12 +323,13 @@
 	usage := fleet.Usage()
 	journals, err := fleet.Journals()
 	if err != nil {
-		return RunResult{}, errs.Wrap(err, "journals")
+		return RunResult{}, errs.Wrap(err, "read the journals of the workers")
 	}
 	return RunResult{log.Summarize(journals, true), usage}, nil
 }
 
-// printReport prints a run's line and its faults, and returns the exit code: exitFaults if there are any.
+// printReport prints the result line of a run and its violations. It returns the exit code: exitViolations if there are
+// any, otherwise 0.
 func printReport(out io.Writer, report *Report, command, dir string) int {
 	fmt.Fprintln(out, Line(report))
 	for _, sample := range report.Sum.Samples {
@@ -340,5 +342,5 @@
 		return 0
 	}
 	fmt.Fprintf(out, "  steps: %s\n  replay: testbed %s --site %s --seed %d (logs in %s)\n", strings.Join(report.Steps, "; "), command, report.Site, report.Seed, dir)
-	return exitFaults
+	return exitViolations
 }
--- a/internal/sim/testbed/operator.go
+++ b/internal/sim/testbed/operator.go
@@ -12,26 +12,26 @@
 	"pebbleloom/internal/sim/history"
 )
 
-// Bounds of one call to the operator addresses.
+// Limits of a request that scenarioRun.post sends to the operator addresses.
 const (
-	postAttempts = 40
+	postAttempts = 40              // maximum number of attempts at a request
 	postTimeout  = 8 * time.Second // of one attempt
 )
 
-// randomBelow draws from [0, n).
+// randomBelow returns a random number from 0 to n-1; goroutines may call it concurrently.
 func (run *scenarioRun) randomBelow(n int) int {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	return run.random.IntN(n)
 }
 
-// post sends a request to the operator addresses in turn until one succeeds, rejects it as invalid, or postAttempts
-// are used up. It returns the configuration version of the response. Attempts at a change of the configuration are
-// recorded; change is nil for any other request.
+// post sends a request to operator addresses until one accepts it, rejects it as invalid or not found, or postAttempts
+// attempts have failed. It returns the configuration version in the response. If the request changes the configuration,
+// change describes that, and each attempt is recorded in the history; otherwise change is nil.
 func (run *scenarioRun) post(ctx context.Context, path string, request any, change *history.Change) (int64, error) {
 	raw, err := json.Marshal(request)
 	if err != nil {
-		return 0, errs.Wrap(err, "write")
+		return 0, errs.Wrap(err, "encode the request to "+path+" as JSON")
 	}
 	last, kind := "", errs.OutcomeUnknown
 	for i := range postAttempts {
@@ -49,7 +49,7 @@
 			run.mu.Unlock()
 			return response.Version, nil
 		}
-		last = fmt.Sprintf("%d %s", code, body)
+		last = fmt.Sprintf("status %d, body %s", code, body)
 		if code == errs.BadInput.HTTPStatus {
 			break
 		}
@@ -59,10 +59,10 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return 0, errs.New(kind, "%s: %s", path, last)
+	return 0, errs.New(kind, "request to %s failed; last response: %s", path, last)
 }
 
-// executeOperatorStep executes an operator's step and records when it was acknowledged.
+// executeOperatorStep executes a scenario step in which operators change the configuration.
 func (run *scenarioRun) executeOperatorStep(ctx context.Context, step Step) error {
 	switch step.Action {
 	case "weights":
@@ -80,28 +80,28 @@
 	return run.executeConcurrentChanges(ctx, step)
 }
 
-// setWeights sets the weights of the site's model.
+// setWeights sets the version of the weights of the site's model, and records when that was acknowledged.
 func (run *scenarioRun) setWeights(ctx context.Context, argument string) error {
 	var weights uint64
 	if _, err := fmt.Sscan(argument, &weights); err != nil {
-		return errs.New(errs.BadInput, "weights %q", argument)
+		return errs.New(errs.BadInput, "step weights: argument %q is not a version number", argument)
 	}
 	_, err := run.post(ctx, "/v1/weights", map[string]any{"model": run.fleet.Site.Traffic.Model, "weights": weights, "token": "weights-" + argument}, anyVersionChange("weights-"+argument))
 	run.mu.Lock()
-	run.weightsNamedMs[weights] = time.Now().UnixMilli()
+	run.weightsSetMs[weights] = time.Now().UnixMilli()
 	run.mu.Unlock()
 	return err
 }
 
-// revokeKey revokes a tenant's first key.
+// revokeKey revokes the first API key of a tenant, and records when that was acknowledged.
 func (run *scenarioRun) revokeKey(ctx context.Context, name string) error {
 	tenant := run.fleet.Site.Config.Tenants[name]
 	if len(tenant.Keys) == 0 {
-		return errs.New(errs.BadInput, "revoke: tenant %q", name)
+		return errs.New(errs.BadInput, "step revoke: tenant %q is unknown or has no API key", name)
 	}
 	_, err := run.post(ctx, "/v1/keys/revoke", map[string]any{"tenant": name, "key": tenant.Keys[0]}, anyVersionChange(""))
 	if errs.KindOf(err) == errs.NotFound && err != nil {
-		err = nil // an earlier attempt, whose answer was lost, has revoked it
+		err = nil // an earlier attempt, whose response was lost, has revoked the key
 	}
 	run.mu.Lock()
 	run.keyRevokedMs[tenant.Keys[0]] = time.Now().UnixMilli()
@@ -109,7 +109,7 @@
 	return err
 }
 
-// setDraining starts or ends the draining of workers.
+// setDraining starts or ends the draining of the workers that match targets, and records when that was acknowledged.
 func (run *scenarioRun) setDraining(ctx context.Context, targets string, draining bool) error {
 	names, err := run.resolveTargets(ctx, targets)
 	if err != nil {
@@ -128,11 +128,11 @@
 	return nil
 }
 
-// growConfiguration adds a number of models, each with a service and a route.
+// growConfiguration adds models to the configuration, each with a service and a route; argument is their number.
 func (run *scenarioRun) growConfiguration(ctx context.Context, argument string) error {
 	var count int
 	if _, err := fmt.Sscan(argument, &count); err != nil {
-		return errs.New(errs.BadInput, "grow %q", argument)
+		return errs.New(errs.BadInput, "step grow: argument %q is not a number of models", argument)
 	}
 	models, services, routes := map[string]any{}, map[string]any{}, map[string]any{}
 	for i := range count {
@@ -145,16 +145,17 @@
 	return run.mustChange(ctx, configurationChange{token: "grow", patch: map[string]any{"models": models, "services": services, "ways": routes}})
 }
 
-// executeConcurrentChanges changes the configuration as several operators at once. In a "race" all changes are
-// conditional on one version, and at most one of them may be acknowledged.
+// executeConcurrentChanges sends changes of the configuration concurrently, as several operators would. In the step "race"
+// all changes are conditional on the same version, so that at most one of them may be acknowledged; in "storm" they are
+// unconditional.
 func (run *scenarioRun) executeConcurrentChanges(ctx context.Context, step Step) error {
 	var changes int
 	if _, err := fmt.Sscan(step.Argument, &changes); err != nil {
-		return errs.New(errs.BadInput, "%s %q", step.Action, step.Argument)
+		return errs.New(errs.BadInput, "step %s: argument %q is not a number of changes", step.Action, step.Argument)
 	}
 	var base *uint64
 	if step.Action == "race" {
-		version, err := run.readSomewhere(ctx)
+		version, err := run.readAnywhere(ctx)
 		if err != nil {
 			return err
 		}
@@ -177,14 +178,14 @@
 	wg.Wait()
 	for version, times := range acknowledged {
 		if times > 1 {
-			run.addFault("%d changes were acknowledged under version %d", times, version)
+			run.addViolation("%d concurrent changes were acknowledged with the same configuration version %d, want 1", times, version)
 		}
 	}
 	if step.Action == "race" && len(acknowledged) > 1 {
-		run.addFault("%d changes onto version %d were acknowledged", len(acknowledged), *base)
+		run.addViolation("%d changes that are conditional on configuration version %d were acknowledged, want at most 1", len(acknowledged), *base)
 	}
 	if len(acknowledged) == 0 {
-		return errs.New(errs.OutcomeUnknown, "%s: none of %d changes was acknowledged", step.Action, changes)
+		return errs.New(errs.OutcomeUnknown, "step %s: none of %d concurrent changes of the configuration was acknowledged", step.Action, changes)
 	}
 	return nil
 }
--- a/internal/sim/testbed/operatorhistory.go
+++ b/internal/sim/testbed/operatorhistory.go
@@ -11,22 +11,23 @@
 	"pebbleloom/internal/sim/history"
 )
 
-// Operators change the configuration not only as a document: they name weights, revoke keys and drain workers, and
-// plan calendar entries whose steps the lease holder carries out later. All of these are changes of the same
-// document, and part of the same history: each is one change of whatever version is current, whose content isn't
-// known. So a version that none of them explains, or that one of them explains twice, is a violation.
+// Besides sending partial configurations, operators change the configuration when they set weights, revoke API keys, drain
+// workers, or plan calendar entries whose steps the lease holder executes later. The history records each of these as an
+// unconditional change with unknown content. The linearizability check therefore reports a configuration version that no
+// recorded change accounts for, or a change that accounts for two versions.
 
-// maxCalendarSteps bounds the changes that one calendar entry makes.
+// maxCalendarSteps is the maximum number of configuration changes that the steps of one calendar entry make.
 const maxCalendarSteps = 64
 
-// operatorResponse is what the operators' interface answers to a change.
+// operatorResponse is the JSON body of the operator API's response to a change of the configuration.
 type operatorResponse struct {
 	Version int64  `json:"epoch"`
 	Kind    string `json:"kind"`
 	Remark  string `json:"note"`
 }
 
-// outcome is what an answer shows of the change that it answers. A remark says that there was nothing to change.
+// outcome returns the outcome of a change that a response with the status code shows. A response with a remark reports
+// that there was nothing to change.
 func (r operatorResponse) outcome(code int) history.Outcome {
 	switch {
 	case code == 200 && r.Remark == "":
@@ -37,13 +38,14 @@
 	return history.Unknown
 }
 
-// anyVersionChange is a change of the configuration on whatever version is current. Without a token each attempt at it
-// is a change by itself.
+// anyVersionChange returns a history record of an unconditional change of the configuration. Attempts with the same token
+// count as one change; if the token is empty, each attempt counts as a separate change.
 func anyVersionChange(token string) *history.Change {
 	return &history.Change{Key: configurationKey, Token: token, AnyVersion: true}
 }
 
-// beginAttempt records an attempt at a change; nil: the request changes no configuration.
+// beginAttempt records in the history that an attempt at a change starts. It returns nil if change is nil, which stands
+// for a request that doesn't change the configuration.
 func (run *scenarioRun) beginAttempt(change *history.Change) *history.Attempt {
 	if change == nil {
 		return nil
@@ -51,20 +53,22 @@
 	return run.history.BeginAttempt(*change)
 }
 
-// completeAttempt records the answer to an attempt, unless it leaves the outcome open.
+// completeAttempt records the outcome of an attempt in the history, unless the response leaves it unknown.
 func completeAttempt(attempt *history.Attempt, code int, response operatorResponse) {
 	if outcome := response.outcome(code); attempt != nil && outcome != history.Unknown {
 		attempt.Complete(outcome, uint64(response.Version))
 	}
 }
 
-// plannedEntry is a calendar entry that an operator has written, and the changes that its steps may make.
+// plannedEntry is a calendar entry that a simulated operator has written, with an open attempt in the history for each
+// configuration change that its steps may make.
 type plannedEntry struct {
-	target string // service/name
+	target string // in the form service/name
 	steps  []*history.Attempt
 }
 
-// beginCalendarEntry records that an entry is about to be written: its steps may change the configuration from now on.
+// beginCalendarEntry records in the history that the steps of a calendar entry, given as JSON, may change the
+// configuration from now on. It must be called before the entry is written.
 func (run *scenarioRun) beginCalendarEntry(raw string) error {
 	entry, err := calendar.Decode([]byte(raw))
 	if err != nil {
@@ -80,7 +84,8 @@
 	return nil
 }
 
-// isChange reports whether a calendar step changes the configuration once it is carried out.
+// isChange reports whether a calendar step has changed the configuration or is about to: its kind does so and it is no
+// longer pending.
 func isChange(step calendar.Step) bool {
 	switch step.Kind {
 	case calendar.StepNameWeights, calendar.StepDrain, calendar.StepUndrain, calendar.StepSetPercent:
@@ -89,8 +94,8 @@
 	return false
 }
 
-// completeCalendarEntries records that no step has changed the configuration beyond those that the calendar lists as
-// begun.
+// completeCalendarEntries reads each planned calendar entry and completes the attempts for changes beyond the number of
+// steps that have begun as not executed.
 func (run *scenarioRun) completeCalendarEntries(ctx context.Context) error {
 	for _, planned := range run.plannedEntries {
 		entry, err := run.readCalendarEntry(ctx, planned.target)
@@ -110,22 +115,24 @@
 	return nil
 }
 
-// readCalendarEntry reads an entry, given as service/name, at the first operator address that answers.
+// readCalendarEntry reads a calendar entry, given as service/name, from the first operator address that lists it.
 func (run *scenarioRun) readCalendarEntry(ctx context.Context, target string) (*calendar.Entry, error) {
 	for _, addr := range run.fleet.Site.Operators {
 		if _, body := run.fleet.Get(ctx, addr, "/v1/calendar"); calendarEntry(body, target) != nil {
 			return calendarEntry(body, target), nil
 		}
 	}
-	return nil, errs.New(errs.NotFound, "no operator address lists the calendar entry %s", target)
+	return nil, errs.New(errs.NotFound, "none of the operator addresses lists calendar entry %s", target)
 }
 
-// isUndo reports whether a step of a scenario undoes a calendar entry, which replaces the steps that it had.
+// isUndo reports whether a scenario step undoes a calendar entry. The undo replaces the steps of the entry, so that the
+// changes that the original steps made can't be counted afterwards.
 func isUndo(step Step) bool {
 	return step.Action == "ask" && strings.TrimSpace(step.Argument) == string(calendar.VerbUndo)
 }
 
-// decodeOperatorResponse reads an answer of the operators' interface; an empty one if it isn't such an answer.
+// decodeOperatorResponse decodes the body of a response of the operator API; ok is false if it isn't valid JSON of that
+// form.
 func decodeOperatorResponse(body string) (response operatorResponse, ok bool) {
 	return response, json.Unmarshal([]byte(body), &response) == nil
 }
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -18,17 +18,18 @@
 )
 
 const (
-	retirementPolls     = 400 // polls after which a retirement that hasn't reached its state is an error
-	retirementPollPause = 250 * time.Millisecond
+	retirementPolls     = 400                    // maximum number of polls for a retirement to reach the awaited state or phase
+	retirementPollPause = 250 * time.Millisecond // between two polls of the retirements
 )
 
-// nextBuild returns the name of a base model's or adapter's replacement.
+// nextBuild returns the name of the replacement of a base model or adapter.
 func nextBuild(name string) string { return name + "-2" }
 
-// addAdapters adds two adapters, for the site's first two kinds of request, and a second base model with
-// replacements for them. The workers have capacity for both sets.
-func (s *Site) addAdapters(yes bool) {
-	if !yes {
+// addAdapters adds adapters of the model for the site's first two kinds of requests, and a second base model with
+// replacements of these adapters. The workers have enough memory for both base models and all adapters. It does nothing if
+// enabled is false.
+func (s *Site) addAdapters(enabled bool) {
+	if !enabled {
 		return
 	}
 	model := s.Traffic.Model
@@ -39,7 +40,7 @@
 	mainService.WorkerMemoryMB = 260
 	s.Config.Services[service] = mainService
 	s.Config.Adapters = map[string]serviceconfig.Adapter{}
-	var words []string
+	var adapterOptions []string
 	for i := range s.Traffic.Kinds {
 		kind := &s.Traffic.Kinds[i]
 		kind.ServedBy = []string{model, nextBuild(model)}
@@ -50,17 +51,17 @@
 		s.Config.Adapters[kind.Name] = serviceconfig.Adapter{BaseModel: model, Build: 1, Services: []string{service}, MemoryMB: 10}
 		s.Config.Adapters[nextBuild(kind.Name)] = serviceconfig.Adapter{BaseModel: nextBuild(model), Build: 1, Services: []string{service}, MemoryMB: 10}
 		s.Config.Routes[kind.Name] = serviceconfig.Route{Service: service}
-		words = append(words, kind.Name+"@1")
+		adapterOptions = append(adapterOptions, kind.Name+"@1")
 	}
 	for i := range s.Processes {
 		if process := &s.Processes[i]; process.Program == programs.WorkerSim {
-			process.Settings.Options = append(process.Settings.Options, "memory=260", "model_room=100", "adapter_room=10", "adapters="+strings.Join(words, ","))
+			process.Settings.Options = append(process.Settings.Options, "memory=260", "model_room=100", "adapter_room=10", "adapters="+strings.Join(adapterOptions, ","))
 		}
 	}
 }
 
-// executeRetirementStep executes a step that concerns the retirement of the site's base model: it plans and starts
-// it, sends it a command, or waits until it reaches a state or phase.
+// executeRetirementStep executes a scenario step that plans and starts the retirement of the site's base model, sends a
+// command to it, or waits until it reaches a state or phase.
 func (run *scenarioRun) executeRetirementStep(ctx context.Context, action, name, argument string) error {
 	switch action {
 	case "retire":
@@ -71,12 +72,13 @@
 	return run.awaitRetirement(ctx, name, argument)
 }
 
-// planAndStartRetirement plans the retirement of the site's base model, with options as JSON, and starts it.
+// planAndStartRetirement plans and starts the retirement of the site's base model. options is empty or a JSON object of
+// type retire.Retirement with further fields of the plan.
 func (run *scenarioRun) planAndStartRetirement(ctx context.Context, name, options string) error {
 	retirement := &retire.Retirement{}
 	if options != "" {
 		if err := json.Unmarshal([]byte(options), retirement); err != nil {
-			return errs.WrapAs(err, errs.BadInput, "retirement")
+			return errs.WrapAs(err, errs.BadInput, "decode the options of retirement "+name)
 		}
 	}
 	model := run.fleet.Site.Traffic.Model
@@ -93,14 +95,15 @@
 	return run.commandRetirement(ctx, name, "start")
 }
 
-// commandRetirement sends a command to a retirement.
+// commandRetirement sends a command, such as start or abort, to the named retirement.
 func (run *scenarioRun) commandRetirement(ctx context.Context, name, command string) error {
 	service := mainService(run.fleet.Site.Traffic.Model)
 	_, err := run.post(ctx, "/v1/retirements/"+service+"/"+name+"/"+command, map[string]any{}, nil)
 	return err
 }
 
-// awaitRetirement polls until a retirement reaches a state or phase, and checks the fleet if that is its end.
+// awaitRetirement polls until the named retirement reaches a state or phase, and then checks the workers and the
+// configuration if the retirement is done or aborted.
 func (run *scenarioRun) awaitRetirement(ctx context.Context, name, state string) error {
 	for i := 0; ; i++ {
 		_, last := run.fleet.Get(ctx, run.fleet.Site.Operators[i%len(run.fleet.Site.Operators)], "/v1/retirements")
@@ -109,33 +112,34 @@
 		}
 		if json.Unmarshal([]byte(last), &list) == nil {
 			for _, retirement := range list.Retirements {
-				last = fmt.Sprintf("%s, %s, %s, blocked by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers)
+				last = fmt.Sprintf("state %s, %s, reason: %s, blocked by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers)
 				if retirement.Name == name && (string(retirement.State) == state || string(retirement.Phase) == state) {
 					return run.checkFleetAfterRetirement(ctx, retirement)
 				}
 			}
 		}
 		if i >= retirementPolls {
-			return errs.New(errs.Internal, "%s isn't %s: %s", name, state, last)
+			return errs.New(errs.Internal, "retirement %s did not reach state or phase %s within %d polls; last response: %s", name, state, retirementPolls, last)
 		}
 		time.Sleep(retirementPollPause)
 	}
 }
 
-// checkFleetAfterRetirement checks the fleet after a retirement. Every worker that responds holds the new base with
-// its adapters and no longer the old one; after an abort it is the reverse, and the configuration is unchanged.
+// checkFleetAfterRetirement checks the workers that respond after a retirement has ended. If it is done, each must have the
+// new base model with its adapters loaded, and not the old one. If it was aborted, each must have the old one and not the
+// new one, and the configuration must be as it was before the retirement.
 func (run *scenarioRun) checkFleetAfterRetirement(ctx context.Context, retirement *retire.Retirement) error {
 	if retirement.Active() {
 		return nil
 	}
 	retiredBase, base, adapters := retirement.OldBase, retirement.NewBase, []string{}
-	for _, worker := range maputil.SortedKeys(retirement.Replacements) {
-		adapters = append(adapters, map[retire.State]string{retire.StateDone: retirement.Replacements[worker], retire.StateAborted: worker}[retirement.State])
+	for _, oldAdapter := range maputil.SortedKeys(retirement.Replacements) {
+		adapters = append(adapters, map[retire.State]string{retire.StateDone: retirement.Replacements[oldAdapter], retire.StateAborted: oldAdapter}[retirement.State])
 	}
 	if retirement.State == retire.StateAborted {
 		retiredBase, base = retirement.NewBase, retirement.OldBase
 		if _, now := run.fleet.Get(ctx, run.fleet.Site.Operators[0], "/v1/setup"); configIn(now) != configIn(run.configBeforeRetirement) {
-			run.addFault("after the abort the configuration is %s, it was %s", configIn(now), configIn(run.configBeforeRetirement))
+			run.addViolation("configuration after the abort of the retirement: got %s, want it as before the retirement: %s", configIn(now), configIn(run.configBeforeRetirement))
 		}
 	}
 	backends := contract.NewBackends(run.fleet.env.Dial)
@@ -143,12 +147,12 @@
 	for _, worker := range maputil.SortedKeys(run.fleet.Site.Workers) {
 		state, err := backends.State(ctx, run.fleet.Site.Workers[worker])
 		if err != nil {
-			continue // it is down, and catches up after its restart
+			continue // the worker is down, and loads and unloads models after its restart
 		}
 		hasAll := false
 		for _, loaded := range state.LoadedModels() {
 			if loaded.Model == retiredBase {
-				run.addFault("%s still holds %s, the retirement is %s", worker, retiredBase, retirement.State)
+				run.addViolation("worker %s still has base model %s loaded, although the retirement is %s", worker, retiredBase, retirement.State)
 			}
 			hasAll = hasAll || loaded.Model == base && len(loaded.Adapters) >= len(adapters)
 			for _, adapter := range adapters {
@@ -156,13 +160,14 @@
 			}
 		}
 		if !hasAll {
-			run.addFault("%s holds %v, want %s with %v", worker, state.LoadedModels(), base, adapters)
+			run.addViolation("worker %s has loaded %v, want base model %s with adapters %v", worker, state.LoadedModels(), base, adapters)
 		}
 	}
 	return nil
 }
 
-// configIn returns the configuration of a response without its version.
+// configIn returns the configuration in the body of a response, without its version; the whole body if it can't be
+// decoded.
 func configIn(body string) string {
 	var response struct {
 		Configuration json.RawMessage `json:"setup"`
@@ -173,9 +178,9 @@
 	return string(response.Configuration)
 }
 
-// checkOldBaseOutlivesMigration checks that no worker is ordered to unload the old base before every worker has
-// executed requests with the new base and with each of its adapters.
-func (run *scenarioRun) checkOldBaseOutlivesMigration(journals, orders map[string][]workersim.Run) (faults []string) {
+// checkOldBaseUnloadedLast checks that no worker was ordered to unload the old base model before every worker had executed
+// requests with the new base model alone and with each of its adapters. It returns the violations.
+func (run *scenarioRun) checkOldBaseUnloadedLast(journals, orders map[string][]workersim.Run) (violations []string) {
 	if !run.scenario.Retire {
 		return nil
 	}
@@ -193,14 +198,14 @@
 	}
 	for _, worker := range maputil.SortedKeys(journals) {
 		for _, adapter := range []string{"", nextBuild(run.fleet.Site.Traffic.Kinds[0].Name), nextBuild(run.fleet.Site.Traffic.Kinds[1].Name)} {
-			answered := false
+			executed := false
 			for _, workerRun := range journals[worker] {
-				answered = answered || workerRun.Model == nextBuild(model) && workerRun.Adapter == adapter && workerRun.AtMs <= firstUnloadMs
+				executed = executed || workerRun.Model == nextBuild(model) && workerRun.Adapter == adapter && workerRun.AtMs <= firstUnloadMs
 			}
-			if !answered {
-				faults = append(faults, fmt.Sprintf("%s was ordered to unload %s before %s had executed a request with %s %s", orderedWorker, model, worker, nextBuild(model), adapter))
+			if !executed {
+				violations = append(violations, fmt.Sprintf("worker %s was ordered to unload base model %s before worker %s had executed a request with base model %s and adapter %q", orderedWorker, model, worker, nextBuild(model), adapter))
 			}
 		}
 	}
-	return faults
+	return violations
 }
--- a/internal/sim/testbed/retire_test.go
+++ b/internal/sim/testbed/retire_test.go
@@ -16,38 +16,38 @@
 
 // Exit codes of pebblectl.
 const (
-	exitOK       = 0
-	exitProblems = 1 // the status has problems
-	exitBadInput = 2
-	exitNotFound = 4
-	exitConflict = 5
+	exitOK       = 0 // the command succeeded
+	exitProblems = 1 // the command succeeded, and reports problems of the site
+	exitBadInput = 2 // the input is invalid
+	exitNotFound = 4 // the named object does not exist
+	exitConflict = 5 // the object exists already, or its state does not permit the command
 )
 
-// retireTest retires a site's base model by the command line.
+// retireTest holds the state of a test that retires a site's base model with pebblectl.
 type retireTest struct {
 	*testing.T
-	node       string // operator address
-	file       string // with the retirement
-	retirement retire.Retirement
+	node       string            // operator address that pebblectl connects to
+	file       string            // path of the file with the plan of the retirement, in JSON
+	retirement retire.Retirement // plan of the retirement
 }
 
-// do runs pebblectl, checks its exit code and returns its output.
+// do runs pebblectl, checks its exit code and returns its standard output and standard error.
 func (r *retireTest) do(want int, args ...string) string {
 	r.Helper()
-	var out, bad bytes.Buffer
-	if code := cli.Main(append([]string{"--node", r.node}, args...), strings.NewReader(""), &out, &bad); code != want {
-		r.Fatalf("pebblectl %v: exit %d, want %d: %s%s", args, code, want, out.String(), bad.String())
+	var stdout, stderr bytes.Buffer
+	if code := cli.Main(append([]string{"--node", r.node}, args...), strings.NewReader(""), &stdout, &stderr); code != want {
+		r.Fatalf("pebblectl %v: got exit code %d, want %d; output: %s%s", args, code, want, stdout.String(), stderr.String())
 	}
-	return out.String() + bad.String()
+	return stdout.String() + stderr.String()
 }
 
-// command sends the retirement a command.
+// command sends a command to the retirement through pebblectl and checks the exit code.
 func (r *retireTest) command(want int, verb string) {
 	r.Helper()
 	r.do(want, "retire", verb, "--service", r.retirement.Service, "--name", r.retirement.Name)
 }
 
-// write writes the retirement into its file.
+// write writes the plan of the retirement into its file.
 func (r *retireTest) write() {
 	r.Helper()
 	raw, err := json.Marshal(r.retirement)
@@ -55,12 +55,12 @@
 		err = os.WriteFile(r.file, raw, 0o644)
 	}
 	if err != nil {
-		r.Fatal(err)
+		r.Fatalf("write the plan of the retirement to %s: %v", r.file, err)
 	}
 }
 
-// retireByCommandLine retires a site's base model by pebblectl's commands alone, and checks their exit codes. While the
-// retirement is under way block is called with the problem that the status then has.
+// retireByCommandLine retires a site's base model with commands of pebblectl only, and checks their exit codes. While the
+// retirement is in progress it calls block with the problem that the site's status must contain once a worker is lost.
 func retireByCommandLine(t *testing.T, fleet *Fleet, node string, block func(problem string)) {
 	t.Helper()
 	model := fleet.Site.Traffic.Model
@@ -72,29 +72,31 @@
 	r.awaitDone()
 	r.command(exitConflict, "abort")
 	if body := r.do(exitOK, "retire", "history", "--name", "spring"); !strings.Contains(body, "running barrier") || !strings.Contains(body, "done") {
-		t.Errorf("history: %s", body)
+		t.Errorf("history of the retirement: got %s, want it to contain \"running barrier\" and \"done\"", body)
 	}
 	r.do(exitNotFound, "retire", "status", "--name", "summer")
 }
 
-// plan plans the retirement: first without replacements and as a dry run, which change nothing.
+// plan plans the retirement. Before that, it tries a plan without replacements, which must be rejected, and a dry run, which
+// must not create the retirement.
 func (r *retireTest) plan(site *Site) {
 	r.Helper()
 	r.write()
 	if body := r.do(exitBadInput, "retire", "plan", "--file", r.file, "--dry-run"); !strings.Contains(body, "has no replacement") {
-		r.Errorf("a plan without replacements: %s", body)
+		r.Errorf("plan of a retirement without replacements for its adapters: got output %s, want it to contain \"has no replacement\"", body)
 	}
 	for _, kind := range site.Traffic.Kinds[:2] {
 		r.retirement.Replacements[kind.Name] = nextBuild(kind.Name)
 	}
 	r.write()
 	r.do(exitOK, "retire", "plan", "--file", r.file, "--dry-run")
-	r.command(exitNotFound, "start") // the dry run has written nothing
+	r.command(exitNotFound, "start") // the dry run must not have created the retirement
 	r.do(exitOK, "retire", "plan", "--file", r.file)
-	r.do(exitConflict, "retire", "plan", "--file", r.file) // it exists already
+	r.do(exitConflict, "retire", "plan", "--file", r.file) // the retirement exists already
 }
 
-// startAndPause starts, pauses and resumes the retirement. Starting and pausing are idempotent.
+// startAndPause starts, pauses and resumes the retirement. It starts and pauses it twice, as both commands must be
+// idempotent.
 func (r *retireTest) startAndPause() {
 	r.Helper()
 	r.command(exitOK, "start")
@@ -102,24 +104,24 @@
 	r.command(exitOK, "pause")
 	r.command(exitOK, "pause")
 	if body := r.do(exitProblems, "retire", "status"); !strings.Contains(body, "by an operator") {
-		r.Errorf("%s", body)
+		r.Errorf("status of a paused retirement: got %s, want it to contain \"by an operator\"", body)
 	}
 	r.command(exitOK, "resume")
 }
 
-// awaitDone waits until the retirement is done.
+// awaitDone polls with pebblectl until the retirement is done, for at most two minutes.
 func (r *retireTest) awaitDone() {
 	r.Helper()
 	var list struct{ Retirements []retire.Retirement }
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	for len(list.Retirements) != 1 || list.Retirements[0].State != retire.StateDone {
-		var out, bad bytes.Buffer
-		if code := cli.Main([]string{"--node", r.node, "retire", "status", "--json"}, strings.NewReader(""), &out, &bad); code > exitProblems {
-			r.Fatalf("exit %d: %s", code, bad.String())
+		var stdout, stderr bytes.Buffer
+		if code := cli.Main([]string{"--node", r.node, "retire", "status", "--json"}, strings.NewReader(""), &stdout, &stderr); code > exitProblems {
+			r.Fatalf("pebblectl retire status: got exit code %d, want at most %d; standard error: %s", code, exitProblems, stderr.String())
 		}
-		if err := json.Unmarshal(out.Bytes(), &list); err != nil || ctx.Err() != nil {
-			r.Fatalf("%v %v: %s", err, ctx.Err(), out.String())
+		if err := json.Unmarshal(stdout.Bytes(), &list); err != nil || ctx.Err() != nil {
+			r.Fatalf("wait until the retirement is done: decoding error %v, context error %v; last status: %s", err, ctx.Err(), stdout.String())
 		}
 	}
 }
--- a/internal/sim/testbed/runbook_test.go
+++ b/internal/sim/testbed/runbook_test.go
@@ -14,7 +14,8 @@
 	"pebbleloom/internal/cli"
 )
 
-// confirmation is the input of an operator who, when asked to confirm, first does what the runbook instructs.
+// confirmation is the standard input of a runbook. Before the first confirmation it calls do, which does what the runbook
+// asks the operator for; it answers every confirmation with yes.
 type confirmation struct{ do func() }
 
 func (c *confirmation) Read(p []byte) (int, error) {
@@ -25,41 +26,42 @@
 	return copy(p, "yes\n"), nil
 }
 
-// runbookTest runs runbooks on a site.
+// runbookTest holds the state of a test that runs runbooks on a site.
 type runbookTest struct {
 	*testing.T
 	fleet *Fleet
-	dir   string
-	node  string // operator address
+	dir   string // folder of the site, and of the records of the runbooks
+	node  string // operator address that pebblectl connects to
 }
 
-// run runs a runbook by the command line. The operator does what is given when the runbook asks for confirmation.
+// run runs a runbook with pebblectl; args are its name and parameters. It calls do, if not nil, when the runbook first asks
+// for confirmation. The runbook must succeed and record at least two steps as done.
 func (r *runbookTest) run(do func(), args ...string) {
 	r.Helper()
-	var out, bad bytes.Buffer
+	var stdout, stderr bytes.Buffer
 	record := filepath.Join(r.dir, args[0]+".jsonl")
 	command := append([]string{"--node", r.node, "--record", record, "runbook", "run", "--name"}, args...)
-	if code := cli.Main(command, &confirmation{do}, &out, &bad); code != 0 {
+	if code := cli.Main(command, &confirmation{do}, &stdout, &stderr); code != 0 {
 		raw, _ := os.ReadFile(record)
-		r.Fatalf("%v: exit %d: %s\n%s", args, code, bad.String(), raw)
+		r.Fatalf("runbook %v: got exit code %d, want 0; standard error: %s\nrecord: %s", args, code, stderr.String(), raw)
 	}
 	if raw, err := os.ReadFile(record); err != nil || strings.Count(string(raw), `"state":"done"`) < 2 {
-		r.Fatalf("%v: record %s %v", args, raw, err)
+		r.Fatalf("runbook %v: got record %s and error %v, want at least 2 entries with the state done", args, raw, err)
 	}
 }
 
-// forEach returns a function that does something to each of the processes.
+// forEach returns a function that calls do with each of the names of processes and reports errors.
 func (r *runbookTest) forEach(do func(string) error, names ...string) func() {
 	return func() {
 		for _, name := range names {
 			if err := do(name); err != nil {
-				r.Errorf("%s: %v", name, err)
+				r.Errorf("operation on process %s: %v", name, err)
 			}
 		}
 	}
 }
 
-// signal returns a function that sends a signal to each of the processes.
+// signal returns a function that sends a signal to each of the named processes.
 func (r *runbookTest) signal(signal syscall.Signal, names ...string) func() {
 	return r.forEach(func(name string) error { return r.fleet.Signal(name, signal) }, names...)
 }
@@ -67,20 +69,20 @@
 func (r *runbookTest) kill(names ...string)         { r.signal(syscall.SIGKILL, names...)() }
 func (r *runbookTest) start(names ...string) func() { return r.forEach(r.fleet.Start, names...) }
 
-// awaitStatus waits until the status of the site contains a text.
+// awaitStatus polls the status of the site for up to 30 s until it contains a text.
 func (r *runbookTest) awaitStatus(text string) {
 	r.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	for ctx.Err() == nil { // no pause: each request takes its time, since it queries every core machine
+	for ctx.Err() == nil { // no pause between polls: a request is slow enough, since it queries every core machine
 		if _, body := r.fleet.Get(ctx, r.node, "/v1/status"); strings.Contains(body, text) {
 			return
 		}
 	}
-	r.Fatalf("the status never contains %s", text)
+	r.Fatalf("status of the site does not contain %s within 30 s", text)
 }
 
-// wipeDisk removes the data of a process.
+// wipeDisk removes the data of a process from the disk.
 func (r *runbookTest) wipeDisk(name string) {
 	r.Helper()
 	if err := os.RemoveAll(r.fleet.settingsOf(name).Data); err != nil {
@@ -88,7 +90,7 @@
 	}
 }
 
-// patchFile writes a partial configuration into a file, and returns the runbook's parameter that names it.
+// patchFile writes a partial configuration, in JSON, into a file and returns the runbook parameter that names the file.
 func (r *runbookTest) patchFile(name, content string) string {
 	r.Helper()
 	file := filepath.Join(r.dir, name)
@@ -98,12 +100,13 @@
 	return "file=" + file
 }
 
-// processesOf returns the processes of machines by a pattern of their names.
+// processesOf returns the names of the processes of machines by a pattern, in which "%" stands for a machine.
 func processesOf(pattern string, machines ...string) []string {
 	return strings.Fields(expandNames(pattern, machines))
 }
 
-// Each runbook ends a real fault of a site, and in the end the site has no problem.
+// Injects real faults into a site and runs the runbook for each. Every runbook must succeed, and in the end the status of the
+// site must show no problem.
 func TestRunbooksOnASite(t *testing.T) {
 	dir := t.TempDir()
 	site, err := NewSite("daegu", dir, 34, nil)
@@ -123,13 +126,13 @@
 	r.changeConfiguration()
 	retireByCommandLine(t, fleet, r.node, r.blockRetirement)
 
-	var out, bad bytes.Buffer
-	if code := cli.Main([]string{"--node", r.node, "status"}, &confirmation{}, &out, &bad); code != 0 {
-		t.Errorf("in the end the status has a problem: %s%s", out.String(), bad.String())
+	var stdout, stderr bytes.Buffer
+	if code := cli.Main([]string{"--node", r.node, "status"}, &confirmation{}, &stdout, &stderr); code != 0 {
+		t.Errorf("site status after all runbooks: got exit code %d, want 0; output: %s%s", code, stdout.String(), stderr.String())
 	}
 }
 
-// recoverSimulators runs the runbooks for a lost worker and a lost store.
+// recoverSimulators runs the runbooks for a crashed worker and a crashed prompt store.
 func (r *runbookTest) recoverSimulators() {
 	worker := workerPrefix + "3"
 	r.kill(worker)
@@ -141,9 +144,10 @@
 	r.run(r.start(storeName), "store-empty")
 }
 
-// recoverCoreMachines runs the runbooks for a lost disk, a lost edge and core machine, and a replaced core machine.
+// recoverCoreMachines runs the runbooks for a lost disk, a crashed edge machine, a crashed core machine, and a replaced core
+// machine.
 func (r *runbookTest) recoverCoreMachines() {
-	// The disk of a core machine is lost: it restarts with an empty one.
+	// A core machine crashes and loses its disk: it restarts with an empty one.
 	core2 := processesOf(coreProcesses, "core-2")
 	r.kill(core2...)
 	r.wipeDisk(controlNodePrefix + "core-2")
@@ -157,7 +161,7 @@
 	r.kill(core3...)
 	r.run(r.start(core3...), "core-gone", "--set", "machine=core-3")
 
-	// A core machine is replaced by one with an empty disk at another address, under the same name.
+	// A core machine is replaced by one with the same name, an empty disk and another address.
 	core4 := processesOf(coreProcesses, "core-4")
 	r.kill(core4...)
 	r.wipeDisk(controlNodePrefix + "core-4")
@@ -165,7 +169,7 @@
 	r.run(r.start(core4...), "core-replaced", "--set", "machine=core-4")
 }
 
-// recoverEdgeMachines runs the runbooks for a frozen machine, and for several lost at once.
+// recoverEdgeMachines runs the runbooks for a frozen edge machine, and for several machines that crash at once.
 func (r *runbookTest) recoverEdgeMachines() {
 	edge3 := processesOf(edgeProcesses, "edge-3")
 	r.signal(syscall.SIGSTOP, edge3...)()
@@ -176,7 +180,7 @@
 	r.run(r.start(many...), "many-gone")
 }
 
-// changeConfiguration runs the runbooks that change the configuration.
+// changeConfiguration runs the runbooks in which operators change the configuration.
 func (r *runbookTest) changeConfiguration() {
 	r.run(nil, "seeds-change", "--set", r.patchFile("seeds.json", `{"seeds":["127.34.2.1:7003","127.34.3.1:7003","127.34.2.11:7000"]}`))
 	r.run(nil, "setup-wrong", "--set", r.patchFile("right.json", `{"tenants":{"tenant-5":{"inflight":40}}}`))
@@ -185,7 +189,8 @@
 	r.run(nil, "key-leaked", "--set", "tenant=tenant-4", "--set", "key=key-of-daegu-tenant-4")
 }
 
-// blockRetirement blocks the retirement under way by the loss of a worker, and runs the runbook for it.
+// blockRetirement blocks the retirement in progress by the crash of a worker, waits until the status shows the problem, and
+// runs the runbook for it.
 func (r *runbookTest) blockRetirement(problem string) {
 	worker := workerPrefix + "7"
 	r.kill(worker)
--- a/internal/sim/testbed/runbookstep.go
+++ b/internal/sim/testbed/runbookstep.go
@@ -13,26 +13,27 @@
 	"pebbleloom/internal/errs"
 )
 
-// operatorAnswers confirms the steps of a runbook, as an operator who does what they ask for: at the first confirmation
-// it carries out the actions.
+// operatorAnswers is the standard input of a runbook, from which it reads the operator's confirmations. It answers every
+// confirmation with yes, and before the first one executes the actions that the runbook asks the operator for.
 type operatorAnswers struct {
-	act   func() error
-	acted bool
-	err   error
+	act   func() error // executes the operator's actions
+	acted bool         // act has been called
+	err   error        // result of act
 }
 
-// Read implements io.Reader: each read is one answer.
+// Read implements io.Reader: each call returns one answer.
 func (o *operatorAnswers) Read(answer []byte) (int, error) {
 	if !o.acted {
 		o.acted, o.err = true, o.act()
 	}
 	if o.err != nil {
-		return 0, io.EOF // the runbook stops at a confirmation without an answer
+		return 0, io.EOF // without an answer, the runbook stops at the confirmation
 	}
 	return copy(answer, "yes\n"), nil
 }
 
-// writeEntryFile writes the calendar entry that a runbook plans into a file; an empty one: the runbook plans none.
+// writeEntryFile writes the calendar entry, in JSON, that a runbook will plan into a file. It does nothing if entry is
+// empty, which stands for a runbook that plans none.
 func (run *scenarioRun) writeEntryFile(file, entry string) error {
 	if entry == "" {
 		return nil
@@ -44,8 +45,9 @@
 	return errs.Wrap(os.WriteFile(file, []byte(entry), 0o600), "write "+file)
 }
 
-// executeRunbook runs the runbook that the step names (Targets) with its parameters (Argument), by the command line, at an
-// operator address that no step partitions; Confirm are the actions that its confirmations ask for.
+// executeRunbook runs the runbook named by step.Targets with the parameters in step.Argument through the command line. It
+// uses the last operator address, which no scenario partitions from the network. At the first confirmation it executes the
+// actions in step.Confirm.
 func (run *scenarioRun) executeRunbook(ctx context.Context, step Step) error {
 	transport := &http.Transport{DialContext: run.fleet.env.Dial}
 	defer transport.CloseIdleConnections()
@@ -69,10 +71,10 @@
 	}}
 	var out, progress bytes.Buffer
 	if code := cli.Run(args, answers, &out, &progress, transport); code != 0 {
-		return errs.New(errs.CheckFailed, "exit code %d: %v; %s%s", code, answers.err, out.String(), progress.String())
+		return errs.New(errs.CheckFailed, "runbook %s: got exit code %d, want 0; error of the operator's actions: %v; output: %s%s", step.Targets, code, answers.err, out.String(), progress.String())
 	}
 	if !answers.acted {
-		return errs.New(errs.CheckFailed, "the runbook asked for no confirmation: %s", progress.String())
+		return errs.New(errs.CheckFailed, "runbook %s asked for no confirmation; output: %s", step.Targets, progress.String())
 	}
 	return nil
 }
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -8,35 +8,37 @@
 	"pebbleloom/internal/errs"
 )
 
-// Scenario describes a run of a site with faults; scenario files hold it as JSON.
+// Scenario describes a run of a site under client traffic, with steps that inject faults or change the configuration.
+// Scenario files contain it as JSON.
 type Scenario struct {
 	Name              string   `json:"name"`
 	About             string   `json:"about"`
 	Site              string   `json:"site"`
 	Rate              float64  `json:"rate"`
-	StartDelayMs      int      `json:"cold_ms"` // clients start that long after the machines, whether the site is ready or not
-	Burst             float64  `json:"burst"`   // further requests a second, until the last step
-	Links             bool     `json:"links"`   // every link goes through a relay
+	StartDelayMs      int      `json:"cold_ms"` // if over 0, clients start that long after the first process, whether the site is ready or not
+	Burst             float64  `json:"burst"`   // additional requests per second until the last step has ended
+	Links             bool     `json:"links"`   // connections between machines go through relays, so that steps can cut and slow links
 	WorkerOptions     []string `json:"cab"`     // options of every worker simulator
 	Steps             []Step   `json:"steps"`
-	RecoveryMs        int      `json:"heal_ms"`  // time to recover after the last step; 0: the bound of the settings
-	AfterRecoveryMs   int      `json:"tail_ms"`  // how long clients go on after that
-	MinSealedShare    float64  `json:"least"`    // share of all requests that must be sealed
-	AllowedRejections []string `json:"kinds"`    // rejections that may occur; empty: any typed one
-	ReadAll           bool     `json:"read_all"` // check that every operator address returns the same configuration at the end
-	Retire            bool     `json:"retire"`   // the site has adapters and a second base model to retire the first for
+	RecoveryMs        int      `json:"heal_ms"`  // time within which service must recover after the last step; 0: Bounds.HealMs of the settings
+	AfterRecoveryMs   int      `json:"tail_ms"`  // how long clients go on sending after that; 0: a default
+	MinSealedShare    float64  `json:"least"`    // least share of all requests that must get a complete response
+	AllowedRejections []string `json:"kinds"`    // kinds of rejections that may occur; empty: any with a known kind
+	ReadAll           bool     `json:"read_all"` // check at the end that every operator address returns the same configuration
+	Retire            bool     `json:"retire"`   // the site has adapters, and a second base model that can replace the first one
 }
 
 // Step is one action of a scenario.
 type Step struct {
-	At       int    `json:"at_ms"`
-	Action   string `json:"do"`  // see scenarioRun.execute
-	Targets  string `json:"who"` // names or patterns; "pattern:2" draws two; see leaderTarget
-	Argument string `json:"to"`  // the other end of a link, or a value
-	// Later steps don't wait for its end, and an unknown outcome isn't a fault of the run.
+	At       int    `json:"at_ms"` // time in milliseconds after the start of the steps
+	Action   string `json:"do"`    // name of the action; scenarioRun.execute lists all
+	Targets  string `json:"who"`   // names or patterns of processes, separated by spaces; "pattern:2" draws two matches at random; see also leaderTarget
+	Argument string `json:"to"`    // depends on the action: the machines at the other end of a link, or a value
+	// The step runs in the background: later steps do not wait for its end, and an error of kind errs.OutcomeUnknown is
+	// no violation.
 	Background bool   `json:"aside"`
-	Confirm    []Step `json:"confirm"` // of a runbook: what its confirmations ask for; their times don't count
-	Entry      string `json:"entry"`   // of a runbook: a calendar entry, in the file that its parameters name as {file}
+	Confirm    []Step `json:"confirm"` // of a runbook step: actions that the runbook asks the operator for; At is ignored in them
+	Entry      string `json:"entry"`   // of a runbook step: calendar entry in JSON, written to the file whose path replaces {file} in the parameters
 }
 
 //go:embed scenarios/*.json
@@ -48,22 +50,22 @@
 func Scenarios() ([]Scenario, error) {
 	entries, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
-		return nil, errs.Wrap(err, "list scenarios")
+		return nil, errs.Wrap(err, "list the embedded scenario files")
 	}
 	var scenarios []Scenario
 	for _, entry := range entries {
 		raw, err := scenarioFiles.ReadFile("scenarios/" + entry.Name())
 		if err != nil {
-			return nil, errs.Wrap(err, "read scenario")
+			return nil, errs.Wrap(err, "read scenario file "+entry.Name())
 		}
 		var scenario Scenario
 		decoder := json.NewDecoder(strings.NewReader(string(raw)))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&scenario); err != nil {
-			return nil, errs.WrapAs(err, errs.BadInput, "scenario "+entry.Name())
+			return nil, errs.WrapAs(err, errs.BadInput, "decode scenario file "+entry.Name())
 		}
 		if scenario.Name+".json" != entry.Name() {
-			return nil, errs.New(errs.BadInput, "scenario file %s holds the name %q", entry.Name(), scenario.Name)
+			return nil, errs.New(errs.BadInput, "scenario file %s contains the name %q, want the file's name without .json", entry.Name(), scenario.Name)
 		}
 		scenarios = append(scenarios, scenario)
 	}
--- a/internal/sim/testbed/scenariorun.go
+++ b/internal/sim/testbed/scenariorun.go
@@ -15,29 +15,29 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// scenarioRun is the state of a scenario that is being played.
+// scenarioRun is the state of a running scenario.
 type scenarioRun struct {
 	options  Options
 	scenario Scenario
 	fleet    *Fleet
 	random   *rand.Rand
-	mu       sync.Mutex
+	mu       sync.Mutex // protects the fields that concurrent steps and readers change
 	report   *Report
-	resolved map[string][]string
-	history  *history.History // of the configuration
-	// The calendar entries that were written.
+	resolved map[string][]string // processes by the target that resolved to them
+	history  *history.History    // recorded reads and changes of the configuration
+	// Calendar entries that simulated operators have written.
 	plannedEntries []plannedEntry
-	background     sync.WaitGroup // goroutines that run until the run ends
-	startedMs      int64          // wall time in milliseconds, of the machine that runs the test bed
-	// When changes were acknowledged, on the same clock.
+	background     sync.WaitGroup // goroutines that run until the end of the scenario
+	startedMs      int64          // start of the steps, as Unix time in milliseconds of the machine that runs the testbed
+	// Unix times in milliseconds at which changes were acknowledged, by API key, version of the weights, and worker.
 	keyRevokedMs           map[string]int64
-	weightsNamedMs         map[uint64]int64
+	weightsSetMs           map[uint64]int64
 	drainedMs              map[string]int64
-	acknowledgedVersion    int64  // the highest configuration version
-	configBeforeRetirement string // as of when the retirement was planned
+	acknowledgedVersion    int64  // highest configuration version that was acknowledged to an operator
+	configBeforeRetirement string // response to GET /v1/setup just before the retirement was planned
 }
 
-// Play runs a scenario as processes of this machine and returns its report.
+// Play runs a scenario on a site of processes on this machine and returns the report.
 //
 // Example: report, err := testbed.Play(ctx, scenario, testbed.Options{Seed: 1, AddressByte: 10, Dir: dir, Programs: "bin"})
 func Play(ctx context.Context, scenario Scenario, options Options) (*Report, error) {
@@ -58,15 +58,15 @@
 }
 
 const (
-	defaultRate            = 25   // requests a second of a scenario that gives none
-	defaultAfterRecoveryMs = 4000 // how long clients go on after the recovery bound
-	maxReportedFaults      = 50
+	defaultRate            = 25   // client requests per second if the scenario does not give a rate
+	defaultAfterRecoveryMs = 4000 // how long clients go on sending after the time to recover
+	maxReportedViolations  = 50   // further violations of a run are dropped
 )
 
-// PlayOn runs a scenario in the environment that on returns for its site, and returns its report.
+// PlayOn runs a scenario in the Environment that newEnvironment returns for its site, and returns the report.
 //
 // Example: report, err := testbed.PlayOn(ctx, scenario, options, func(s *testbed.Site) (testbed.Environment, error) { return cluster, nil })
-func PlayOn(ctx context.Context, scenario Scenario, options Options, on func(*Site) (Environment, error)) (*Report, error) {
+func PlayOn(ctx context.Context, scenario Scenario, options Options, newEnvironment func(*Site) (Environment, error)) (*Report, error) {
 	if options.Site != "" {
 		scenario.Site = options.Site
 	}
@@ -79,7 +79,7 @@
 		site.Traffic.Rate = defaultRate
 	}
 	run := newScenarioRun(scenario, options)
-	env, err := on(site)
+	env, err := newEnvironment(site)
 	if err != nil {
 		return nil, err
 	}
@@ -93,27 +93,27 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer run.background.Wait()
 	defer cancel()
-	log, closedMs, err := run.playSteps(ctx)
+	log, lastStepEndMs, err := run.playSteps(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return run.report, run.checkRun(ctx, log, closedMs, run.recoveryMs())
+	return run.report, run.checkRun(ctx, log, lastStepEndMs, run.recoveryMs())
 }
 
 func newScenarioRun(scenario Scenario, options Options) *scenarioRun {
 	return &scenarioRun{
-		options:        options,
-		scenario:       scenario,
-		random:         rand.New(rand.NewPCG(options.Seed, 11)),
-		report:         &Report{Scenario: scenario.Name, Site: scenario.Site, Seed: options.Seed, Faults: []string{}},
-		resolved:       map[string][]string{},
-		keyRevokedMs:   map[string]int64{},
-		weightsNamedMs: map[uint64]int64{},
-		drainedMs:      map[string]int64{},
+		options:      options,
+		scenario:     scenario,
+		random:       rand.New(rand.NewPCG(options.Seed, 11)),
+		report:       &Report{Scenario: scenario.Name, Site: scenario.Site, Seed: options.Seed, Faults: []string{}},
+		resolved:     map[string][]string{},
+		keyRevokedMs: map[string]int64{},
+		weightsSetMs: map[uint64]int64{},
+		drainedMs:    map[string]int64{},
 	}
 }
 
-// recoveryMs returns the bound within which service recovers after the last step.
+// recoveryMs returns the time in milliseconds within which service must recover after the last step.
 func (run *scenarioRun) recoveryMs() int {
 	if run.scenario.RecoveryMs > 0 {
 		return run.scenario.RecoveryMs
@@ -121,7 +121,7 @@
 	return run.fleet.Site.Processes[0].Settings.Bounds.HealMs
 }
 
-// lastStepMs returns when the last step is due, from the start of the steps.
+// lastStepMs returns the time of the last step, in milliseconds after the start of the steps.
 func (run *scenarioRun) lastStepMs() (last int) {
 	for _, step := range run.scenario.Steps {
 		last = max(last, step.At)
@@ -129,9 +129,9 @@
 	return last
 }
 
-// playSteps executes the steps under traffic, and keeps up the traffic until after the recovery bound.
-// closedMs is the wall time at which the last step had ended.
-func (run *scenarioRun) playSteps(ctx context.Context) (log *loadgen.OutcomeLog, closedMs int64, err error) {
+// playSteps executes the steps under client traffic, which goes on until some time after the site must have recovered.
+// lastStepEndMs is the Unix time in milliseconds at which the last step ended.
+func (run *scenarioRun) playSteps(ctx context.Context) (log *loadgen.OutcomeLog, lastStepEndMs int64, err error) {
 	afterRecovery := run.scenario.AfterRecoveryMs
 	if afterRecovery == 0 {
 		afterRecovery = defaultAfterRecoveryMs
@@ -150,51 +150,51 @@
 		return nil, 0, err
 	}
 	stopBurst()
-	closedMs = max(time.Now().UnixMilli(), run.startedMs+int64(run.lastStepMs()))
-	if err := run.waitUntil(ctx, startedAt, int(closedMs-run.startedMs)+run.recoveryMs()+afterRecovery); err != nil {
+	lastStepEndMs = max(time.Now().UnixMilli(), run.startedMs+int64(run.lastStepMs()))
+	if err := run.waitUntil(ctx, startedAt, int(lastStepEndMs-run.startedMs)+run.recoveryMs()+afterRecovery); err != nil {
 		return nil, 0, err
 	}
 	stopTraffic()
 	senders.Wait()
-	return log, closedMs, nil
+	return log, lastStepEndMs, nil
 }
 
-// startTraffic starts the senders: the site's traffic, readers of the configuration, and a burst beside
-// them where the scenario has one.
+// startTraffic starts the client traffic, a background reader of the configuration, and the scenario's additional burst of
+// requests, if it has one.
 func (run *scenarioRun) startTraffic(traffic, burst context.Context, senders *sync.WaitGroup, client *loadgen.Client, log *loadgen.OutcomeLog) {
 	site, seed := run.fleet.Site, run.options.Seed
 	senders.Go(func() { loadgen.SendTraffic(traffic, site.Traffic, client, seed, "s", 1<<30, log) })
 	senders.Go(func() { run.readUntilDone(traffic) })
 	if run.scenario.Burst > 0 {
-		more := site.Traffic
-		more.Rate = run.scenario.Burst
-		senders.Go(func() { loadgen.SendTraffic(burst, more, client, seed, "b", 1<<30, log) })
+		burstTraffic := site.Traffic
+		burstTraffic.Rate = run.scenario.Burst
+		senders.Go(func() { loadgen.SendTraffic(burst, burstTraffic, client, seed, "b", 1<<30, log) })
 	}
 }
 
-// executeSteps executes each step at its time and waits for the background steps.
+// executeSteps executes each step at its time, and waits for the background steps to end.
 func (run *scenarioRun) executeSteps(ctx context.Context, startedAt time.Time) error {
-	var inBackground sync.WaitGroup
+	var backgroundSteps sync.WaitGroup
 	for _, step := range run.scenario.Steps {
 		if err := run.waitUntil(ctx, startedAt, step.At); err != nil {
 			return err
 		}
 		if step.Background {
-			inBackground.Go(func() { run.runStep(ctx, startedAt, step) })
+			backgroundSteps.Go(func() { run.runStep(ctx, startedAt, step) })
 		} else {
 			run.runStep(ctx, startedAt, step)
 		}
 	}
-	inBackground.Wait()
+	backgroundSteps.Wait()
 	return nil
 }
 
-// runStep executes a step and records its outcome in the report.
+// runStep executes a step and records its result in the report.
 func (run *scenarioRun) runStep(ctx context.Context, startedAt time.Time, step Step) {
-	body := "done"
+	result := "done"
 	if err := run.execute(ctx, step); err != nil {
-		if body = err.Error(); !step.Background || errs.KindOf(err) != errs.OutcomeUnknown {
-			run.addFault("step %s %s: %v", step.Action, step.Targets, err)
+		if result = err.Error(); !step.Background || errs.KindOf(err) != errs.OutcomeUnknown {
+			run.addViolation("step %s with targets %q failed: %v", step.Action, step.Targets, err)
 		}
 	}
 	names := step.Targets
@@ -205,25 +205,25 @@
 			names = strings.Replace(names, target, strings.Join(matches, " "), 1)
 		}
 	}
-	run.report.Steps = append(run.report.Steps, fmt.Sprintf("%d ms: %s %s %s: %s", time.Since(startedAt).Milliseconds(), step.Action, names, step.Argument, body))
+	run.report.Steps = append(run.report.Steps, fmt.Sprintf("%d ms: %s %s %s: %s", time.Since(startedAt).Milliseconds(), step.Action, names, step.Argument, result))
 }
 
-func (run *scenarioRun) waitUntil(ctx context.Context, t0 time.Time, ms int) error {
-	t := time.NewTimer(time.Until(t0.Add(time.Duration(ms) * time.Millisecond)))
+func (run *scenarioRun) waitUntil(ctx context.Context, startedAt time.Time, ms int) error {
+	t := time.NewTimer(time.Until(startedAt.Add(time.Duration(ms) * time.Millisecond)))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-		return errs.Wrap(ctx.Err(), "scenario")
+		return errs.Wrap(ctx.Err(), "wait for the next step of the scenario")
 	case <-t.C:
 		return nil
 	}
 }
 
-// addFault adds a fault to the report; those beyond maxReportedFaults are dropped.
-func (run *scenarioRun) addFault(format string, a ...any) {
+// addViolation adds a violation to the report; those beyond maxReportedViolations are dropped.
+func (run *scenarioRun) addViolation(format string, a ...any) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	if len(run.report.Faults) < maxReportedFaults {
+	if len(run.report.Faults) < maxReportedViolations {
 		run.report.Faults = append(run.report.Faults, fmt.Sprintf(format, a...))
 	}
 }
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -1,5 +1,5 @@
-// Package testbed runs a complete site, as processes of one machine on loopback addresses or in another Environment,
-// plays scenarios of faults on it and checks the outcome.
+// Package testbed runs a complete site, either as processes on loopback addresses of one machine or in another Environment
+// such as a simulated cluster. It runs fault scenarios on the site under client traffic and checks the results.
 package testbed
 
 import (
@@ -14,11 +14,11 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// Process is a process of a site.
+// Process describes a process of a site.
 type Process struct {
-	Name     string // unique in the site
-	Program  string
-	Bin      string // folder of its program; empty: that of the environment
+	Name     string // unique within the site
+	Program  string // name of the executable, one of the constants of package programs
+	Bin      string // folder of the executable; empty: that of the environment
 	Settings settings.Process
 }
 
@@ -26,26 +26,26 @@
 type Site struct {
 	Name       string
 	Processes  []Process
-	WorkerList []contract.ListedWorker
-	Config     serviceconfig.Config
+	WorkerList []contract.ListedWorker // workers and stores that the platform simulator lists
+	Config     serviceconfig.Config    // first configuration
 	Traffic    loadgen.Traffic
-	Edges      []string          // addresses for clients
-	Operators  []string          // addresses for operators
-	Workers    map[string]string // addresses by name
+	Edges      []string          // addresses of the proxies, for clients
+	Operators  []string          // addresses of the operator API
+	Workers    map[string]string // addresses of the worker simulators, by name
 }
 
-// Sites returns the names of the sites that can be run.
+// Sites returns the names of the sites that NewSite can build.
 //
 // Example: for _, name := range testbed.Sites() { fmt.Println(name) }
 func Sites() []string { return []string{"paramo", "daegu"} }
 
-// Write writes the site's worker list and first configuration into a folder, which it creates if necessary.
+// Write writes the site's worker list and first configuration as JSON files into a folder, which it creates if necessary.
 //
 // Example: err := site.Write("/tmp/run")
 func (s *Site) Write(dir string) error {
 	var batch errs.Batch
 	write := func(name string, value any) { batch.Add("write "+name, writeJSON(dir, name, value)) }
-	batch.Add("make folder", os.MkdirAll(dir, 0o755))
+	batch.Add("create the folder "+dir, os.MkdirAll(dir, 0o755))
 	write("list.json", s.WorkerList)
 	write("setup.json", s.Config)
 	return batch.Err()
@@ -54,7 +54,7 @@
 func writeJSON(dir, name string, v any) error {
 	raw, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
-		return errs.Wrap(err, "write "+name)
+		return errs.Wrap(err, "encode "+name+" as JSON")
 	}
 	return errs.Wrap(os.WriteFile(filepath.Join(dir, name), append(raw, '\n'), 0o644), "write "+name)
 }
--- a/internal/sim/testbed/steps.go
+++ b/internal/sim/testbed/steps.go
@@ -13,10 +13,11 @@
 	"pebbleloom/internal/errs"
 )
 
-// leaderTarget names the control node that leads the configuration's shard.
+// leaderTarget is the step target that stands for the control node that leads shard 0, which holds the configuration.
 const leaderTarget = "@owner"
 
-// resolveTargets returns the processes that a step names. A pattern resolves to the same processes throughout a run.
+// resolveTargets returns the names of the processes that match a step's targets, sorted. The same target resolves to the
+// same processes throughout a run, so that a later step can undo what an earlier one did to a random choice.
 func (run *scenarioRun) resolveTargets(ctx context.Context, targets string) ([]string, error) {
 	var names []string
 	for _, target := range strings.Fields(targets) {
@@ -35,17 +36,18 @@
 		names = append(names, matches...)
 	}
 	if len(names) == 0 {
-		return nil, errs.New(errs.BadInput, "%q matches no process", targets)
+		return nil, errs.New(errs.BadInput, "step targets %q match no process of the site", targets)
 	}
 	sort.Strings(names)
 	return slices.Compact(names), nil
 }
 
-// resolvePattern returns the processes that match leaderTarget, a pattern, or "pattern:count".
+// resolvePattern returns the names of the processes that match a target: leaderTarget, a pattern, or "pattern:count" for a
+// number of random matches.
 func (run *scenarioRun) resolvePattern(ctx context.Context, target string) ([]string, error) {
 	if target == leaderTarget {
-		count, err := run.fleet.configLeader(ctx)
-		return []string{controlNodePrefix + count}, err
+		machine, err := run.fleet.configLeader(ctx)
+		return []string{controlNodePrefix + machine}, err
 	}
 	pattern, count, limited := strings.Cut(target, ":")
 	var matches []string
@@ -57,7 +59,7 @@
 	if limited {
 		var limit int
 		if _, err := fmt.Sscan(count, &limit); err != nil {
-			return nil, errs.New(errs.BadInput, "%q: give pattern:count", target)
+			return nil, errs.New(errs.BadInput, "step target %q: the text after the colon is not a number: give pattern:count", target)
 		}
 		run.mu.Lock()
 		run.random.Shuffle(len(matches), func(i, j int) { matches[i], matches[j] = matches[j], matches[i] })
@@ -67,7 +69,7 @@
 	return matches, nil
 }
 
-// execute executes one step.
+// execute executes one step of a scenario.
 func (run *scenarioRun) execute(ctx context.Context, step Step) error {
 	switch step.Action {
 	case "heal":
@@ -93,7 +95,7 @@
 	return batch.Err()
 }
 
-// executeOn executes a step on one of its processes.
+// executeOn executes a step on one of the processes that match its targets.
 func (run *scenarioRun) executeOn(ctx context.Context, step Step, name string) error {
 	switch step.Action {
 	case "kill":
@@ -123,31 +125,32 @@
 	case "disk", "wall":
 		return run.onProcess(name, func(process Process) error { return run.fleet.env.SetFault(process, step.Action, step.Argument) })
 	}
-	return errs.New(errs.BadInput, "unknown step %q", step.Action)
+	return errs.New(errs.BadInput, "unknown action %q in a step of the scenario", step.Action)
 }
 
-// warnWorker makes the platform warn that it will terminate a worker, which drains it. The time is recorded even if the
-// call fails, since it may have had an effect.
+// warnWorker makes the platform simulator announce that it will terminate a worker, upon which the site drains the worker.
+// It records the time even if the call fails, since the call may have had an effect all the same.
 func (run *scenarioRun) warnWorker(ctx context.Context, name string) error {
 	code, body := run.fleet.Post(ctx, run.fleet.platformAddr(), "/v1/warn/"+name, nil)
 	run.mu.Lock()
 	run.drainedMs[name] = time.Now().UnixMilli()
 	run.mu.Unlock()
 	if code != 200 {
-		return errs.New(errs.Internal, "warn: %d %s", code, body)
+		return errs.New(errs.Internal, "announce the termination of worker %s: got status %d and body %s, want status 200", name, code, body)
 	}
 	return nil
 }
 
-// setLinks sets or removes link rules. Targets are machines separated by spaces; "*" is any machine.
+// setLinks cuts, slows or restores the links between the machines in step.Targets, separated by spaces, and others; "*" is
+// any machine. The action "cut" affects only the direction from the targets.
 func (run *scenarioRun) setLinks(step Step) error {
 	var batch errs.Batch
 	for _, from := range strings.Fields(step.Targets) {
 		peers, rule := step.Argument, LinkRule{Partitioned: true}
 		if step.Action == "slow" {
 			peers, rule = "*", LinkRule{}
-			if _, batch := fmt.Sscan(step.Argument, &rule.BytesPerSecond); batch != nil {
-				return errs.New(errs.BadInput, "slow: %q: give bytes a second", step.Argument)
+			if _, err := fmt.Sscan(step.Argument, &rule.BytesPerSecond); err != nil {
+				return errs.New(errs.BadInput, "step slow: argument %q is not a number of bytes per second", step.Argument)
 			}
 		}
 		if step.Action == "off" {
@@ -169,7 +172,7 @@
 	return batch.Err()
 }
 
-// onProcess calls do with the named process.
+// onProcess calls do with the description of the named process.
 func (run *scenarioRun) onProcess(name string, do func(Process) error) error {
 	process, err := run.fleet.process(name)
 	if err != nil {
--- a/internal/sim/testbed/tally.go
+++ b/internal/sim/testbed/tally.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/maputil"
 )
 
-// Line formats a run's report as one line, which Tally parses.
+// Line formats the report of a run as one line of text, which Tally can parse.
 //
 // Example: fmt.Println(testbed.Line(report))
 func Line(report *Report) string {
@@ -23,11 +23,12 @@
 
 var linePattern = regexp.MustCompile(`(\S+) +(paramo|daegu) +seed \d+: sealed (\d+) of (\d+), during ([\d.]+), after (?:healing )?([\d.]+),.* extra runs (\d+), denied map\[[^]]*\](?:, broken \d+, faults (\d+))?`)
 
-// tallyRow holds the figures of one line.
+// tallyRow holds the figures that Tally reads from the line of one run.
 type tallyRow struct{ sealed, during, after, extra, faults float64 }
 
-// Tally prints a table from the lines of many runs: their number, the median and the worst sealed shares, and the
-// number of faults. All mixtures of a site share a row. It fails with errs.BadInput if there is no line of a run.
+// Tally reads lines that Line formatted and prints a table with one row for each scenario and site: the number of runs and
+// of violations, the median and worst shares of complete responses, and the largest number of extra runs. All scenarios of
+// randomly drawn faults of a site share a row. It fails with errs.BadInput if the input contains no such line.
 //
 // Example: err := testbed.Tally(os.Stdin, os.Stdout)
 func Tally(in io.Reader, out io.Writer) error {
@@ -39,12 +40,12 @@
 		if match == nil {
 			continue
 		}
-		numbers := make([]float64, len(match))
+		figures := make([]float64, len(match))
 		for i := 3; i < len(match); i++ {
 			if match[i] != "" {
 				var err error
-				if numbers[i], err = strconv.ParseFloat(match[i], 64); err != nil {
-					return errs.WrapAs(err, errs.BadInput, "line "+lines.Text())
+				if figures[i], err = strconv.ParseFloat(match[i], 64); err != nil {
+					return errs.WrapAs(err, errs.BadInput, "parse a number in the line "+lines.Text())
 				}
 			}
 		}
@@ -53,13 +54,13 @@
 			name = "mixtures"
 		}
 		key := name + " | " + match[2]
-		rows[key] = append(rows[key], tallyRow{numbers[3] / max(1, numbers[4]), numbers[5], numbers[6], numbers[7], numbers[8]})
+		rows[key] = append(rows[key], tallyRow{figures[3] / max(1, figures[4]), figures[5], figures[6], figures[7], figures[8]})
 	}
 	if err := lines.Err(); err != nil {
-		return errs.Wrap(err, "read lines")
+		return errs.Wrap(err, "read the lines of runs")
 	}
 	if len(rows) == 0 {
-		return errs.New(errs.BadInput, "no line of a run in the input: give the output of `testbed play` or of the simulated cluster")
+		return errs.New(errs.BadInput, "the input contains no result line of a run: give the output of `testbed play` or of the simulated cluster")
 	}
 	fmt.Fprintln(out, "| scenario | site | runs | faults | sealed | during | after | extra runs |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, key := range maputil.SortedKeys(rows) {
--- a/internal/sim/testbed/upgrade.go
+++ b/internal/sim/testbed/upgrade.go
@@ -12,18 +12,19 @@
 	"pebbleloom/internal/errs"
 )
 
-// settingsAddedLater are settings that the first release rejects as unknown, by section.
+// settingsAddedLater lists, by section of the settings file, the settings that the first release rejects as unknown. The
+// section "" is the top level.
 var settingsAddedLater = map[string][]string{"": {"operator_key"}, "bounds": {"try_allow", "once_ms"}}
 
-// settingsForEarlierRelease returns a process's settings as the first release reads them.
+// settingsForEarlierRelease returns the settings of a process without those that the first release doesn't know.
 func settingsForEarlierRelease(process Process) (map[string]any, error) {
 	raw, err := json.Marshal(process.Settings)
 	if err != nil {
-		return nil, errs.Wrap(err, "write settings")
+		return nil, errs.Wrap(err, "encode the settings of process "+process.Name+" as JSON")
 	}
 	document := map[string]any{}
 	if err := json.Unmarshal(raw, &document); err != nil {
-		return nil, errs.Wrap(err, "write settings")
+		return nil, errs.Wrap(err, "decode the settings of process "+process.Name)
 	}
 	for section, keys := range settingsAddedLater {
 		for _, key := range keys {
@@ -37,7 +38,7 @@
 	return document, nil
 }
 
-// switchRelease stops a process gracefully and starts it with another folder of programs.
+// switchRelease shuts a process down gracefully and restarts it with the executable in the folder bin.
 func (f *Fleet) switchRelease(name, bin string) error {
 	for i := range f.Site.Processes {
 		process := &f.Site.Processes[i]
@@ -47,23 +48,23 @@
 		if err := f.Signal(name, syscall.SIGTERM); err != nil {
 			return err
 		}
-		<-time.After(process.Settings.Bounds.Leave(0.3)) // graceful shutdown: it hands over its leases and ends its streams
-		_ = f.Signal(name, syscall.SIGKILL)              // it may have ended by itself
+		<-time.After(process.Settings.Bounds.Leave(0.3)) // time for the process to hand over its leases and end its streams
+		_ = f.Signal(name, syscall.SIGKILL)              // the error is ignored, as the process has usually exited by now
 		process.Bin = bin
 		if err := f.env.WriteSettings(*process); err != nil {
 			return err
 		}
 		return f.Start(name)
 	}
-	return errs.New(errs.NotFound, "process %q", name)
+	return errs.New(errs.NotFound, "switch the release: the site has no process %q", name)
 }
 
-// Upgrade runs a site of an earlier release, upgrades it to the present one machine by machine under traffic, and
-// downgrades it again. Core machines are upgraded first and downgraded last.
+// Upgrade runs a site of an earlier release under client traffic, upgrades it machine by machine to the present release,
+// and downgrades it again. Core machines are upgraded first and downgraded last.
 //
 // Example: report, err := testbed.Upgrade(ctx, testbed.Options{Site: "paramo", Programs: "bin", EarlierRelease: "/tmp/old-bin", Dir: dir, AddressByte: 10})
 func Upgrade(ctx context.Context, options Options) (*Report, error) {
-	scenario := Scenario{Name: "upgrade", About: "an earlier release is upgraded machine by machine, and back", Site: options.Site, Rate: 25, ReadAll: true, MinSealedShare: 0.97}
+	scenario := Scenario{Name: "upgrade", About: "a site of an earlier release is upgraded machine by machine and downgraded again", Site: options.Site, Rate: 25, ReadAll: true, MinSealedShare: 0.97}
 	var targets []string
 	for i := range coreMachines {
 		targets = append(targets, expandNames(coreProcesses, []string{fmt.Sprint(corePrefix, i+1)}))
@@ -89,13 +90,13 @@
 				process.Bin = options.EarlierRelease
 			}
 		}
-		target := newLocalEnvironment(options.Dir, options.Programs)
-		target.earlierRelease = options.EarlierRelease
-		return target, nil
+		env := newLocalEnvironment(options.Dir, options.Programs)
+		env.earlierRelease = options.EarlierRelease
+		return env, nil
 	})
 }
 
-// writeSettings writes a process's settings as its release reads them.
+// writeSettings writes the settings file of a process in the form that its release can read.
 func (env *localEnvironment) writeSettings(process Process) error {
 	if env.earlierRelease == "" || process.Bin != env.earlierRelease {
 		return writeJSON(env.dir, process.Name+".json", process.Settings)
@@ -107,7 +108,7 @@
 	return writeJSON(env.dir, process.Name+".json", earlier)
 }
 
-// programsOf returns the folder of the release that a step names, "old" or "new".
+// programsOf returns the folder of the executables of a release, "old" or "new", as scenario steps name it.
 func (options Options) programsOf(release string) (string, error) {
 	switch release {
 	case "new":
@@ -115,5 +116,5 @@
 	case "old":
 		return options.EarlierRelease, nil
 	}
-	return "", errs.New(errs.BadInput, "swap to %q: give old or new", release)
+	return "", errs.New(errs.BadInput, "step swap: unknown release %q: give old or new", release)
 }
--- a/internal/sim/testbed/usage.go
+++ b/internal/sim/testbed/usage.go
@@ -9,20 +9,21 @@
 	"pebbleloom/internal/sim/loadgen"
 )
 
-// RunResult is the result of a run of a site without faults.
+// RunResult is the result of a run of a site under client traffic, without injected faults.
 type RunResult struct {
 	loadgen.Summary
-	Usage map[string]ResourceUsage `json:"usage"`
+	Usage map[string]ResourceUsage `json:"usage"` // by program
 }
 
-// ResourceUsage is the resource use of a program's processes; figures are the maximum over them.
+// ResourceUsage is the resource use of the processes of one program. PeakMB and CPUShare are the maximum over the processes.
 type ResourceUsage struct {
 	Processes int     `json:"processes"`
-	PeakMB    float64 `json:"peak_mb"`     // resident memory at its peak
-	CPUShare  float64 `json:"cpu_percent"` // of one core, from its start
+	PeakMB    float64 `json:"peak_mb"`     // peak resident memory in units of 1024 * 1024 bytes
+	CPUShare  float64 `json:"cpu_percent"` // average since the start of the process, in percent of one core
 }
 
-// Usage reads the resource use of the running processes, by program; it is empty in a simulated environment.
+// Usage returns the resource use of the running processes, by program. It is empty unless the processes run on this
+// machine's operating system.
 //
 // Example: for program, usage := range fleet.Usage() { fmt.Println(program, usage.PeakMB) }
 func (f *Fleet) Usage() map[string]ResourceUsage {
@@ -50,7 +51,7 @@
 func peakMemoryMB(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return 0 // it has ended
+		return 0 // the process has ended
 	}
 	for _, line := range strings.Split(string(raw), "\n") {
 		if value, ok := strings.CutPrefix(line, "VmHWM:"); ok {
@@ -62,7 +63,7 @@
 	return 0
 }
 
-// cpuPercent is the share of one core since the process started, in percent.
+// cpuPercent returns the average CPU use of a process since its start, in percent of one core; 0 if it can't be read.
 func cpuPercent(pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	uptime, uptimeErr := os.ReadFile("/proc/uptime")
@@ -81,7 +82,7 @@
 	if len(fields) < 20 {
 		return 0
 	}
-	const ticks = 100 // a second, as Linux counts for user space
+	const ticks = 100 // clock ticks per second, the unit of times in /proc/PID/stat on Linux
 	elapsed := number(strings.Fields(string(uptime))[0]) - number(fields[19])/ticks
 	if elapsed <= 0 {
 		return 0
