--- a/internal/sim/testbed/calendar.go
+++ b/internal/sim/testbed/calendar.go
@@ -13,8 +13,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// executeCalendarStep executes a scenario step that changes or reads the calendar of planned operations, retires a base
-// model, changes the platform's worker list, or patches the configuration.
+// executeCalendarStep executes a scenario step that concerns the calendar, in which operators schedule changes of services,
+// or that retires a base model, changes the platform's worker list, or patches the configuration.
 func (run *scenarioRun) executeCalendarStep(ctx context.Context, step Step) error {
 	argument := strings.ReplaceAll(step.Argument, "{model}", run.fleet.Site.Traffic.Model)
 	target := strings.ReplaceAll(step.Targets, "{model}", run.fleet.Site.Traffic.Model)
@@ -75,20 +75,20 @@
 
 const (
 	calendarPolls     = 60                     // maximum number of polls for a calendar entry to reach the awaited state
-	calendarPollPause = 500 * time.Millisecond // between two polls of the calendar
+	calendarPollPause = 500 * time.Millisecond // pause between two polls of the calendar
 
-	workerReplacementPollPause = 300 * time.Millisecond // between two reads of the configuration for newly drained workers
-	workerStopGrace            = 300 * time.Millisecond // from SIGTERM to SIGKILL of a drained worker that is restarted
+	workerReplacementPollPause = 300 * time.Millisecond // pause between two reads of the configuration, in search of newly drained workers
+	workerStopGrace            = 300 * time.Millisecond // time from SIGTERM to SIGKILL of a drained worker that is restarted
 )
 
-// awaitCalendarEntry polls the operator addresses until the calendar entry target, given as service/name, is in the
-// state. It fails with errs.Internal after calendarPolls polls.
+// awaitCalendarEntry polls the operator addresses until the calendar entry target, given as service/name, has the
+// given state. It fails with errs.Internal after calendarPolls polls.
 func (run *scenarioRun) awaitCalendarEntry(ctx context.Context, target, state string) error {
 	for i := 0; ; i++ {
 		_, body := run.fleet.Get(ctx, run.fleet.Site.Operators[i%len(run.fleet.Site.Operators)], "/v1/calendar")
 		last := body
 		if entry := calendarEntry(body, target); entry != nil {
-			last = fmt.Sprintf("state %s, step %d of %d, reason: %s", entry.State, entry.CurrentStep, len(entry.Steps), entry.Reason)
+			last = fmt.Sprintf("calendar entry in state %s, step %d of %d, reason: %s", entry.State, entry.CurrentStep, len(entry.Steps), entry.Reason)
 			if string(entry.State) == state {
 				return nil
 			}
@@ -100,8 +100,8 @@
 	}
 }
 
-// calendarEntry returns the entry target, given as service/name, from the body of a response to GET /v1/calendar; nil
-// if the body can't be decoded or doesn't list the entry.
+// calendarEntry returns the entry target, given as service/name, from the body of a response with the calendar; nil if
+// the body can't be decoded or doesn't list the entry.
 func calendarEntry(body, target string) *calendar.Entry {
 	var list struct {
 		Moves []json.RawMessage `json:"moves"`
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -31,7 +31,7 @@
 	run.checkRetryBudget(log, journals)
 	orders, err := run.fleet.Orders()
 	if err != nil {
-		return errs.Wrap(err, "read the workers' journals of lease holders' orders")
+		return errs.Wrap(err, "read the orders in the journals of the worker simulators")
 	}
 	for _, f := range append(checkFencing(orders), run.checkOldBaseUnloadedLast(journals, orders)...) {
 		run.addViolation("%s", f)
@@ -54,7 +54,7 @@
 			Replicated []string `json:"replicated"`
 		} `json:"placement"`
 	}
-	if json.Unmarshal([]byte(body), &s) == nil { // otherwise the report leaves the placement empty; other checks report that the site is unavailable
+	if json.Unmarshal([]byte(body), &s) == nil { // on an error the report has no figures of the placement; other checks detect an unavailable site
 		run.report.RMax, run.report.Replicated = s.Placement.RMax, len(s.Placement.Replicated)
 	}
 }
@@ -70,7 +70,8 @@
 func (c *hitCounter) share() float64 { return float64(c.hit) / float64(max(1, c.total)) }
 
 // checkRecoveryAndRejections checks that enough requests get a sealed response, one whose final record has a valid
-// checksum, over the whole run and after recoveryMs, and that only rejections of allowed kinds occur.
+// checksum, over the whole run and after the first recoveryMs milliseconds since the last step, and that only rejections of the kinds
+// that the scenario allows occur.
 func (run *scenarioRun) checkRecoveryAndRejections(log *loadgen.OutcomeLog, lastStepEndMs, recoveryMs int64) {
 	afterTotal, afterSealed, duringTotal, duringSealed := 0, 0, 0, 0
 	var before, during, after hitCounter
@@ -84,7 +85,7 @@
 		switch {
 		case outcome.SentMs < firstStepMs:
 			before.add(outcome)
-		case outcome.SentMs < lastStepEndMs+recoveryMs: // while faults are injected, and the time to recover from them
+		case outcome.SentMs < lastStepEndMs+recoveryMs: // sent while faults were injected, or while the site was allowed to recover from them
 			during.add(outcome)
 		default:
 			after.add(outcome)
@@ -137,7 +138,7 @@
 	for name, runs := range journals {
 		for _, workerRun := range runs {
 			if revokedAtMs, ok := revokedMs[workerRun.RequestID]; ok && workerRun.AtMs > revokedAtMs+int64(run.fleet.Site.Processes[0].Settings.Bounds.KeyRevocationMs) {
-				run.addViolation("worker %s started request %s %d ms after its key was revoked", name, workerRun.RequestID, workerRun.AtMs-revokedAtMs)
+				run.addViolation("worker %s started request %s %d ms after the API key of the request was revoked", name, workerRun.RequestID, workerRun.AtMs-revokedAtMs)
 			}
 		}
 	}
@@ -176,7 +177,7 @@
 				}
 			}
 			if atMs, ok := run.drainedMs[name]; ok && workerRun.AtMs > atMs+int64(bounds.LeaveMs) {
-				run.addViolation("worker %s started request %s %d ms after it was drained", name, workerRun.RequestID, workerRun.AtMs-atMs)
+				run.addViolation("worker %s started request %s, although the time was %d ms after it was drained", name, workerRun.RequestID, workerRun.AtMs-atMs)
 			}
 		}
 	}
@@ -210,19 +211,19 @@
 		}
 	}
 	run.report.ExtraRuns = len(extra)
-	allowance := float64(max(bounds.RetryAllowance, len(run.fleet.Site.Edges))) // the allowance is split between the edge machines, and each gets at least one retry
+	allowance := float64(max(bounds.RetryAllowance, len(run.fleet.Site.Edges))) // the allowance is split between the edge machines, each of which may make at least one retry
 	if extraRuns, firstRuns := worstWindow(extra, first, int64(bounds.RetryWindowMs), float64(bounds.RetryPercent)/100); float64(extraRuns) > float64(bounds.RetryPercent)/100*float64(firstRuns)+allowance {
-		run.addViolation("%d extra runs on %d requests in a retry window of %d ms, want at most %d %% of the requests plus %.0f", extraRuns, firstRuns, bounds.RetryWindowMs, bounds.RetryPercent, allowance)
+		run.addViolation("retry budget exceeded: %d extra runs on %d requests in a retry window of %d ms, want at most %d %% of the requests plus %.0f", extraRuns, firstRuns, bounds.RetryWindowMs, bounds.RetryPercent, allowance)
 	}
 }
 
 // worstWindow returns the counts of the time window, of span milliseconds and at any start, in which the extra runs
-// exceed the share of the requests by the most. A retry may start up to a tenth of the window after the request that
-// paid for it, so requests count from that much earlier on.
+// exceed the share of the requests by the most. Requests up to a tenth of the
+// window before its start count too, because a retry may start that much later than the request that added to the budget.
 func worstWindow(extra, first []int64, span int64, share float64) (extraRuns, firstRuns int) {
 	slices.Sort(extra)
 	slices.Sort(first)
-	count := func(times []int64, from, to int64) int { // of the times t with from <= t < to
+	count := func(times []int64, from, to int64) int { // number of times t with from <= t < to
 		at := func(t int64) int { i, _ := slices.BinarySearch(times, t); return i }
 		return at(to) - at(from)
 	}
--- a/internal/sim/testbed/confighistory.go
+++ b/internal/sim/testbed/confighistory.go
@@ -14,12 +14,12 @@
 
 // Time-outs, pauses and numbers of attempts of the simulated operators who change and read the configuration.
 const (
-	operatorTimeout    = 3 * time.Second        // of one attempt, since the process at the address may be stopped by SIGSTOP
+	operatorTimeout    = 3 * time.Second        // time limit of one attempt, since the process at the address may be stopped by SIGSTOP
 	operatorAttempts   = 6                      // maximum number of attempts at a change, or at a read of the configuration
 	mustChangeAttempts = 40                     // maximum number of attempts at a change without which the scenario can't go on
-	readerPause        = 60 * time.Millisecond  // between two reads by the background reader
-	readerTimeout      = time.Second            // of one read by the background reader
-	retryPause         = 100 * time.Millisecond // between two attempts at a change
+	readerPause        = 60 * time.Millisecond  // pause between two reads by the background reader of the configuration
+	readerTimeout      = time.Second            // time limit of one read by the background reader of the configuration
+	retryPause         = 100 * time.Millisecond // pause between two attempts at a change
 	checkTimeout       = 30 * time.Second       // time limit of the linearizability checker
 )
 
@@ -38,7 +38,7 @@
 // configurationChange is a partial update of the configuration that a simulated operator sends.
 type configurationChange struct {
 	token string  // idempotency token, the same in all attempts
-	base  *uint64 // version that the change is conditional on; nil: unconditional
+	base  *uint64 // configuration version that the change is conditional on; nil: unconditional
 	patch map[string]any
 }
 
@@ -59,7 +59,7 @@
 	return raw, errs.Wrap(err, "encode configuration change "+c.token+" as JSON")
 }
 
-// change sends a configuration change to the operator address with the index first, and retries at the following
+// change sends a configuration change to operator address number first, and retries at the following
 // addresses while its outcome is unknown or it was not executed. It returns the new version if the change was
 // acknowledged.
 func (run *scenarioRun) change(ctx context.Context, c configurationChange, first int) (version uint64, ok bool) {
@@ -142,7 +142,7 @@
 }
 
 func digest(raw []byte) string {
-	const digestBytes = 8 // of the SHA-256 hash, enough to tell configurations apart
+	const digestBytes = 8 // length of the prefix of the SHA-256 hash, enough to distinguish configurations
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:digestBytes])
 }
@@ -193,7 +193,7 @@
 		return
 	}
 	if err := run.completeCalendarEntries(ctx); err != nil {
-		run.addViolation("linearizability not checked: %v", err)
+		run.addViolation("linearizability of the configuration was not checked: %v", err)
 		return
 	}
 	result := run.history.Check(checkTimeout)
--- a/internal/sim/testbed/environment.go
+++ b/internal/sim/testbed/environment.go
@@ -46,16 +46,16 @@
 type localEnvironment struct {
 	dir            string                   // folder of settings, journals and logs
 	programs       string                   // folder of the executables
-	links          *Links                   // nil: processes connect directly, not through relays
+	links          *Links                   // relays between the processes; nil: processes connect directly
 	earlierRelease string                   // in an upgrade test: folder of the executables of an earlier release
 	mu             sync.Mutex               // protects processes and exited
-	processes      map[string]*exec.Cmd     // by process name
-	exited         map[string]chan struct{} // by process name; closed once the process has ended
+	processes      map[string]*exec.Cmd     // operating system processes by their names in the site
+	exited         map[string]chan struct{} // channels by process name; each is closed once the process has ended
 }
 
 const (
-	stopGrace   = 6 * time.Second // from SIGTERM to SIGKILL when the environment stops its processes
-	dialTimeout = time.Second     // of a connection of a client or operator
+	stopGrace   = 6 * time.Second // time from SIGTERM to SIGKILL when the environment stops its processes
+	dialTimeout = time.Second     // time limit to connect to a process as a client or operator
 )
 
 // newLocalEnvironment returns an environment that keeps settings, journals and logs in dir and runs the executables in
@@ -141,7 +141,7 @@
 	return loadgen.ReadJournal(file)
 }
 
-// SetLink implements Environment. It fails with errs.BadInput if the scenario runs without relays in its links.
+// SetLink implements Environment. It fails with errs.BadInput if the processes connect directly, without relays.
 func (env *localEnvironment) SetLink(from, to string, r LinkRule) error {
 	if env.links == nil {
 		return errs.New(errs.BadInput, "can't set the rule of the link from %s to %s: the scenario runs without relays; set \"links\": true in its file", from, to)
--- a/internal/sim/testbed/faultkinds.go
+++ b/internal/sim/testbed/faultkinds.go
@@ -47,23 +47,23 @@
 	{"index", drawIndexKilled},
 }
 
-// atStart adds a step at the time at which the fault begins.
+// atStart adds a step that is executed when the fault begins.
 func (gen *faultGenerator) atStart(fault *Fault, action, targets, argument string) {
 	fault.Steps = append(fault.Steps, Step{At: gen.startMs, Action: action, Targets: targets, Argument: argument})
 }
 
-// atEnd adds a step at the time at which the fault ends.
+// atEnd adds a step that is executed when the fault ends.
 func (gen *faultGenerator) atEnd(fault *Fault, action, targets, argument string) {
 	fault.Steps = append(fault.Steps, Step{At: gen.endMs, Action: action, Targets: targets, Argument: argument})
 }
 
-// after adds a step at ms milliseconds after the fault begins.
+// after adds a step that is executed ms milliseconds after the fault begins.
 func (gen *faultGenerator) after(fault *Fault, ms int, action, targets, argument string) {
 	fault.Steps = append(fault.Steps, Step{At: gen.startMs + ms, Action: action, Targets: targets, Argument: argument})
 }
 
-// onWorkers returns a function that draws a fault of one to limit workers that have no other fault. The step action
-// injects it and undo ends it.
+// onWorkers returns a function that draws a fault of one to limit workers that have no other fault. The action of the
+// step that injects the fault is action, that of the step that ends it undo.
 func onWorkers(action, undo string, limit int) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		if names := gen.takeHealthy(workerPrefix, workers, 1+gen.random.IntN(limit)); len(names) > 0 {
--- a/internal/sim/testbed/faults.go
+++ b/internal/sim/testbed/faults.go
@@ -24,14 +24,14 @@
 	endMs           int             // time at which the fault that is being drawn ends
 	nextCoreFaultMs int             // earliest start of the next fault of a core machine
 	faulty          map[string]bool // workers and edge machines that already have a fault
-	weightRollouts  int             // rollouts of weights drawn so far; only the first adds steps
+	weightRollouts  int             // number of faults with a rollout of weights drawn so far; only the first adds steps
 	drawn           map[string]bool // names of the kinds of faults drawn so far
 }
 
 const (
-	earliestFaultMs = 1000 // earliest begin of a fault after the start of the steps
-	latestFaultMs   = 9000 // latest begin of a fault
-	coreFaultGapMs  = 5000 // from the end of a core machine's fault to the start of the next
+	earliestFaultMs = 1000 // earliest start of a fault, in milliseconds after the start of the scenario's steps
+	latestFaultMs   = 9000 // latest start of a fault, in milliseconds after the start of the scenario's steps
+	coreFaultGapMs  = 5000 // least time from the end of a fault of a core machine to the start of the next one
 )
 
 // takeHealthy draws up to n machines without a fault from those whose names are prefix and a number from 1 to total, and
@@ -64,8 +64,7 @@
 )
 
 // takeCoreMachine draws a core machine and delays the start of the fault until coreFaultGapMs after the end of the previous
-// fault of a core machine. It returns false if that is later than latestFaultMs, or if a power loss of all core machines was
-// drawn.
+// fault of a core machine. It returns false if that is later than latestFaultMs, or if a power loss of all core machines was drawn.
 func (gen *faultGenerator) takeCoreMachine() ([]string, bool) {
 	if gen.nextCoreFaultMs > latestFaultMs || gen.drawn["power"] {
 		return nil, false
--- a/internal/sim/testbed/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -46,7 +46,7 @@
 		if _, err := backends.State(ctx, site.Workers[fittedWorker]); err == nil {
 			break
 		} else if i > 50 || ctx.Err() != nil {
-			return placement.Curve{}, errs.Wrap(err, "wait for the worker simulator "+fittedWorker+" to answer")
+			return placement.Curve{}, errs.Wrap(err, "wait for an answer of worker simulator "+fittedWorker)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	firstConfigTimeout = 60 * time.Second       // until an operator address accepts the first configuration
-	startPollPause     = 200 * time.Millisecond // between two polls of a site that is starting
+	firstConfigTimeout = 60 * time.Second       // time limit until an operator address accepts the first configuration
+	startPollPause     = 200 * time.Millisecond // pause between two polls of a site that is starting
 )
 
 func newFleet(site *Site, dir string, env Environment) *Fleet {
@@ -120,7 +120,7 @@
 		if code == 200 {
 			return nil
 		}
-		last = fmt.Sprintf("status %d, body %s", code, body)
+		last = fmt.Sprintf("response with status %d and body %s", code, body)
 		time.Sleep(startPollPause)
 	}
 	return errs.New(errs.OutcomeUnknown, "first configuration was not accepted within %v; last response: %s", firstConfigTimeout, last)
@@ -154,15 +154,16 @@
 	return code == 200
 }
 
-// Journals reads the runs of requests from the journal of every worker, including killed ones. The result is by worker
-// name.
+// Journals reads the runs of requests from the journal of every worker, including killed ones. The result is keyed by
+// worker name.
 //
 // Example: journals, err := fleet.Journals()
 func (f *Fleet) Journals() (map[string][]workersim.Run, error) {
 	return f.readJournals(func(r workersim.Run) bool { return r.FencingToken == 0 })
 }
 
-// Orders reads the orders of lease holders that the workers executed from their journals. The result is by worker name.
+// Orders reads the orders of lease holders that the workers executed from their journals. The result is keyed by
+// worker name.
 //
 // Example: orders, err := fleet.Orders()
 func (f *Fleet) Orders() (map[string][]workersim.Run, error) {
--- a/internal/sim/testbed/layout.go
+++ b/internal/sim/testbed/layout.go
@@ -24,8 +24,8 @@
 	heavyWeight     = 5     // traffic of a heavy tenant relative to that of any other tenant
 	maxTimes        = 4     // largest factor by which NewScaledSite multiplies a site
 	simulatorsZone  = 9     // zone number, the third byte of the address, of the platform simulator; no real zone has it
-	initialWeights  = 1     // version of the model's weights at the start
-	maxClientWaitMs = 30000 // longest wait that a client may request
+	initialWeights  = 1     // version of the model's weights in the first configuration
+	maxClientWaitMs = 30000 // longest time that a client may ask to wait for a response, in the first configuration
 )
 
 // Ports on which the programs listen.
@@ -67,8 +67,7 @@
 	bounds        settings.Bounds // time and retry bounds in the settings of all processes
 	linkOptions   []string        // options of every worker simulator for the speed of its links
 	workerOptions []string        // further options of every worker simulator
-	seeds         []string        // addresses through which processes first reach the site
-	core          []string        // names of the core machines
+	seeds, core   []string        // addresses of the processes to contact first; names of the core machines
 	platformAddr  string          // address of the platform simulator
 }
 
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -19,17 +19,17 @@
 type Links struct {
 	mu        sync.Mutex             // protects rules, wake and names
 	rules     map[[2]string]LinkRule // by sending and receiving machine; "*" is any machine
-	wake      chan struct{}          // closed and replaced when rules change
+	wake      chan struct{}          // channel that is closed and replaced when rules change
 	names     map[netip.Addr]string  // name of the machine by its IP address
 	listeners []net.Listener
-	quit      chan struct{} // closed by Close
+	quit      chan struct{} // channel that Close closes to end the relayed connections
 }
 
 // LinkRule describes a network link from one machine to another; the zero value is a link that passes bytes on without
 // delay.
 type LinkRule struct {
 	Partitioned    bool          // the link holds bytes back until the rule changes
-	Delay          time.Duration // of each block of bytes
+	Delay          time.Duration // delay of each block of bytes that a relay reads
 	BytesPerSecond float64       // bandwidth; 0: no limit
 }
 
@@ -100,14 +100,14 @@
 func (l *Links) Relay(relayAddr, to, machine string) error {
 	listener, err := net.Listen("tcp", relayAddr)
 	if err != nil {
-		return errs.WrapAs(err, errs.BadInput, "listen at "+relayAddr+" as the relay of machine "+machine)
+		return errs.WrapAs(err, errs.BadInput, "listen at relay address "+relayAddr)
 	}
 	l.listeners = append(l.listeners, listener)
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
-				return // the listener was closed
+				return // Close has closed the listener
 			}
 			go l.proxyConn(conn, to, machine)
 		}
@@ -132,7 +132,7 @@
 	if err != nil {
 		// No process listens at the target: reset the connection, as the client would see a refused connection.
 		if tcp, ok := client.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // Close then sends a TCP reset instead of a FIN
+			_ = tcp.SetLinger(0) // makes Close send a TCP reset instead of a FIN
 		}
 		return
 	}
@@ -163,7 +163,7 @@
 		if err != nil {
 			if err != io.EOF {
 				if tcp, ok := dst.(*net.TCPConn); ok {
-					_ = tcp.SetLinger(0) // Close then sends a TCP reset, as the source did
+					_ = tcp.SetLinger(0) // makes Close send a TCP reset, as the source did
 				}
 				break
 			}
--- a/internal/sim/testbed/machines.go
+++ b/internal/sim/testbed/machines.go
@@ -41,7 +41,7 @@
 		f.Site.Processes = append(f.Site.Processes, process)
 		return f.Start(process.Name)
 	}
-	return errs.New(errs.NotFound, "start a duplicate: the site has no process %q", name)
+	return errs.New(errs.NotFound, "start a duplicate of a process: the site has no process %q", name)
 }
 
 // addressByte returns the second byte of the site's loopback addresses, in decimal.
@@ -77,7 +77,7 @@
 		}
 		host, port, err := net.SplitHostPort(process.Settings.Listen)
 		if err != nil {
-			return errs.Wrap(err, "move process "+name+" to another address")
+			return errs.Wrap(err, "change the address of process "+name)
 		}
 		octets := strings.Split(host, ".")
 		host = strings.Join(append(octets[:3], "99"), ".")
@@ -93,5 +93,5 @@
 		}
 		return f.env.WriteSettings(*process)
 	}
-	return errs.New(errs.NotFound, "move to another address: the site has no process %q", name)
+	return errs.New(errs.NotFound, "change the address of a process: the site has no process %q", name)
 }
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -24,14 +24,14 @@
 type Options struct {
 	Site           string  // name of the site, see Sites; empty: the command's default
 	Dir            string  // folder for settings, data and logs; empty: a new temporary folder
-	Programs       string  // folder of the executables; empty: that of this executable
+	Programs       string  // folder of the executables; empty: the folder of this executable
 	EarlierRelease string  // command upgrade: folder of the executables of an earlier release
-	Mode           string  // placement mode, see Modes; empty: that of the site's configuration
+	Mode           string  // placement mode, one of Modes; empty: the one in the site's configuration
 	Scenario       string  // command play: name of the scenario; empty: all scenarios
 	Seconds        int     // duration of the client traffic in seconds
 	AddressByte    int     // second byte of the site's loopback addresses
-	Seeds          int     // number of consecutive seeds to run, the first of which is Seed
-	Times          int     // factor by which the site is larger than regular size, 1 to 4
+	Seeds          int     // number of consecutive seeds to run with, of which Seed is the first
+	Times          int     // size of the site as a multiple of the regular size, 1 to 4
 	Seed           uint64  // seed of the random traffic and faults
 	Rate           float64 // client requests per second; 0: the site's default
 	Part           string  // command capacity: part to measure; empty: all parts
@@ -57,7 +57,7 @@
 		{"run", "start a site, send client traffic, check the responses and stop the site", runOnce},
 		{"compare", "run a site under each placement mode with several seeds and print a table of the results", runCompare},
 		{"scenarios", "list the fault scenarios", listScenarios},
-		{"mix", "run scenarios of random faults, which the seed determines: testbed mix --seed 7 --seeds 10", runMix},
+		{"mix", "run scenarios with random faults that the seed determines: testbed mix --seed 7 --seeds 10", runMix},
 		{"play", "run one fault scenario, or all: testbed play --scenario owner-killed", runPlay},
 		{"tally", "summarize the result lines of many runs, read from standard input, in a table", runTally},
 		{"upgrade", "upgrade a site of an earlier release to this one and downgrade it again: testbed upgrade --old /tmp/old-bin", runUpgrade},
@@ -102,7 +102,7 @@
 	}
 	arguments, err := settings.ParseStrict(parser, args)
 	if err == nil && len(arguments) > 1 {
-		err = errs.New(errs.BadInput, "got several commands %q: give one (see --help)", arguments)
+		err = errs.New(errs.BadInput, "got several commands %q on the command line: give one (see --help)", arguments)
 	}
 	if err == nil {
 		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "parse the command line flags")
@@ -130,8 +130,8 @@
 	sub.Int(&options.Seconds, "t", "seconds", "duration of the client traffic in seconds")
 	sub.Int(&options.AddressByte, "n", "net", "second byte of the site's loopback addresses")
 	sub.String(&options.Scenario, "c", "scenario", "with play: name of the scenario (default: all scenarios)")
-	sub.Int(&options.Times, "x", "times", "factor by which the site is larger than regular size, 1 to 4")
-	sub.Int(&options.Seeds, "k", "seeds", "with compare, play and mix: number of consecutive seeds to run")
+	sub.Int(&options.Times, "x", "times", "size of the site as a multiple of the regular size, 1 to 4")
+	sub.Int(&options.Seeds, "k", "seeds", "with compare, play and mix: number of consecutive seeds to run with, of which --seed is the first")
 	sub.UInt64(&options.Seed, "e", "seed", "seed of the random traffic and faults")
 	sub.Float64(&options.Rate, "r", "rate", "client requests per second (default: the site's rate)")
 	sub.String(&options.Part, "p", "part", "with capacity: part to measure, one of nodes, workers, plans, kept, placement, calls, follow, group and traffic (default: all); page: regenerate the capacity page")
--- a/internal/sim/testbed/operator.go
+++ b/internal/sim/testbed/operator.go
@@ -15,7 +15,7 @@
 // Limits of a request that scenarioRun.post sends to the operator addresses.
 const (
 	postAttempts = 40              // maximum number of attempts at a request
-	postTimeout  = 8 * time.Second // of one attempt
+	postTimeout  = 8 * time.Second // time limit of one attempt at a request
 )
 
 // randomBelow returns a random number from 0 to n-1; goroutines may call it concurrently.
--- a/internal/sim/testbed/operatorhistory.go
+++ b/internal/sim/testbed/operatorhistory.go
@@ -12,7 +12,8 @@
 )
 
 // Besides sending partial configurations, operators change the configuration when they set weights, revoke API keys, drain
-// workers, or plan calendar entries whose steps the lease holder executes later. The history records each of these as an
+// workers, or plan calendar entries, whose steps the control node that holds the lease
+// executes later. The history records each of these as an
 // unconditional change with unknown content. The linearizability check therefore reports a configuration version that no
 // recorded change accounts for, or a change that accounts for two versions.
 
@@ -63,7 +64,7 @@
 // plannedEntry is a calendar entry that a simulated operator has written, with an open attempt in the history for each
 // configuration change that its steps may make.
 type plannedEntry struct {
-	target string // in the form service/name
+	target string // names of the service and of the entry, in the form service/name
 	steps  []*history.Attempt
 }
 
--- a/internal/sim/testbed/report.go
+++ b/internal/sim/testbed/report.go
@@ -12,13 +12,13 @@
 	SealedAfterRecovery float64         `json:"sealed_share_after_healing"`
 	SealedDuring        float64         `json:"sealed_share_during"`
 	ExtraRuns           int             `json:"extra_runs"`
-	// Share of prompt tokens that were found in a worker's prompt cache, by when the request was sent: before the first step,
+	// HitShares are the shares of prompt tokens that were found in a worker's prompt cache, by when the request was sent: before the first step,
 	// from then until the recovery time after the last step was over, and later.
 	HitShares  [3]float64 `json:"hit_shares"`
 	RMax       float64    `json:"r_max"`      // of the placement at the end of the run: largest fraction of a request's tokens to fetch from other workers
 	Replicated int        `json:"replicated"` // number of prompt prefixes that the placement at the end of the run replicates
-	// Number of reads and changes of the configuration that were checked for linearizability, and number of attempts at a
-	// change whose outcome is unknown.
+	// Judged is the number of reads and changes of the configuration that were checked for linearizability; Unclear is the
+	// number of attempts at a change whose outcome is unknown.
 	Judged  int      `json:"operations_judged"`
 	Unclear int      `json:"unclear_attempts"`
 	Faults  []string `json:"faults"`
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -19,7 +19,7 @@
 
 const (
 	retirementPolls     = 400                    // maximum number of polls for a retirement to reach the awaited state or phase
-	retirementPollPause = 250 * time.Millisecond // between two polls of the retirements
+	retirementPollPause = 250 * time.Millisecond // pause between two polls of the retirements
 )
 
 // nextBuild returns the name of the replacement of a base model or adapter.
@@ -60,8 +60,9 @@
 	}
 }
 
-// executeRetirementStep executes a scenario step that plans and starts the retirement of the site's base model, sends a
-// command to it, or waits until it reaches a state or phase.
+// executeRetirementStep executes a scenario step that concerns the retirement of the site's base model, that is its
+// gradual replacement by another one: the step plans and starts it, sends it a command, or waits until it reaches a state
+// or phase.
 func (run *scenarioRun) executeRetirementStep(ctx context.Context, action, name, argument string) error {
 	switch action {
 	case "retire":
@@ -112,7 +113,7 @@
 		}
 		if json.Unmarshal([]byte(last), &list) == nil {
 			for _, retirement := range list.Retirements {
-				last = fmt.Sprintf("state %s, %s, reason: %s, blocked by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers)
+				last = fmt.Sprintf("retirement in state %s, %s, reason: %s, blocked by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers)
 				if retirement.Name == name && (string(retirement.State) == state || string(retirement.Phase) == state) {
 					return run.checkFleetAfterRetirement(ctx, retirement)
 				}
@@ -147,7 +148,7 @@
 	for _, worker := range maputil.SortedKeys(run.fleet.Site.Workers) {
 		state, err := backends.State(ctx, run.fleet.Site.Workers[worker])
 		if err != nil {
-			continue // the worker is down, and loads and unloads models after its restart
+			continue // the worker is down; it loads and unloads the models after its restart
 		}
 		hasAll := false
 		for _, loaded := range state.LoadedModels() {
--- a/internal/sim/testbed/retire_test.go
+++ b/internal/sim/testbed/retire_test.go
@@ -60,7 +60,8 @@
 }
 
 // retireByCommandLine retires a site's base model with commands of pebblectl only, and checks their exit codes. While the
-// retirement is in progress it calls block with the problem that the site's status must contain once a worker is lost.
+// retirement is in progress it calls block, which must make a worker fail, with the kind of problem that the status of the site
+// must then contain.
 func retireByCommandLine(t *testing.T, fleet *Fleet, node string, block func(problem string)) {
 	t.Helper()
 	model := fleet.Site.Traffic.Model
@@ -121,7 +122,7 @@
 			r.Fatalf("pebblectl retire status: got exit code %d, want at most %d; standard error: %s", code, exitProblems, stderr.String())
 		}
 		if err := json.Unmarshal(stdout.Bytes(), &list); err != nil || ctx.Err() != nil {
-			r.Fatalf("wait until the retirement is done: decoding error %v, context error %v; last status: %s", err, ctx.Err(), stdout.String())
+			r.Fatalf("wait until the retirement is done: got decoding error %v and time limit %v; last status: %s", err, ctx.Err(), stdout.String())
 		}
 	}
 }
--- a/internal/sim/testbed/runbook_test.go
+++ b/internal/sim/testbed/runbook_test.go
@@ -46,7 +46,7 @@
 		r.Fatalf("runbook %v: got exit code %d, want 0; standard error: %s\nrecord: %s", args, code, stderr.String(), raw)
 	}
 	if raw, err := os.ReadFile(record); err != nil || strings.Count(string(raw), `"state":"done"`) < 2 {
-		r.Fatalf("runbook %v: got record %s and error %v, want at least 2 entries with the state done", args, raw, err)
+		r.Fatalf("runbook %v: got record %s and read error %v, want at least 2 steps with the state done", args, raw, err)
 	}
 }
 
@@ -55,7 +55,7 @@
 	return func() {
 		for _, name := range names {
 			if err := do(name); err != nil {
-				r.Errorf("operation on process %s: %v", name, err)
+				r.Errorf("change the state of process %s: %v", name, err)
 			}
 		}
 	}
--- a/internal/sim/testbed/runbookstep.go
+++ b/internal/sim/testbed/runbookstep.go
@@ -16,9 +16,9 @@
 // operatorAnswers is the standard input of a runbook, from which it reads the operator's confirmations. It answers every
 // confirmation with yes, and before the first one executes the actions that the runbook asks the operator for.
 type operatorAnswers struct {
-	act   func() error // executes the operator's actions
-	acted bool         // act has been called
-	err   error        // result of act
+	act   func() error // function that executes the operator's actions
+	acted bool         // whether act has been called
+	err   error        // error that act returned
 }
 
 // Read implements io.Reader: each call returns one answer.
@@ -46,7 +46,7 @@
 }
 
 // executeRunbook runs the runbook named by step.Targets with the parameters in step.Argument through the command line. It
-// uses the last operator address, which no scenario partitions from the network. At the first confirmation it executes the
+// uses the last operator address, since no scenario cuts that off the network. At the first confirmation it executes the
 // actions in step.Confirm.
 func (run *scenarioRun) executeRunbook(ctx context.Context, step Step) error {
 	transport := &http.Transport{DialContext: run.fleet.env.Dial}
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -15,13 +15,13 @@
 	About             string   `json:"about"`
 	Site              string   `json:"site"`
 	Rate              float64  `json:"rate"`
-	StartDelayMs      int      `json:"cold_ms"` // if over 0, clients start that long after the first process, whether the site is ready or not
-	Burst             float64  `json:"burst"`   // additional requests per second until the last step has ended
+	StartDelayMs      int      `json:"cold_ms"` // if over 0, time from the start of the first process to that of the clients, whether the site is ready or not
+	Burst             float64  `json:"burst"`   // client requests per second, in addition to Rate, until the last step has ended
 	Links             bool     `json:"links"`   // connections between machines go through relays, so that steps can cut and slow links
 	WorkerOptions     []string `json:"cab"`     // options of every worker simulator
 	Steps             []Step   `json:"steps"`
 	RecoveryMs        int      `json:"heal_ms"`  // time within which service must recover after the last step; 0: Bounds.HealMs of the settings
-	AfterRecoveryMs   int      `json:"tail_ms"`  // how long clients go on sending after that; 0: a default
+	AfterRecoveryMs   int      `json:"tail_ms"`  // how long clients go on sending after the time to recover; 0: defaultAfterRecoveryMs
 	MinSealedShare    float64  `json:"least"`    // least share of all requests that must get a complete response
 	AllowedRejections []string `json:"kinds"`    // kinds of rejections that may occur; empty: any with a known kind
 	ReadAll           bool     `json:"read_all"` // check at the end that every operator address returns the same configuration
@@ -31,7 +31,7 @@
 // Step is one action of a scenario.
 type Step struct {
 	At       int    `json:"at_ms"` // time in milliseconds after the start of the steps
-	Action   string `json:"do"`    // name of the action; scenarioRun.execute lists all
+	Action   string `json:"do"`    // name of the action, one of those in scenarioRun.execute and executeOn
 	Targets  string `json:"who"`   // names or patterns of processes, separated by spaces; "pattern:2" draws two matches at random; see also leaderTarget
 	Argument string `json:"to"`    // depends on the action: the machines at the other end of a link, or a value
 	// The step runs in the background: later steps do not wait for its end, and an error of kind errs.OutcomeUnknown is
--- a/internal/sim/testbed/scenariorun.go
+++ b/internal/sim/testbed/scenariorun.go
@@ -23,18 +23,19 @@
 	random   *rand.Rand
 	mu       sync.Mutex // protects the fields that concurrent steps and readers change
 	report   *Report
-	resolved map[string][]string // processes by the target that resolved to them
+	resolved map[string][]string // by step target: names of the processes that it matched when it was first used
 	history  *history.History    // recorded reads and changes of the configuration
 	// Calendar entries that simulated operators have written.
 	plannedEntries []plannedEntry
 	background     sync.WaitGroup // goroutines that run until the end of the scenario
 	startedMs      int64          // start of the steps, as Unix time in milliseconds of the machine that runs the testbed
-	// Unix times in milliseconds at which changes were acknowledged, by API key, version of the weights, and worker.
+	// Unix times in milliseconds at which operators' changes were acknowledged: the revocation of an API key, by key; new
+	// weights, by version; and the draining of a worker, by its name.
 	keyRevokedMs           map[string]int64
 	weightsSetMs           map[uint64]int64
 	drainedMs              map[string]int64
 	acknowledgedVersion    int64  // highest configuration version that was acknowledged to an operator
-	configBeforeRetirement string // response to GET /v1/setup just before the retirement was planned
+	configBeforeRetirement string // response with the configuration just before the retirement of the base model was planned
 }
 
 // Play runs a scenario on a site of processes on this machine and returns the report.
@@ -58,9 +59,9 @@
 }
 
 const (
-	defaultRate            = 25   // client requests per second if the scenario does not give a rate
-	defaultAfterRecoveryMs = 4000 // how long clients go on sending after the time to recover
-	maxReportedViolations  = 50   // further violations of a run are dropped
+	defaultRate            = 25   // client requests per second in a scenario without a rate
+	defaultAfterRecoveryMs = 4000 // how long clients go on sending after the time to recover, in a scenario that does not say
+	maxReportedViolations  = 50   // number of violations in a report; further ones are dropped
 )
 
 // PlayOn runs a scenario in the Environment that newEnvironment returns for its site, and returns the report.
@@ -194,7 +195,7 @@
 	result := "done"
 	if err := run.execute(ctx, step); err != nil {
 		if result = err.Error(); !step.Background || errs.KindOf(err) != errs.OutcomeUnknown {
-			run.addViolation("step %s with targets %q failed: %v", step.Action, step.Targets, err)
+			run.addViolation("scenario step %s with targets %q failed: %v", step.Action, step.Targets, err)
 		}
 	}
 	names := step.Targets
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -16,13 +16,14 @@
 
 // Process describes a process of a site.
 type Process struct {
-	Name     string // unique within the site
+	Name     string // name of the process, unique within the site
 	Program  string // name of the executable, one of the constants of package programs
-	Bin      string // folder of the executable; empty: that of the environment
+	Bin      string // folder of the executable; empty: the environment's folder of executables
 	Settings settings.Process
 }
 
-// Site describes a site: its processes, its first configuration and the traffic of its clients.
+// Site describes a site, which is a complete deployment in one place: its processes, its first configuration and the traffic
+// of its clients.
 type Site struct {
 	Name       string
 	Processes  []Process
--- a/internal/sim/testbed/steps.go
+++ b/internal/sim/testbed/steps.go
@@ -125,7 +125,7 @@
 	case "disk", "wall":
 		return run.onProcess(name, func(process Process) error { return run.fleet.env.SetFault(process, step.Action, step.Argument) })
 	}
-	return errs.New(errs.BadInput, "unknown action %q in a step of the scenario", step.Action)
+	return errs.New(errs.BadInput, "scenario step with the unknown action %q", step.Action)
 }
 
 // warnWorker makes the platform simulator announce that it will terminate a worker, upon which the site drains the worker.
--- a/internal/sim/testbed/testbed_test.go
+++ b/internal/sim/testbed/testbed_test.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// buildPrograms builds all executables into a temporary folder, once, and returns the folder.
+// buildPrograms builds all executables into a temporary folder at its first call, and returns the folder.
 var buildPrograms = sync.OnceValues(func() (string, error) {
 	bin, err := os.MkdirTemp("", "pebbleloom-bin-")
 	if err != nil {
@@ -154,7 +154,7 @@
 		"a worker executes an order with a lower token after a higher one":   {map[string][]workersim.Run{"w1": {order(1, 2, "b"), order(1, 1, "a")}}, 1},
 	} {
 		if got := checkFencing(test.orders); len(got) != test.violations {
-			t.Errorf("case %q: got violations %v, want %d", name, got, test.violations)
+			t.Errorf("checkFencing, case %q: got violations %v, want %d of them", name, got, test.violations)
 		}
 	}
 }
--- a/internal/sim/testbed/usage.go
+++ b/internal/sim/testbed/usage.go
@@ -12,7 +12,7 @@
 // RunResult is the result of a run of a site under client traffic, without injected faults.
 type RunResult struct {
 	loadgen.Summary
-	Usage map[string]ResourceUsage `json:"usage"` // by program
+	Usage map[string]ResourceUsage `json:"usage"` // resource use by name of the program
 }
 
 // ResourceUsage is the resource use of the processes of one program. PeakMB and CPUShare are the maximum over the processes.
@@ -22,8 +22,7 @@
 	CPUShare  float64 `json:"cpu_percent"` // average since the start of the process, in percent of one core
 }
 
-// Usage returns the resource use of the running processes, by program. It is empty unless the processes run on this
-// machine's operating system.
+// Usage returns the resource use of the running processes, by program. It is empty if the environment isn't this machine.
 //
 // Example: for program, usage := range fleet.Usage() { fmt.Println(program, usage.PeakMB) }
 func (f *Fleet) Usage() map[string]ResourceUsage {
