--- a/internal/sim/testbed/calendar.go
+++ b/internal/sim/testbed/calendar.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/errs"
 )
 
-// executeCalendarStep executes a scenario step that concerns the calendar, in which operators schedule changes of services,
+// executeCalendarStep executes a scenario step that concerns the calendar, in which operators schedule changes to services,
 // or that retires a base model, changes the platform's worker list, or patches the configuration.
 func (run *scenarioRun) executeCalendarStep(ctx context.Context, step Step) error {
 	argument := strings.ReplaceAll(step.Argument, "{model}", run.fleet.Site.Traffic.Model)
--- a/internal/sim/testbed/environment.go
+++ b/internal/sim/testbed/environment.go
@@ -30,7 +30,8 @@
 	// SetFault injects a fault into a process. With what "disk" value is full, sync, or "stall MS" to delay writes by
 	// MS milliseconds; with what "wall" it is an offset of the wall clock in milliseconds. An empty value ends the fault.
 	SetFault(process Process, what, value string) error
-	// Journal reads a worker simulator's journal: the requests that it ran and the orders of lease holders that it executed.
+	// Journal reads a worker simulator's journal: the requests that it ran and the orders of
+	// placement controllers that it executed.
 	Journal(process Process) ([]workersim.Run, error)
 	// SetLink sets the rule of the network link from one machine to another; "*" is any machine.
 	SetLink(from, to string, r LinkRule) error
--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -162,7 +162,7 @@
 	return f.readJournals(func(r workersim.Run) bool { return r.FencingToken == 0 })
 }
 
-// Orders reads the orders of lease holders that the workers executed from their journals. The result is keyed by
+// Orders reads the orders that the workers executed, such as to load or unload a model, from their journals. The result is keyed by
 // worker name.
 //
 // Example: orders, err := fleet.Orders()
--- a/internal/sim/testbed/layout.go
+++ b/internal/sim/testbed/layout.go
@@ -46,17 +46,17 @@
 // Names and name prefixes of process instances. They derive from former names of the programs and can't change, since
 // scenarios, runbooks and logs of running sites contain them.
 const (
-	controlNodePrefix = "archive-"    // control node; the name of its core machine follows
-	placementPrefix   = "appraiser-"  // placement controller; the name of its core machine follows
-	agentPrefix       = "runner-"     // node agent; the name of its edge machine follows
-	indexPrefix       = "catalogue-"  // prompt index; the name of its edge machine follows
-	proxyPrefix       = "dispatcher-" // proxy; the name of its edge machine follows
-	workerPrefix      = "cab-"        // worker; a number from 1 follows
-	edgePrefix        = "edge-"       // edge machine; a number from 1 follows
-	corePrefix        = "core-"       // core machine; a number from 1 follows
-	storeName         = "depot-1"     // prompt store simulator
-	appName           = "app-1"       // application service simulator
-	platformName      = "rank-1"      // platform simulator
+	controlNodePrefix = "archive-"    // name prefix of a control node; the name of its core machine follows
+	placementPrefix   = "appraiser-"  // name prefix of a placement controller; the name of its core machine follows
+	agentPrefix       = "runner-"     // name prefix of a node agent; the name of its edge machine follows
+	indexPrefix       = "catalogue-"  // name prefix of a prompt index; the name of its edge machine follows
+	proxyPrefix       = "dispatcher-" // name prefix of a proxy; the name of its edge machine follows
+	workerPrefix      = "cab-"        // name prefix of a worker; a number from 1 follows
+	edgePrefix        = "edge-"       // name prefix of an edge machine; a number from 1 follows
+	corePrefix        = "core-"       // name prefix of a core machine; a number from 1 follows
+	storeName         = "depot-1"     // name of the prompt store simulator
+	appName           = "app-1"       // name of the application service simulator
+	platformName      = "rank-1"      // name of the platform simulator
 )
 
 // layout builds a Site: it assigns names, addresses and settings to the processes.
--- a/internal/sim/testbed/operatorhistory.go
+++ b/internal/sim/testbed/operatorhistory.go
@@ -12,8 +12,8 @@
 )
 
 // Besides sending partial configurations, operators change the configuration when they set weights, revoke API keys, drain
-// workers, or plan calendar entries, whose steps the control node that holds the lease
-// executes later. The history records each of these as an
+// workers, or plan calendar entries, whose steps the placement controller that holds the
+// lease of the service executes later. The history records each of these as an
 // unconditional change with unknown content. The linearizability check therefore reports a configuration version that no
 // recorded change accounts for, or a change that accounts for two versions.
 
--- a/internal/sim/testbed/report.go
+++ b/internal/sim/testbed/report.go
@@ -7,19 +7,17 @@
 	Scenario            string          `json:"scenario"`
 	Site                string          `json:"site"`
 	Seed                uint64          `json:"seed"`
-	Sum                 loadgen.Summary `json:"sum"`
-	Steps               []string        `json:"steps"`
-	SealedAfterRecovery float64         `json:"sealed_share_after_healing"`
-	SealedDuring        float64         `json:"sealed_share_during"`
-	ExtraRuns           int             `json:"extra_runs"`
-	// HitShares are the shares of prompt tokens that were found in a worker's prompt cache, by when the request was sent: before the first step,
+	Sum                 loadgen.Summary `json:"sum"`                        // outcomes of the client requests
+	Steps               []string        `json:"steps"`                      // steps that were executed, with their times and results
+	SealedAfterRecovery float64         `json:"sealed_share_after_healing"` // share of complete responses to requests sent after the time to recover
+	SealedDuring        float64         `json:"sealed_share_during"`        // share of complete responses to requests sent before that
+	ExtraRuns           int             `json:"extra_runs"`                 // runs on workers beyond the first one of each request
+	// Shares of prompt tokens that were found in a worker's prompt cache, by when the request was sent: before the first step,
 	// from then until the recovery time after the last step was over, and later.
 	HitShares  [3]float64 `json:"hit_shares"`
-	RMax       float64    `json:"r_max"`      // of the placement at the end of the run: largest fraction of a request's tokens to fetch from other workers
-	Replicated int        `json:"replicated"` // number of prompt prefixes that the placement at the end of the run replicates
-	// Judged is the number of reads and changes of the configuration that were checked for linearizability; Unclear is the
-	// number of attempts at a change whose outcome is unknown.
-	Judged  int      `json:"operations_judged"`
-	Unclear int      `json:"unclear_attempts"`
-	Faults  []string `json:"faults"`
+	RMax       float64    `json:"r_max"`             // of the placement at the end of the run: largest fraction of a request's tokens to fetch from other workers
+	Replicated int        `json:"replicated"`        // number of prompt prefixes that the placement at the end of the run replicates
+	Judged     int        `json:"operations_judged"` // number of reads and changes of the configuration that were checked for linearizability
+	Unclear    int        `json:"unclear_attempts"`  // number of attempts at a change of the configuration whose outcome is unknown
+	Faults     []string   `json:"faults"`            // violations of the invariants that the checks found
 }
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -37,8 +37,8 @@
 	// The step runs in the background: later steps do not wait for its end, and an error of kind errs.OutcomeUnknown is
 	// no violation.
 	Background bool   `json:"aside"`
-	Confirm    []Step `json:"confirm"` // of a runbook step: actions that the runbook asks the operator for; At is ignored in them
-	Entry      string `json:"entry"`   // of a runbook step: calendar entry in JSON, written to the file whose path replaces {file} in the parameters
+	Confirm    []Step `json:"confirm"` // for the action runbook: actions that the runbook asks the operator for; At is ignored in them
+	Entry      string `json:"entry"`   // for the action runbook: calendar entry in JSON, written to the file whose path replaces {file} in the parameters
 }
 
 //go:embed scenarios/*.json
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -23,7 +23,8 @@
 }
 
 // Site describes a site, which is a complete deployment in one place: its processes, its first configuration and the traffic
-// of its clients.
+// of its clients. Core machines run a control node and a placement controller; edge machines run a node agent, a prompt index
+// and a proxy.
 type Site struct {
 	Name       string
 	Processes  []Process
