--- a/internal/sim/testbed/calendar.go
+++ b/internal/sim/testbed/calendar.go
@@ -13,8 +13,8 @@
 	"pebbleloom/internal/errs"
 )
 
-// executeCalendarStep executes a scenario step that concerns the calendar, in which operators schedule changes to services,
-// or that retires a base model, changes the platform's worker list, or patches the configuration.
+// executeCalendarStep executes a scenario step that concerns the calendar, in which operators schedule changes to
+// services, or that retires a base model, changes the platform's worker list, or patches the configuration.
 func (run *scenarioRun) executeCalendarStep(ctx context.Context, step Step) error {
 	argument := strings.ReplaceAll(step.Argument, "{model}", run.fleet.Site.Traffic.Model)
 	target := strings.ReplaceAll(step.Targets, "{model}", run.fleet.Site.Traffic.Model)
--- a/internal/sim/testbed/capacity.go
+++ b/internal/sim/testbed/capacity.go
@@ -9,8 +9,8 @@
 )
 
 // measureCapacity measures the resource use of each role at several fleet sizes and merges the series into the file
-// options.Out, which keeps its other series. If options.Out is empty, it prints the series. If options.Part is "page" it measures nothing
-// and regenerates the capacity page in the folder options.Out.
+// options.Out, which keeps its other series. If options.Out is empty, it prints the series. If options.Part is "page"
+// it measures nothing and regenerates the capacity page in the folder options.Out.
 func measureCapacity(options Options, out, errOut io.Writer) error {
 	if options.Part == "page" {
 		return capacity.WritePage(options.Out)
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -70,8 +70,8 @@
 func (c *hitCounter) share() float64 { return float64(c.hit) / float64(max(1, c.total)) }
 
 // checkRecoveryAndRejections checks that enough requests get a sealed response, one whose final record has a valid
-// checksum, over the whole run and after the first recoveryMs milliseconds since the last step, and that only rejections of the kinds
-// that the scenario allows occur.
+// checksum, over the whole run and after the first recoveryMs milliseconds since the last step, and that only
+// rejections of the kinds that the scenario allows occur.
 func (run *scenarioRun) checkRecoveryAndRejections(log *loadgen.OutcomeLog, lastStepEndMs, recoveryMs int64) {
 	afterTotal, afterSealed, duringTotal, duringSealed := 0, 0, 0, 0
 	var before, during, after hitCounter
@@ -218,8 +218,8 @@
 }
 
 // worstWindow returns the counts of the time window, of span milliseconds and at any start, in which the extra runs
-// exceed the share of the requests by the most. Requests up to a tenth of the
-// window before its start count too, because a retry may start that much later than the request that added to the budget.
+// exceed the share of the requests by the most. Requests up to a tenth of the window before its start count too,
+// because a retry may start that much later than the request that added to the budget.
 func worstWindow(extra, first []int64, span int64, share float64) (extraRuns, firstRuns int) {
 	slices.Sort(extra)
 	slices.Sort(first)
--- a/internal/sim/testbed/confighistory.go
+++ b/internal/sim/testbed/confighistory.go
@@ -29,8 +29,8 @@
 // unrecordedActions are the scenario actions that change the configuration by calls that aren't recorded in the history.
 var unrecordedActions = []string{"retire", "retire-ask", "retired", "release", "swap"}
 
-// hasCompleteHistory reports whether all configuration changes of the scenario are recorded in the history, so that it can
-// be checked for linearizability.
+// hasCompleteHistory reports whether all configuration changes of the scenario are recorded in the history, so that it
+// can be checked for linearizability.
 func (scenario Scenario) hasCompleteHistory() bool {
 	return !slices.ContainsFunc(scenario.Steps, func(step Step) bool { return slices.Contains(unrecordedActions, step.Action) || isUndo(step) })
 }
@@ -186,8 +186,8 @@
 	}
 }
 
-// checkHistory checks the recorded reads and changes of the configuration for linearizability, and adds each violation to
-// the report.
+// checkHistory checks the recorded reads and changes of the configuration for linearizability, and adds each violation
+// to the report.
 func (run *scenarioRun) checkHistory(ctx context.Context) {
 	if !run.scenario.hasCompleteHistory() {
 		return
--- a/internal/sim/testbed/environment.go
+++ b/internal/sim/testbed/environment.go
@@ -28,7 +28,8 @@
 	// WipeDisk removes the data that a process has stored.
 	WipeDisk(process Process) error
 	// SetFault injects a fault into a process. With what "disk" value is full, sync, or "stall MS" to delay writes by
-	// MS milliseconds; with what "wall" it is an offset of the wall clock in milliseconds. An empty value ends the fault.
+	// MS milliseconds; with what "wall" it is an offset of the wall clock in milliseconds. An empty value ends the
+	// fault.
 	SetFault(process Process, what, value string) error
 	// Journal reads a worker simulator's journal: the requests that it ran and the orders of
 	// placement controllers that it executed.
--- a/internal/sim/testbed/faultkinds.go
+++ b/internal/sim/testbed/faultkinds.go
@@ -11,8 +11,8 @@
 	draw func(gen *faultGenerator, fault *Fault) // adds the steps of a random fault of this kind; none if it can't be injected
 }
 
-// faultKinds are the kinds of faults. DrawFaults selects them by index, so that a change of their order changes the faults
-// that a seed yields.
+// faultKinds are the kinds of faults. DrawFaults selects them by index, so that a change of their order changes the
+// faults that a seed yields.
 var faultKinds = []faultKind{
 	{"workers-killed", onWorkers("kill", "start", 4)},
 	{"workers-vanish", onWorkers("off", "mend", 2)},
@@ -72,8 +72,8 @@
 	}
 }
 
-// onEdges returns a function that draws a fault of count edge machines that have no other fault, or of fewer if fewer are
-// left. processes is the pattern of the affected processes of a machine.
+// onEdges returns a function that draws a fault of count edge machines that have no other fault, or of fewer if fewer
+// are left. processes is the pattern of the affected processes of a machine.
 func onEdges(action, undo, processes string, count int) func(*faultGenerator, *Fault) {
 	return func(gen *faultGenerator, fault *Fault) {
 		if names := gen.takeHealthy(edgePrefix, edgeMachines, count); len(names) > 0 {
@@ -106,8 +106,8 @@
 	return func(_ *faultGenerator, fault *Fault) { fault.WorkerOptions = []string{option} }
 }
 
-// drawAsymmetricPartition draws an asymmetric network partition: the links from one edge machine to the core machines are
-// cut, those in the reverse direction work.
+// drawAsymmetricPartition draws an asymmetric network partition: the links from one edge machine to the core machines
+// are cut, those in the reverse direction work.
 func drawAsymmetricPartition(gen *faultGenerator, fault *Fault) {
 	const core = "core-1 core-2 core-3 core-4"
 	if names := gen.takeHealthy(edgePrefix, edgeMachines, 1); len(names) > 0 {
@@ -116,8 +116,8 @@
 	}
 }
 
-// drawDiskLost draws a crash of a core machine, while operators change the configuration, after which the machine restarts
-// with an empty disk, in half of the cases at another address.
+// drawDiskLost draws a crash of a core machine, while operators change the configuration, after which the machine
+// restarts with an empty disk, in half of the cases at another address.
 func drawDiskLost(gen *faultGenerator, fault *Fault) {
 	machine, ok := gen.takeCoreMachine()
 	if !ok {
--- a/internal/sim/testbed/faults.go
+++ b/internal/sim/testbed/faults.go
@@ -63,8 +63,9 @@
 	allControlNodes = controlNodePrefix + "*"
 )
 
-// takeCoreMachine draws a core machine and delays the start of the fault until coreFaultGapMs after the end of the previous
-// fault of a core machine. It returns false if that is later than latestFaultMs, or if a power loss of all core machines was drawn.
+// takeCoreMachine draws a core machine and delays the start of the fault until coreFaultGapMs after the end of the
+// previous fault of a core machine. It returns false if that is later than latestFaultMs, or if a power loss of all
+// core machines was drawn.
 func (gen *faultGenerator) takeCoreMachine() ([]string, bool) {
 	if gen.nextCoreFaultMs > latestFaultMs || gen.drawn["power"] {
 		return nil, false
@@ -79,8 +80,8 @@
 	return []Step{{At: gen.startMs, Action: action, Targets: targets}, {At: gen.endMs, Action: undo, Targets: targets}}
 }
 
-// draw draws a fault of a kind. The fault has neither steps nor options if the site would not tolerate it beside the faults
-// drawn before.
+// draw draws a fault of a kind. The fault has neither steps nor options if the site would not tolerate it beside the
+// faults drawn before.
 func (gen *faultGenerator) draw(kind faultKind) Fault {
 	fault := Fault{Name: kind.name}
 	kind.draw(gen, &fault)
--- a/internal/sim/testbed/fencing.go
+++ b/internal/sim/testbed/fencing.go
@@ -16,8 +16,8 @@
 // checkFencing returns the violations of mutual exclusion that the orders in the journals of the workers show. An order
 // carries the fencing token of the service's lease, which one placement controller holds at a time. Violations are two
 // holders that sent orders with the same fencing token, or a worker that executed an order with a lower token after one
-// with a higher token of the same lease. The order of tokens is checked for each worker alone, because a delayed order may
-// legitimately reach a frozen worker after another worker has received an order of the next holder.
+// with a higher token of the same lease. The order of tokens is checked for each worker alone, because a delayed order
+// may legitimately reach a frozen worker after another worker has received an order of the next holder.
 func checkFencing(orders map[string][]workersim.Run) (violations []string) {
 	holders := map[leaseToken]string{}
 	for _, worker := range maputil.SortedKeys(orders) {
--- a/internal/sim/testbed/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -24,8 +24,8 @@
 	fitStepTokens = 200
 )
 
-// Fit starts one worker simulator, measures its prefill time for uncached prompts of many lengths, and fits the curve from
-// which the placement controller estimates prefill times.
+// Fit starts one worker simulator, measures its prefill time for uncached prompts of many lengths, and fits the curve
+// from which the placement controller estimates prefill times.
 //
 // Example: curve, err := testbed.Fit(ctx, testbed.Options{Site: "paramo", Dir: dir, Programs: "bin", AddressByte: 10})
 func Fit(ctx context.Context, options Options) (placement.Curve, error) {
--- a/internal/sim/testbed/fleet.go
+++ b/internal/sim/testbed/fleet.go
@@ -39,8 +39,9 @@
 	return startSite(ctx, site, dir, newLocalEnvironment(dir, programs), 0)
 }
 
-// startSite starts a site, applies its first configuration and waits until all processes are ready. If startDelay is over
-// 0, it waits instead until that time has passed since the first process was started, whether the site is ready or not.
+// startSite starts a site, applies its first configuration and waits until all processes are ready. If startDelay is
+// over 0, it waits instead until that time has passed since the first process was started, whether the site is ready or
+// not.
 func startSite(ctx context.Context, site *Site, dir string, env Environment, startDelay time.Duration) (*Fleet, error) {
 	startedAt := time.Now()
 	fleet := newFleet(site, dir, env)
@@ -162,8 +163,8 @@
 	return f.readJournals(func(r workersim.Run) bool { return r.FencingToken == 0 })
 }
 
-// Orders reads the orders that the workers executed, such as to load or unload a model, from their journals. The result is keyed by
-// worker name.
+// Orders reads the orders that the workers executed, such as to load or unload a model, from their journals. The result
+// is keyed by worker name.
 //
 // Example: orders, err := fleet.Orders()
 func (f *Fleet) Orders() (map[string][]workersim.Run, error) {
--- a/internal/sim/testbed/layout.go
+++ b/internal/sim/testbed/layout.go
@@ -141,8 +141,8 @@
 // mainService returns the name of the service that serves a model in the first configuration.
 func mainService(model string) string { return model + "-main" }
 
-// addTenants adds the site's tenants. The first heavyTenants send more traffic, and the last one is isolated: it shares no
-// cached prompts with other tenants.
+// addTenants adds the site's tenants. The first heavyTenants send more traffic, and the last one is isolated: it shares
+// no cached prompts with other tenants.
 func (l *layout) addTenants() {
 	for i := range tenants {
 		tenant := loadgen.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), Key: fmt.Sprintf("key-of-%s-tenant-%d", l.site.Name, i+1), Weight: 1, Isolated: i == tenants-1}
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -177,8 +177,8 @@
 	src.Close()
 }
 
-// awaitLink waits until the link's rule lets a block of the given number of bytes pass. It returns false if Close is called
-// first.
+// awaitLink waits until the link's rule lets a block of the given number of bytes pass. It returns false if Close is
+// called first.
 func (l *Links) awaitLink(from, to string, bytes int) bool {
 	for {
 		rule, wake := l.RuleBetween(from, to)
--- a/internal/sim/testbed/operator.go
+++ b/internal/sim/testbed/operator.go
@@ -145,9 +145,9 @@
 	return run.mustChange(ctx, configurationChange{token: "grow", patch: map[string]any{"models": models, "services": services, "ways": routes}})
 }
 
-// executeConcurrentChanges sends changes of the configuration concurrently, as several operators would. In the step "race"
-// all changes are conditional on the same version, so that at most one of them may be acknowledged; in "storm" they are
-// unconditional.
+// executeConcurrentChanges sends changes of the configuration concurrently, as several operators would. In the step
+// "race" all changes are conditional on the same version, so that at most one of them may be acknowledged; in "storm"
+// they are unconditional.
 func (run *scenarioRun) executeConcurrentChanges(ctx context.Context, step Step) error {
 	var changes int
 	if _, err := fmt.Sscan(step.Argument, &changes); err != nil {
--- a/internal/sim/testbed/operatorhistory.go
+++ b/internal/sim/testbed/operatorhistory.go
@@ -11,11 +11,11 @@
 	"pebbleloom/internal/sim/history"
 )
 
-// Besides sending partial configurations, operators change the configuration when they set weights, revoke API keys, drain
-// workers, or plan calendar entries, whose steps the placement controller that holds the
-// lease of the service executes later. The history records each of these as an
-// unconditional change with unknown content. The linearizability check therefore reports a configuration version that no
-// recorded change accounts for, or a change that accounts for two versions.
+// Besides sending partial configurations, operators change the configuration when they set weights, revoke API keys,
+// drain workers, or plan calendar entries, whose steps the placement controller that holds the lease of the service
+// executes later. The history records each of these as an unconditional change with unknown content. The
+// linearizability check therefore reports a configuration version that no recorded change accounts for, or a change
+// that accounts for two versions.
 
 // maxCalendarSteps is the maximum number of configuration changes that the steps of one calendar entry make.
 const maxCalendarSteps = 64
@@ -39,8 +39,8 @@
 	return history.Unknown
 }
 
-// anyVersionChange returns a history record of an unconditional change of the configuration. Attempts with the same token
-// count as one change; if the token is empty, each attempt counts as a separate change.
+// anyVersionChange returns a history record of an unconditional change of the configuration. Attempts with the same
+// token count as one change; if the token is empty, each attempt counts as a separate change.
 func anyVersionChange(token string) *history.Change {
 	return &history.Change{Key: configurationKey, Token: token, AnyVersion: true}
 }
--- a/internal/sim/testbed/report.go
+++ b/internal/sim/testbed/report.go
@@ -12,8 +12,8 @@
 	SealedAfterRecovery float64         `json:"sealed_share_after_healing"` // share of complete responses to requests sent after the time to recover
 	SealedDuring        float64         `json:"sealed_share_during"`        // share of complete responses to requests sent before that
 	ExtraRuns           int             `json:"extra_runs"`                 // runs on workers beyond the first one of each request
-	// Shares of prompt tokens that were found in a worker's prompt cache, by when the request was sent: before the first step,
-	// from then until the recovery time after the last step was over, and later.
+	// Shares of prompt tokens that were found in a worker's prompt cache, by when the request was sent: before the
+	// first step, from then until the recovery time after the last step was over, and later.
 	HitShares  [3]float64 `json:"hit_shares"`
 	RMax       float64    `json:"r_max"`             // of the placement at the end of the run: largest fraction of a request's tokens to fetch from other workers
 	Replicated int        `json:"replicated"`        // number of prompt prefixes that the placement at the end of the run replicates
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -26,8 +26,8 @@
 func nextBuild(name string) string { return name + "-2" }
 
 // addAdapters adds adapters of the model for the site's first two kinds of requests, and a second base model with
-// replacements of these adapters. The workers have enough memory for both base models and all adapters. It does nothing if
-// enabled is false.
+// replacements of these adapters. The workers have enough memory for both base models and all adapters. It does nothing
+// if enabled is false.
 func (s *Site) addAdapters(enabled bool) {
 	if !enabled {
 		return
@@ -61,8 +61,8 @@
 }
 
 // executeRetirementStep executes a scenario step that concerns the retirement of the site's base model, that is its
-// gradual replacement by another one: the step plans and starts it, sends it a command, or waits until it reaches a state
-// or phase.
+// gradual replacement by another one: the step plans and starts it, sends it a command, or waits until it reaches a
+// state or phase.
 func (run *scenarioRun) executeRetirementStep(ctx context.Context, action, name, argument string) error {
 	switch action {
 	case "retire":
@@ -126,9 +126,9 @@
 	}
 }
 
-// checkFleetAfterRetirement checks the workers that respond after a retirement has ended. If it is done, each must have the
-// new base model with its adapters loaded, and not the old one. If it was aborted, each must have the old one and not the
-// new one, and the configuration must be as it was before the retirement.
+// checkFleetAfterRetirement checks the workers that respond after a retirement has ended. If it is done, each must have
+// the new base model with its adapters loaded, and not the old one. If it was aborted, each must have the old one and
+// not the new one, and the configuration must be as it was before the retirement.
 func (run *scenarioRun) checkFleetAfterRetirement(ctx context.Context, retirement *retire.Retirement) error {
 	if retirement.Active() {
 		return nil
@@ -179,8 +179,8 @@
 	return string(response.Configuration)
 }
 
-// checkOldBaseUnloadedLast checks that no worker was ordered to unload the old base model before every worker had executed
-// requests with the new base model alone and with each of its adapters. It returns the violations.
+// checkOldBaseUnloadedLast checks that no worker was ordered to unload the old base model before every worker had
+// executed requests with the new base model alone and with each of its adapters. It returns the violations.
 func (run *scenarioRun) checkOldBaseUnloadedLast(journals, orders map[string][]workersim.Run) (violations []string) {
 	if !run.scenario.Retire {
 		return nil
--- a/internal/sim/testbed/retire_test.go
+++ b/internal/sim/testbed/retire_test.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// retireByCommandLine retires a site's base model with commands of pebblectl only, and checks their exit codes. While the
-// retirement is in progress it calls block, which must make a worker fail, with the kind of problem that the status of the site
-// must then contain.
+// retireByCommandLine retires a site's base model with commands of pebblectl only, and checks their exit codes. While
+// the retirement is in progress it calls block, which must make a worker fail, with the kind of problem that the status
+// of the site must then contain.
 func retireByCommandLine(t *testing.T, fleet *Fleet, node string, block func(problem string)) {
 	t.Helper()
 	model := fleet.Site.Traffic.Model
@@ -78,8 +78,8 @@
 	r.do(exitNotFound, "retire", "status", "--name", "summer")
 }
 
-// plan plans the retirement. Before that, it tries a plan without replacements, which must be rejected, and a dry run, which
-// must not create the retirement.
+// plan plans the retirement. Before that, it tries a plan without replacements, which must be rejected, and a dry run,
+// which must not create the retirement.
 func (r *retireTest) plan(site *Site) {
 	r.Helper()
 	r.write()
--- a/internal/sim/testbed/runbook_test.go
+++ b/internal/sim/testbed/runbook_test.go
@@ -14,8 +14,8 @@
 	"pebbleloom/internal/cli"
 )
 
-// confirmation is the standard input of a runbook. Before the first confirmation it calls do, which does what the runbook
-// asks the operator for; it answers every confirmation with yes.
+// confirmation is the standard input of a runbook. Before the first confirmation it calls do, which does what the
+// runbook asks the operator for; it answers every confirmation with yes.
 type confirmation struct{ do func() }
 
 func (c *confirmation) Read(p []byte) (int, error) {
@@ -34,8 +34,8 @@
 	node  string // operator address that pebblectl connects to
 }
 
-// run runs a runbook with pebblectl; args are its name and parameters. It calls do, if not nil, when the runbook first asks
-// for confirmation. The runbook must succeed and record at least two steps as done.
+// run runs a runbook with pebblectl; args are its name and parameters. It calls do, if not nil, when the runbook first
+// asks for confirmation. The runbook must succeed and record at least two steps as done.
 func (r *runbookTest) run(do func(), args ...string) {
 	r.Helper()
 	var stdout, stderr bytes.Buffer
@@ -86,7 +86,7 @@
 func (r *runbookTest) wipeDisk(name string) {
 	r.Helper()
 	if err := os.RemoveAll(r.fleet.settingsOf(name).Data); err != nil {
-		r.Fatal(err)
+		r.Fatalf("remove the data of process %s: %v", name, err)
 	}
 }
 
@@ -95,7 +95,7 @@
 	r.Helper()
 	file := filepath.Join(r.dir, name)
 	if err := os.WriteFile(file, []byte(content), 0o644); err != nil {
-		r.Fatal(err)
+		r.Fatalf("write the partial configuration to %s: %v", file, err)
 	}
 	return "file=" + file
 }
@@ -105,18 +105,18 @@
 	return strings.Fields(expandNames(pattern, machines))
 }
 
-// Injects real faults into a site and runs the runbook for each. Every runbook must succeed, and in the end the status of the
-// site must show no problem.
+// Injects real faults into a site and runs the runbook for each. Every runbook must succeed, and in the end the status
+// of the site must show no problem.
 func TestRunbooksOnASite(t *testing.T) {
 	dir := t.TempDir()
 	site, err := NewSite("daegu", dir, 34, nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("lay out site daegu: %v", err)
 	}
 	site.addAdapters(true)
 	fleet, err := Up(context.Background(), site, dir, builtPrograms(t))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("start site daegu: %v", err)
 	}
 	defer fleet.Stop()
 	r := &runbookTest{T: t, fleet: fleet, dir: dir, node: site.Operators[4]}
@@ -144,8 +144,8 @@
 	r.run(r.start(storeName), "store-empty")
 }
 
-// recoverCoreMachines runs the runbooks for a lost disk, a crashed edge machine, a crashed core machine, and a replaced core
-// machine.
+// recoverCoreMachines runs the runbooks for a lost disk, a crashed edge machine, a crashed core machine, and a replaced
+// core machine.
 func (r *runbookTest) recoverCoreMachines() {
 	// A core machine crashes and loses its disk: it restarts with an empty one.
 	core2 := processesOf(coreProcesses, "core-2")
@@ -189,8 +189,8 @@
 	r.run(nil, "key-leaked", "--set", "tenant=tenant-4", "--set", "key=key-of-daegu-tenant-4")
 }
 
-// blockRetirement blocks the retirement in progress by the crash of a worker, waits until the status shows the problem, and
-// runs the runbook for it.
+// blockRetirement blocks the retirement in progress by the crash of a worker, waits until the status shows the problem,
+// and runs the runbook for it.
 func (r *runbookTest) blockRetirement(problem string) {
 	worker := workerPrefix + "7"
 	r.kill(worker)
--- a/internal/sim/testbed/runbookstep.go
+++ b/internal/sim/testbed/runbookstep.go
@@ -45,9 +45,9 @@
 	return errs.Wrap(os.WriteFile(file, []byte(entry), 0o600), "write "+file)
 }
 
-// executeRunbook runs the runbook named by step.Targets with the parameters in step.Argument through the command line. It
-// uses the last operator address, since no scenario cuts that off the network. At the first confirmation it executes the
-// actions in step.Confirm.
+// executeRunbook runs the runbook named by step.Targets with the parameters in step.Argument through the command line.
+// It uses the last operator address, since no scenario cuts that off the network. At the first confirmation it executes
+// the actions in step.Confirm.
 func (run *scenarioRun) executeRunbook(ctx context.Context, step Step) error {
 	transport := &http.Transport{DialContext: run.fleet.env.Dial}
 	defer transport.CloseIdleConnections()
--- a/internal/sim/testbed/scenariorun.go
+++ b/internal/sim/testbed/scenariorun.go
@@ -29,8 +29,8 @@
 	plannedEntries []plannedEntry
 	background     sync.WaitGroup // goroutines that run until the end of the scenario
 	startedMs      int64          // start of the steps, as Unix time in milliseconds of the machine that runs the testbed
-	// Unix times in milliseconds at which operators' changes were acknowledged: the revocation of an API key, by key; new
-	// weights, by version; and the draining of a worker, by its name.
+	// Unix times in milliseconds at which operators' changes were acknowledged: the revocation of an API key, by key;
+	// new weights, by version; and the draining of a worker, by its name.
 	keyRevokedMs           map[string]int64
 	weightsSetMs           map[uint64]int64
 	drainedMs              map[string]int64
@@ -160,8 +160,8 @@
 	return log, lastStepEndMs, nil
 }
 
-// startTraffic starts the client traffic, a background reader of the configuration, and the scenario's additional burst of
-// requests, if it has one.
+// startTraffic starts the client traffic, a background reader of the configuration, and the scenario's additional burst
+// of requests, if it has one.
 func (run *scenarioRun) startTraffic(traffic, burst context.Context, senders *sync.WaitGroup, client *loadgen.Client, log *loadgen.OutcomeLog) {
 	site, seed := run.fleet.Site, run.options.Seed
 	senders.Go(func() { loadgen.SendTraffic(traffic, site.Traffic, client, seed, "s", 1<<30, log) })
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -1,5 +1,6 @@
-// Package testbed runs a complete site, either as processes on loopback addresses of one machine or in another Environment
-// such as a simulated cluster. It runs fault scenarios on the site under client traffic and checks the results.
+// Package testbed runs a complete site, either as processes on loopback addresses of one machine or in another
+// Environment such as a simulated cluster. It runs fault scenarios on the site under client traffic and checks the
+// results.
 package testbed
 
 import (
@@ -22,9 +23,9 @@
 	Settings settings.Process
 }
 
-// Site describes a site, which is a complete deployment in one place: its processes, its first configuration and the traffic
-// of its clients. Core machines run a control node and a placement controller; edge machines run a node agent, a prompt index
-// and a proxy.
+// Site describes a site, which is a complete deployment in one place: its processes, its first configuration and the
+// traffic of its clients. Core machines run a control node and a placement controller; edge machines run a node agent,
+// a prompt index and a proxy.
 type Site struct {
 	Name       string
 	Processes  []Process
@@ -41,7 +42,8 @@
 // Example: for _, name := range testbed.Sites() { fmt.Println(name) }
 func Sites() []string { return []string{"paramo", "daegu"} }
 
-// Write writes the site's worker list and first configuration as JSON files into a folder, which it creates if necessary.
+// Write writes the site's worker list and first configuration as JSON files into a folder, which it creates if
+// necessary.
 //
 // Example: err := site.Write("/tmp/run")
 func (s *Site) Write(dir string) error {
--- a/internal/sim/testbed/steps.go
+++ b/internal/sim/testbed/steps.go
@@ -42,8 +42,8 @@
 	return slices.Compact(names), nil
 }
 
-// resolvePattern returns the names of the processes that match a target: leaderTarget, a pattern, or "pattern:count" for a
-// number of random matches.
+// resolvePattern returns the names of the processes that match a target: leaderTarget, a pattern, or "pattern:count"
+// for a number of random matches.
 func (run *scenarioRun) resolvePattern(ctx context.Context, target string) ([]string, error) {
 	if target == leaderTarget {
 		machine, err := run.fleet.configLeader(ctx)
@@ -128,8 +128,8 @@
 	return errs.New(errs.BadInput, "scenario step with the unknown action %q", step.Action)
 }
 
-// warnWorker makes the platform simulator announce that it will terminate a worker, upon which the site drains the worker.
-// It records the time even if the call fails, since the call may have had an effect all the same.
+// warnWorker makes the platform simulator announce that it will terminate a worker, upon which the site drains the
+// worker. It records the time even if the call fails, since the call may have had an effect all the same.
 func (run *scenarioRun) warnWorker(ctx context.Context, name string) error {
 	code, body := run.fleet.Post(ctx, run.fleet.platformAddr(), "/v1/warn/"+name, nil)
 	run.mu.Lock()
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// setLinks cuts, slows or restores the links between the machines in step.Targets, separated by spaces, and others; "*" is
-// any machine. The action "cut" affects only the direction from the targets.
+// setLinks cuts, slows or restores the links between the machines in step.Targets, separated by spaces, and others; "*"
+// is any machine. The action "cut" affects only the direction from the targets.
 func (run *scenarioRun) setLinks(step Step) error {
 	var batch errs.Batch
 	for _, from := range strings.Fields(step.Targets) {
--- a/internal/sim/testbed/tally.go
+++ b/internal/sim/testbed/tally.go
@@ -26,9 +26,10 @@
 // tallyRow holds the figures that Tally reads from the line of one run.
 type tallyRow struct{ sealed, during, after, extra, faults float64 }
 
-// Tally reads lines that Line formatted and prints a table with one row for each scenario and site: the number of runs and
-// of violations, the median and worst shares of complete responses, and the largest number of extra runs. All scenarios of
-// randomly drawn faults of a site share a row. It fails with errs.BadInput if the input contains no such line.
+// Tally reads lines that Line formatted and prints a table with one row for each scenario and site: the number of runs
+// and of violations, the median and worst shares of complete responses, and the largest number of extra runs. All
+// scenarios of randomly drawn faults of a site share a row. It fails with errs.BadInput if the input contains no such
+// line.
 //
 // Example: err := testbed.Tally(os.Stdin, os.Stdout)
 func Tally(in io.Reader, out io.Writer) error {
--- a/internal/sim/testbed/testbed_test.go
+++ b/internal/sim/testbed/testbed_test.go
@@ -59,7 +59,7 @@
 						t.Logf("end of the log of process %s:\n%s", n, raw[max(0, len(raw)-2000):])
 					}
 				}
-				t.Fatal(err)
+				t.Fatalf("run site %s: %v", site, err)
 			}
 			if len(result.Faults) > 0 {
 				t.Errorf("site %s: responses or journals violate the contract: %v", site, result.Faults)
@@ -87,7 +87,7 @@
 		scenario.Rate, scenario.AfterRecoveryMs = 12, 2000
 		report, err := Play(context.Background(), scenario, Options{Dir: t.TempDir(), Programs: builtPrograms(t), AddressByte: 33, Seed: 1})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("run scenario %s: %v", scenario.Name, err)
 		}
 		for _, f := range report.Faults {
 			t.Errorf("scenario %s: violation: %s", scenario.Name, f)
@@ -99,8 +99,8 @@
 	}
 }
 
-// worstWindow must consider windows at any start: it must find a burst of extra runs while requests arrive, and one after
-// the last request.
+// worstWindow must consider windows at any start: it must find a burst of extra runs while requests arrive, and one
+// after the last request.
 func TestWorstWindowOfExtraRuns(t *testing.T) {
 	var first []int64
 	for i := range int64(100) {
@@ -116,8 +116,8 @@
 	}
 }
 
-// Tally must parse the lines that Line formats, skip other lines, and count every run and violation. Without a line of a run
-// it must fail.
+// Tally must parse the lines that Line formats, skip other lines, and count every run and violation. Without a line of
+// a run it must fail.
 func TestTally(t *testing.T) {
 	r := &Report{Scenario: "mix-3", Site: "daegu", Seed: 3, SealedDuring: 0.9, SealedAfterRecovery: 1}
 	r.Sum.Sealed, r.Sum.Requests, r.Sum.Rejected = 8, 10, map[string]int{"not-run": 2}
--- a/internal/sim/testbed/usage.go
+++ b/internal/sim/testbed/usage.go
@@ -15,14 +15,16 @@
 	Usage map[string]ResourceUsage `json:"usage"` // resource use by name of the program
 }
 
-// ResourceUsage is the resource use of the processes of one program. PeakMB and CPUShare are the maximum over the processes.
+// ResourceUsage is the resource use of the processes of one program. PeakMB and CPUShare are the maximum over the
+// processes.
 type ResourceUsage struct {
 	Processes int     `json:"processes"`
 	PeakMB    float64 `json:"peak_mb"`     // peak resident memory in units of 1024 * 1024 bytes
 	CPUShare  float64 `json:"cpu_percent"` // average since the start of the process, in percent of one core
 }
 
-// Usage returns the resource use of the running processes, by program. It is empty if the environment isn't this machine.
+// Usage returns the resource use of the running processes, by program. It is empty if the environment isn't this
+// machine.
 //
 // Example: for program, usage := range fleet.Usage() { fmt.Println(program, usage.PeakMB) }
 func (f *Fleet) Usage() map[string]ResourceUsage {
