--- a/internal/sim/testbed/calendar.go
+++ b/internal/sim/testbed/calendar.go
@@ -30,7 +30,7 @@
 	case "clash":
 		raw, err := json.Marshal(map[string]any{"move": json.RawMessage(argument)})
 		if err != nil {
-			return errs.Wrap(err, "encode a conflicting calendar entry as JSON")
+			return errs.Wrap(err, "write")
 		}
 		if code, body := run.fleet.Post(ctx, run.fleet.Site.Operators[0], "/v1/calendar", raw); code != 409 || !strings.Contains(body, "clashes") {
 			return errs.New(errs.Internal, "calendar entry that conflicts with an existing one: got status %d and body %s, want status 409 and a body with \"clashes\"", code, body)
@@ -121,7 +121,7 @@
 func (run *scenarioRun) listWorker(ctx context.Context, w contract.ListedWorker) error {
 	raw, err := json.Marshal(w)
 	if err != nil {
-		return errs.Wrap(err, "encode the list entry of worker "+w.Name+" as JSON")
+		return errs.Wrap(err, "write")
 	}
 	if code, body := run.fleet.Post(ctx, run.fleet.platformAddr(), "/v1/workers", raw); code != 200 {
 		return errs.New(errs.Internal, "add worker %s to the platform simulator's list: got status %d and body %s, want status 200", w.Name, code, body)
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -19,7 +19,7 @@
 func (run *scenarioRun) checkRun(ctx context.Context, log *loadgen.OutcomeLog, lastStepEndMs int64, recoveryMs int) error {
 	journals, err := run.fleet.Journals()
 	if err != nil {
-		return errs.Wrap(err, "read the journals of the worker simulators")
+		return errs.Wrap(err, "journals")
 	}
 	run.report.Sum = log.Summarize(journals, true)
 	for _, f := range run.report.Sum.Faults {
@@ -31,7 +31,7 @@
 	run.checkRetryBudget(log, journals)
 	orders, err := run.fleet.Orders()
 	if err != nil {
-		return errs.Wrap(err, "read the orders in the journals of the worker simulators")
+		return errs.Wrap(err, "orders")
 	}
 	for _, f := range append(checkFencing(orders), run.checkOldBaseUnloadedLast(journals, orders)...) {
 		run.addViolation("%s", f)
--- a/internal/sim/testbed/fit.go
+++ b/internal/sim/testbed/fit.go
@@ -70,7 +70,7 @@
 	id := fmt.Sprintf("fit-%d-%d", repeat, tokens)
 	attempt := backends.Start(ctx, site.Workers[fittedWorker], contract.StartRequest{RequestID: id, CacheDomain: "fit", Model: site.Traffic.Model, Weights: 1, Parts: []string{prompt}, Chunks: 1, WaitMs: 5000}, nil)
 	if attempt.Err != nil {
-		return sample, errs.Wrap(attempt.Err, "send the prompt to measure prefill time")
+		return sample, errs.Wrap(attempt.Err, "measure")
 	}
 	defer attempt.Body.Close()
 	verifier := contract.NewStreamVerifier(id, fittedWorker)
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -219,11 +219,11 @@
 	for i := range s.Processes {
 		process := &s.Processes[i].Settings
 		links.NameAddress(strings.Split(process.Listen, ":")[0], process.Name)
-		batch.Add("relay to "+process.Listen, links.Relay(relayed(process.Listen), process.Listen, process.Name))
+		batch.Add("relay", links.Relay(relayed(process.Listen), process.Listen, process.Name))
 		process.Advertise = relayed(process.Listen)
 		switch s.Processes[i].Program {
 		case programs.WorkerSim, programs.StoreSim, programs.AppServiceSim, programs.PlatformSim:
-			batch.Add("relay to "+process.Public, links.Relay(relayed(process.Public), process.Public, process.Name))
+			batch.Add("relay", links.Relay(relayed(process.Public), process.Public, process.Name))
 		}
 		for j := range process.Seeds {
 			process.Seeds[j] = strings.Replace(process.Seeds[j], directPrefix, relayPrefix, 1)
--- a/internal/sim/testbed/loadgenerator.go
+++ b/internal/sim/testbed/loadgenerator.go
@@ -29,14 +29,14 @@
 	parser.String(&site, "s", "site", "name of the site: paramo or daegu")
 	parser.Int(&seconds, "t", "seconds", "duration of the traffic in seconds")
 	parser.Int(&net, "n", "net", "second byte of the site's loopback addresses")
-	parser.UInt64(&seed, "e", "seed", "seed of the random traffic")
+	parser.UInt64(&seed, "e", "seed", "seed")
 	fail := func(err error) int {
 		fmt.Fprintln(errOut, "loadgen: "+errs.Text(err))
 		return errs.KindOf(err).ExitCode
 	}
 	_, err := settings.ParseStrict(parser, args)
 	if err == nil {
-		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "parse the command line flags")
+		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "flags")
 	}
 	if err != nil {
 		return fail(err)
@@ -52,7 +52,7 @@
 	loadgen.SendTraffic(ctx, siteLayout.Traffic, loadgen.NewClient(siteLayout.Edges), seed, requestPrefix, int(float64(seconds)*siteLayout.Traffic.Rate), log)
 	journals, err := loadgen.Journals(ctx, siteLayout.Workers)
 	if err != nil {
-		return fail(errs.Wrap(err, "read the journals of the workers"))
+		return fail(errs.Wrap(err, "journals"))
 	}
 	summary := log.Summarize(journals, true)
 	encoder := json.NewEncoder(out)
--- a/internal/sim/testbed/machines.go
+++ b/internal/sim/testbed/machines.go
@@ -77,7 +77,7 @@
 		}
 		host, port, err := net.SplitHostPort(process.Settings.Listen)
 		if err != nil {
-			return errs.Wrap(err, "change the address of process "+name)
+			return errs.Wrap(err, "move")
 		}
 		octets := strings.Split(host, ".")
 		host = strings.Join(append(octets[:3], "99"), ".")
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -105,7 +105,7 @@
 		err = errs.New(errs.BadInput, "got several commands %q on the command line: give one (see --help)", arguments)
 	}
 	if err == nil {
-		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "parse the command line flags")
+		err = errs.WrapAs(parser.ParseArgs(args), errs.BadInput, "flags")
 	}
 	if err != nil {
 		return nil, err
@@ -323,7 +323,7 @@
 	usage := fleet.Usage()
 	journals, err := fleet.Journals()
 	if err != nil {
-		return RunResult{}, errs.Wrap(err, "read the journals of the workers")
+		return RunResult{}, errs.Wrap(err, "journals")
 	}
 	return RunResult{log.Summarize(journals, true), usage}, nil
 }
--- a/internal/sim/testbed/operator.go
+++ b/internal/sim/testbed/operator.go
@@ -31,7 +31,7 @@
 func (run *scenarioRun) post(ctx context.Context, path string, request any, change *history.Change) (int64, error) {
 	raw, err := json.Marshal(request)
 	if err != nil {
-		return 0, errs.Wrap(err, "encode the request to "+path+" as JSON")
+		return 0, errs.Wrap(err, "write")
 	}
 	last, kind := "", errs.OutcomeUnknown
 	for i := range postAttempts {
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -79,7 +79,7 @@
 	retirement := &retire.Retirement{}
 	if options != "" {
 		if err := json.Unmarshal([]byte(options), retirement); err != nil {
-			return errs.WrapAs(err, errs.BadInput, "decode the options of retirement "+name)
+			return errs.WrapAs(err, errs.BadInput, "retirement")
 		}
 	}
 	model := run.fleet.Site.Traffic.Model
--- a/internal/sim/testbed/scenariorun.go
+++ b/internal/sim/testbed/scenariorun.go
@@ -214,7 +214,7 @@
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-		return errs.Wrap(ctx.Err(), "wait for the next step of the scenario")
+		return errs.Wrap(ctx.Err(), "scenario")
 	case <-t.C:
 		return nil
 	}
