--- a/internal/sim/clustersim/cluster.go
+++ b/internal/sim/clustersim/cluster.go
@@ -1,10 +1,10 @@
-// Package clustersim simulates a complete site in one test process, in virtual time. The programs are the real ones;
-// network, clocks, disks, journals and random numbers are replaced through the daemon.Environment that they get at
-// their start. The test bed's scenarios and checks are used unchanged.
+// Package clustersim simulates a complete site in one test process, in virtual time. It runs the code of the real
+// programs; the network, clocks, disks, journals and random numbers are replaced through the daemon.Environment that
+// each program gets at its start. The test bed's scenarios and checks are used unchanged.
 //
-// A seed determines the site, its traffic, the scenario's times, the clocks with their drift, and the behaviour of the
-// disks. It doesn't determine the order of goroutines that are ready at the same instant, which the Go scheduler
-// chooses: runs of one seed are similar, not identical.
+// The seed of a run determines the site, its traffic, the times of the scenario's steps, the machines' clocks and
+// their drift, and the latency of disk writes. It doesn't determine the order in which the Go scheduler runs
+// goroutines that are ready at the same instant, so two runs with the same seed are similar but not identical.
 package clustersim
 
 import (
@@ -39,7 +39,7 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// programStarts are the entry points of the programs.
+// programStarts maps the name of each program of a site to its start function.
 var programStarts = map[string]func(*daemon.Process) error{
 	programs.ControlNode:         controlstate.Start,
 	programs.PlacementController: placementcontroller.Start,
@@ -52,7 +52,7 @@
 	programs.PlatformSim:         platformsim.Start,
 }
 
-// Cluster is a testbed.Environment in virtual time.
+// Cluster runs the processes of a site in virtual time. It implements testbed.Environment.
 type Cluster struct {
 	*testbed.Links
 	seed            uint64
@@ -63,33 +63,35 @@
 	processes       map[string]*proc
 	starts          int
 	machines        map[string]*machine
-	hosts           map[netip.Addr]string // machine by address
+	hosts           map[netip.Addr]string // machine name by IP address
 	listeners       map[string]*listener
 	files           map[string]*file
-	outside         *proc               // clients and operators
-	tamperWithReads func([]byte) []byte // planted fault: changes what clients and operators read; nil: none
+	outside         *proc               // stands for the clients and operators outside the site
+	tamperWithReads func([]byte) []byte // test fault: rewrites bytes that clients and operators receive; nil: none
 }
 
-// outsideMachine is the machine of clients and operators; link rules don't apply to it. The name seeds its clock.
+// outsideMachine is the name of the machine of clients and operators. Link rules don't apply to its connections. The
+// name must not change: the machine's clock is seeded with it.
 const outsideMachine = "people"
 
-// pendingTimersTimeout is how long abandoned timers may still be pending after all processes have ended, in virtual time.
+// pendingTimersTimeout is the virtual time that Stop waits after all processes have ended, so that timers that nobody
+// waits for have expired.
 const pendingTimersTimeout = time.Minute
 
-// One-way delays of the simulated network.
+// One-way delays of the simulated network: within a machine, and between machines of the same or of different zones.
 const (
 	loopbackDelay  = 20 * time.Microsecond
 	sameZoneDelay  = 200 * time.Microsecond
 	crossZoneDelay = time.Millisecond
 )
 
-// file is a journal, which outlives the processes that write it.
+// file is the content of a worker's journal. It is kept when the process that writes it ends.
 type file struct {
 	mu   sync.Mutex
 	data []byte
 }
 
-// New returns a cluster for a site.
+// New returns a cluster with the machines of a site, without running processes.
 //
 // Example: cluster := clustersim.New(7, site); defer cluster.Stop()
 func New(seed uint64, site *testbed.Site) *Cluster {
@@ -111,8 +113,8 @@
 	return cluster
 }
 
-// machine returns the machine of a name, which it creates at first use. Its clocks depend on the seed and the name.
-// The cluster's lock is held, except while it is being made.
+// machine returns the machine with the given name and creates it at the first call. Its clocks depend on the cluster's
+// seed and the name. The caller holds c.mu, except in New.
 func (c *Cluster) machine(name string) *machine {
 	m := c.machines[name]
 	if m == nil {
@@ -124,7 +126,7 @@
 	return m
 }
 
-// machineOf returns a process's machine and records the machine's addresses.
+// machineOf returns the machine that a process runs on, and records the process's listen addresses as the machine's.
 func (c *Cluster) machineOf(p testbed.Process) *machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,11 +138,12 @@
 	return c.machine(p.Settings.Name)
 }
 
-// linkRule returns the rule between two machines, and a channel that is closed when rules change.
+// linkRule returns the fault rule of the link between two machines, and a channel that is closed when any link rule
+// changes.
 func (c *Cluster) linkRule(from, to string) (testbed.LinkRule, <-chan struct{}) {
 	rule, changed := c.RuleBetween(from, to)
 	if from == to || from == outsideMachine || to == outsideMachine {
-		rule = testbed.LinkRule{} // loopback, and connections from outside the site
+		rule = testbed.LinkRule{} // no faults on loopback or on connections from outside the site
 	}
 	return rule, changed
 }
@@ -151,7 +154,7 @@
 	return c.hosts[a]
 }
 
-// delay returns the one-way delay from a machine to the machine named to, which has the address addr.
+// delay returns the one-way network delay from machine m to the machine named to, whose address is addr.
 func (c *Cluster) delay(m *machine, to, addr string) time.Duration {
 	if m.name == to {
 		return loopbackDelay
@@ -166,7 +169,7 @@
 	return crossZoneDelay
 }
 
-// listen registers a listener; it reports false if the address is in use.
+// listen registers a listener for an address. It returns false if the address is in use.
 func (c *Cluster) listen(addr string, l *listener) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,7 +203,7 @@
 	return c.files[name]
 }
 
-// Start starts a new incarnation of a process.
+// Start starts a process. It fails if an earlier incarnation of the process is still running.
 //
 // Example: err := cluster.Start(process)
 func (c *Cluster) Start(process testbed.Process) error {
@@ -208,7 +211,7 @@
 	c.mu.Lock()
 	if running := c.processes[process.Name]; running != nil && !isClosed(running.dead) {
 		c.mu.Unlock()
-		return errs.New(errs.Internal, "%s runs already", process.Name)
+		return errs.New(errs.Internal, "process %s is already running", process.Name)
 	}
 	c.starts++
 	proc := newProc(c, process, machine, c.seed^rendezvous.Hash(fmt.Sprint(process.Name, c.starts)))
@@ -230,7 +233,7 @@
 	return nil
 }
 
-// Signal freezes, thaws, stops or kills a process, as the signal would.
+// Signal has the effect of SIGSTOP, SIGCONT, SIGTERM or SIGKILL on a process.
 //
 // Example: err := cluster.Signal("runner-edge-1", syscall.SIGKILL)
 func (c *Cluster) Signal(name string, s syscall.Signal) error {
@@ -238,10 +241,10 @@
 	p := c.processes[name]
 	c.mu.Unlock()
 	if p == nil {
-		return errs.New(errs.NotFound, "process %q", name)
+		return errs.New(errs.NotFound, "process %q was never started", name)
 	}
 	if isClosed(p.dead) {
-		return errs.New(errs.Internal, "%s has ended", name)
+		return errs.New(errs.Internal, "process %s has ended and can't be signalled", name)
 	}
 	switch s {
 	case syscall.SIGSTOP, syscall.SIGCONT:
@@ -255,7 +258,7 @@
 	return nil
 }
 
-// stopGracefully stops a process within grace, in the background, and kills it once its goroutines have ended.
+// stopGracefully stops a process in the background with grace as the time limit, then kills it.
 func (c *Cluster) stopGracefully(p *proc, grace time.Duration) {
 	p.stopOnce.Do(func() {
 		c.wg.Go(func() {
@@ -266,12 +269,12 @@
 	})
 }
 
-// WriteSettings records a process's addresses; Start gets the settings themselves.
+// WriteSettings records the listen addresses of a process. It writes no settings file: Start is given the settings.
 //
 // Example: err := cluster.WriteSettings(process)
 func (c *Cluster) WriteSettings(p testbed.Process) error { c.machineOf(p); return nil }
 
-// WipeDisk removes a process's data from its machine's disk.
+// WipeDisk deletes the files in a process's data folder.
 //
 // Example: err := cluster.WipeDisk(process)
 func (c *Cluster) WipeDisk(p testbed.Process) error {
@@ -288,7 +291,8 @@
 	return nil
 }
 
-// SetFault sets or ends a fault of the disk or the wall clock of a process's machine.
+// SetFault sets the fault of the disk ("disk") or the wall clock offset in milliseconds ("wall") of a process's
+// machine; an empty value ends the fault.
 //
 // Example: err := cluster.SetFault(process, "disk", "stall 800")
 func (c *Cluster) SetFault(p testbed.Process, what, value string) error {
@@ -308,7 +312,7 @@
 	return errs.WrapAs(err, errs.BadInput, "wall")
 }
 
-// Journal reads a worker's journal of all its incarnations.
+// Journal returns the entries that all incarnations of a worker wrote to its journal.
 //
 // Example: runs, err := cluster.Journal(process)
 func (c *Cluster) Journal(p testbed.Process) ([]workersim.Run, error) {
@@ -318,19 +322,19 @@
 	return loadgen.ReadJournal(bytes.NewReader(f.data))
 }
 
-// SetLink sets the rule of the link from one machine to another.
+// SetLink sets the fault rule of the network link from one machine to another.
 //
 // Example: err := cluster.SetLink("edge-1", "core-2", testbed.LinkRule{Cut: true})
 func (c *Cluster) SetLink(from, to string, r testbed.LinkRule) error { c.Set(from, to, r); return nil }
 
-// Dial connects as clients and operators outside the site do.
+// Dial connects to an address of the site from the machine of clients and operators.
 //
 // Example: conn, err := cluster.Dial(ctx, "tcp", "127.10.1.11:8080")
 func (c *Cluster) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	return c.outside.dial(ctx, network, addr)
 }
 
-// Stop kills every process and waits until all goroutines have ended.
+// Stop kills every process of the cluster and waits until their goroutines have ended.
 //
 // Example: defer cluster.Stop()
 func (c *Cluster) Stop() {
--- a/internal/sim/clustersim/cluster_test.go
+++ b/internal/sim/clustersim/cluster_test.go
@@ -12,7 +12,7 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-// envNumber returns the number in an environment variable, or a default if it isn't set.
+// envNumber returns the number in the environment variable key, or the default if the variable isn't set.
 func envNumber(t *testing.T, key string, or uint64) uint64 {
 	t.Helper()
 	v := os.Getenv(key)
@@ -26,11 +26,12 @@
 	return n
 }
 
-// runScenario plays a scenario on the cluster that on returns, in a bubble of virtual time.
+// runScenario runs a test bed scenario in a testing/synctest bubble on the cluster that on returns, and returns the
+// report.
 func runScenario(t *testing.T, scenario testbed.Scenario, site string, seed uint64, on func(*testbed.Site) *Cluster) (rep *testbed.Report) {
 	t.Helper()
 	if raceDetector {
-		t.Skip("without the race detector: see README")
+		t.Skip("the race detector doesn't support simulations of this size; run without -race (see README)")
 	}
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -43,23 +44,25 @@
 		}
 	})
 	if rep == nil {
-		t.Fatal("no report")
+		t.Fatal("the scenario ended without a report")
 	}
 	return rep
 }
 
-// judgedScenario changes the configuration in every way that an operator has; its history has to be checked, with so
-// many operations or more.
+// judgedScenario is a scenario that uses every kind of configuration change an operator has. The linearizability check
+// of its history must cover at least minJudged operations.
 const (
 	judgedScenario = "keys-and-drains"
 	minJudged      = 100
 )
 
-// scenariosOfCI are played where TABLE_SCENARIO names none: the first at both sites, the others at their own.
+// scenariosOfCI are the scenarios that run if TABLE_SCENARIO isn't set: the first one on every site, the others on the
+// site that the scenario names.
 var scenariosOfCI = []string{"all-together", judgedScenario, "runbooks"}
 
-// The scenarios of the test bed have no fault in virtual time. `TABLE_SCENARIO=all go test ./internal/sim/clustersim -run
-// TestScenarios -timeout 2h` plays them all; TABLE_SITE, TABLE_SEED and TABLE_SEEDS select the site and the seeds.
+// The scenarios of the test bed run in virtual time without a violation of the invariants. `TABLE_SCENARIO=all go test
+// ./internal/sim/clustersim -run TestScenarios -timeout 2h` runs all of them; TABLE_SITE, TABLE_SEED and TABLE_SEEDS
+// select the site and the seeds.
 func TestScenarios(t *testing.T) {
 	l, err := testbed.Scenarios()
 	if err != nil {
@@ -85,7 +88,7 @@
 					r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster { return New(seed, s) })
 					t.Log(testbed.Line(r))
 					if scenario.Name == judgedScenario && r.Judged < minJudged {
-						t.Errorf("only %d operations on the configuration were checked", r.Judged)
+						t.Errorf("linearizability check covered %d operations on the configuration, want at least %d", r.Judged, minJudged)
 					}
 					if len(r.Faults) > 0 {
 						t.Errorf("%d faults:\n%s\nsteps:\n%s\nreplay: TABLE_SCENARIO=%s TABLE_SITE=%s TABLE_SEED=%d go test ./internal/sim/clustersim -run TestScenarios -v",
@@ -97,7 +100,7 @@
 	}
 }
 
-// runMixture plays a mixture of faults and returns the report.
+// runMixture runs a scenario with the given faults on a site and returns the report.
 func runMixture(t *testing.T, site string, seed uint64, l []testbed.Fault) *testbed.Report {
 	t.Helper()
 	scenario := testbed.FaultScenario(site, seed, l)
@@ -107,9 +110,9 @@
 	return r
 }
 
-// The invariants hold under mixtures of faults that are drawn from seeds. `TABLE_SEEDS=1000 go test
-// ./internal/sim/clustersim -run TestMixtures -timeout 12h` plays many; TABLE_SEED replays one, and TABLE_SHRINK=1 omits
-// the faults that a violation doesn't need.
+// The invariants of a site hold under combinations of faults that are drawn at random from a seed. `TABLE_SEEDS=1000
+// go test ./internal/sim/clustersim -run TestMixtures -timeout 12h` runs a thousand seeds; TABLE_SEED is the first
+// seed, and TABLE_SHRINK=1 reduces the faults of a failing seed to those that are needed for a violation.
 func TestMixtures(t *testing.T) {
 	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 1)
 	for seed := from; seed < from+n; seed++ {
--- a/internal/sim/clustersim/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -11,13 +11,13 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-// A measurement of the placement modes in virtual time, where the speed of the machine has no influence.
+// Measures the placement modes in virtual time, where the speed of the host has no influence on the results.
 // `TABLE_COMPARE="kv=6000 skew=1.0 link=40000" TABLE_SITE=paramo TABLE_SEEDS=5 go test ./internal/sim/clustersim -run
-// TestCompare -v -timeout 3h` prints a table; the modes take turns within a seed.
+// TestCompare -v -timeout 3h` prints a table of the modes; each seed is run with every mode in turn.
 func TestCompare(t *testing.T) {
 	words := os.Getenv("TABLE_COMPARE")
 	if words == "" {
-		t.Skip("a measurement: run it by hand")
+		t.Skip("measurement of placement modes; set TABLE_COMPARE to run it")
 	}
 	site, modes := os.Getenv("TABLE_SITE"), testbed.Modes()
 	if option := os.Getenv("TABLE_MODES"); option != "" {
@@ -43,7 +43,7 @@
 						continue
 					}
 					for i := range laidOut.Processes {
-						if laidOut.Processes[i].Program == programs.WorkerSim { // the first option of a name has effect
+						if laidOut.Processes[i].Program == programs.WorkerSim { // the first of several options with the same name has effect
 							laidOut.Processes[i].Settings.Options = append([]string{option}, laidOut.Processes[i].Settings.Options...)
 						}
 					}
--- a/internal/sim/clustersim/machine.go
+++ b/internal/sim/clustersim/machine.go
@@ -8,20 +8,20 @@
 	"pebbleloom/internal/settings"
 )
 
-// machine holds what the processes of a machine share: clocks and a disk.
+// machine is a simulated machine: the boot clock, the wall clock and the disk that its processes share.
 type machine struct {
 	name          string
 	begin         time.Time
-	bootOffset    time.Duration // from its boot to begin
-	drift         float64       // of the boot clock, as a share
+	bootOffset    time.Duration // boot clock reading at the time begin
+	drift         float64       // relative error of the boot clock's rate; 0.0001 is 0.1 ms per second fast
 	mu            sync.Mutex
-	wallClockJump time.Duration // offset of the wall clock
-	diskFault     string        // as storage.ParseFault reads it
+	wallClockJump time.Duration // offset of the wall clock from virtual time
+	diskFault     string        // disk fault in the format of storage.ParseFault
 	disk          map[string][]byte
-	lastWriter    map[string]*proc // process incarnation that wrote a file last
+	lastWriter    map[string]*proc // process that wrote each file last, by path
 }
 
-// now returns the boot clock.
+// now returns the time since the machine's boot, with the drift of its clock.
 func (m *machine) now() time.Duration {
 	d := time.Since(m.begin)
 	return m.bootOffset + d + time.Duration(float64(d)*m.drift)
@@ -46,7 +46,8 @@
 	return append([]byte(nil), b...), ok
 }
 
-// write changes a file. A late write of a dead process is dropped if another process has written the file since.
+// write replaces the content of a file by the result of change. A write of a killed process that completes late is
+// dropped if another process has written the file since.
 func (m *machine) write(p *proc, folder, name string, change func([]byte) []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/sim/clustersim/network.go
+++ b/internal/sim/clustersim/network.go
@@ -9,33 +9,35 @@
 	"time"
 )
 
-// maxInFlight is the number of bytes, as in a socket's buffers, beyond which a pipe's writer blocks.
+// maxInFlight is the number of sent but unread bytes beyond which a write to a pipe blocks, as with full socket
+// buffers.
 const maxInFlight = 256 << 10
 
-// pipe carries bytes in one direction between two processes. Bytes in flight are delayed while the link is cut, as by
-// TCP retransmission; none are lost or reordered.
+// pipe carries the bytes of one direction of a connection. While the link is cut, bytes in flight are held back, as
+// with TCP retransmission; none are lost or reordered.
 type pipe struct {
 	cluster  *Cluster
-	from, to string // machines
+	from, to string // names of the sending and the receiving machine
 	delay    time.Duration
 	mu       sync.Mutex
-	changed  chan struct{} // closed at every change
+	changed  chan struct{} // closed and replaced when the pipe's state changes
 	segments []segment
 	size     int
-	last     time.Time // when the last segment arrives
+	last     time.Time // arrival time of the last segment sent
 	fin, rst bool
-	closedAt time.Time // when fin or rst arrives
+	closedAt time.Time // arrival time of the FIN or RST
 }
 
-// segment is the bytes of one write.
+// segment holds the bytes of one write and the time at which they reach the receiver.
 type segment struct {
-	arrival time.Time // of arrival
+	arrival time.Time // time at which the receiver can read data
 	data    []byte
 }
 
 func (p *pipe) notify() { close(p.changed); p.changed = make(chan struct{}) }
 
-// write sends bytes. If the pipe is full it reports false and returns a channel that is closed at the next change.
+// write sends b. If more than maxInFlight bytes are unread, it sends nothing and returns false and a channel that is
+// closed at the next change of the pipe.
 func (p *pipe) write(b []byte) (bool, <-chan struct{}) {
 	rule, _ := p.cluster.linkRule(p.from, p.to)
 	p.mu.Lock()
@@ -57,7 +59,8 @@
 	return true, nil
 }
 
-// closeWrite closes the pipe: after the bytes in flight, or by a reset that overtakes them.
+// closeWrite closes the sending side of a pipe: with a FIN, which arrives after the bytes in flight, or with an RST,
+// which overtakes them.
 func (p *pipe) closeWrite(reset bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,7 +79,7 @@
 	p.notify()
 }
 
-// read returns bytes that have arrived. If there are none it returns how long to wait (0: without limit) and the
+// read copies bytes that have arrived to b. If there are none, it returns how long to wait (0: no limit) and the
 // channels that are closed when the pipe or the link rules change.
 func (p *pipe) read(b []byte) (count int, wait time.Duration, pipeChanged, rulesChanged <-chan struct{}, err error) {
 	rule, rules := p.cluster.linkRule(p.from, p.to)
@@ -123,7 +126,7 @@
 	return len(p.segments) > 0
 }
 
-// deadline is a read or write deadline; its channel is closed once it has passed.
+// deadline is a connection's read or write deadline. The channel passed is closed when the deadline expires.
 type deadline struct {
 	mu     sync.Mutex
 	timer  *time.Timer
@@ -149,7 +152,7 @@
 	closePassed := func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if d.passed == c { // it was not set again
+		if d.passed == c { // the deadline was not set again
 			select {
 			case <-c:
 			default:
@@ -170,9 +173,9 @@
 	return d.passed
 }
 
-// conn is one end of a simulated connection.
+// conn is one end of a simulated TCP connection.
 type conn struct {
-	proc                        *proc // of this end
+	proc                        *proc // process that this end belongs to
 	in, out                     *pipe
 	local, remote               net.Addr
 	readDeadline, writeDeadline deadline
@@ -312,7 +315,7 @@
 	}
 }
 
-// listener is a process's listening socket.
+// listener is a simulated TCP listening socket of a process.
 type listener struct {
 	proc     *proc
 	addr     net.Addr
--- a/internal/sim/clustersim/plain_test.go
+++ b/internal/sim/clustersim/plain_test.go
@@ -2,5 +2,5 @@
 
 package clustersim
 
-// raceDetector reports that the race detector is off.
+// raceDetector is true if the test binary was built with -race.
 const raceDetector = false
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -10,7 +10,8 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-// loosenBounds loosens bounds of a program's processes, not the bounds that the checks use.
+// loosenBounds changes the time bounds in the settings of a program's processes. The bounds that the checks of a run
+// use stay as they are.
 func loosenBounds(s *testbed.Site, program string, f func(*settings.Bounds)) {
 	for i := range s.Processes {
 		if s.Processes[i].Program == program {
@@ -19,7 +20,7 @@
 	}
 }
 
-// plantWorkerFault plants a fault in every nth worker; see the package workersim.
+// plantWorkerFault sets the fault option of every nth simulated worker, where n is every; workersim lists the faults.
 func plantWorkerFault(s *testbed.Site, fault string, every int) {
 	n := 0
 	for i := range s.Processes {
@@ -31,19 +32,19 @@
 	}
 }
 
-// replaceBytes returns a function that replaces a text in what clients and operators read.
+// replaceBytes returns a function that replaces a text in the bytes that clients and operators receive.
 func replaceBytes(from, to string) func([]byte) []byte {
 	return func(b []byte) []byte { return bytes.ReplaceAll(b, []byte(from), []byte(to)) }
 }
 
-// The checks of a run detect a planted violation of each guarantee, and nothing without one.
+// The checks of a test run detect a deliberate violation of each guarantee, and report nothing in a run without one.
 func TestPlantedFaultsAreSeen(t *testing.T) {
 	step := func(at int, do, who, to string) testbed.Step {
 		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
 	}
 	cores := "core-1 core-2 core-3 core-4"
 	partition := []testbed.Step{step(1000, "cut", cores, "edge-3"), step(1000, "cut", "edge-3", cores), step(1500, "revoke", "tenant-1", ""), step(1600, "drain", "cab-? cab-1[0-5]", ""), step(12000, "heal", "", "")}
-	stale := func(site *testbed.Site) { // proxies that apply their configuration however old it is
+	stale := func(site *testbed.Site) { // proxies that keep using a configuration older than the limit
 		loosenBounds(site, programs.Proxy, func(b *settings.Bounds) { b.ConfigMs = 60000 })
 	}
 	for _, planted := range []struct {
@@ -84,7 +85,7 @@
 				return cluster
 			})
 			if all := strings.Join(report.Faults, "\n"); planted.want == "" && all != "" || !strings.Contains(all, planted.want) {
-				t.Errorf("%q isn't among %d faults:\n%.1500s\n%s", planted.want, len(report.Faults), all, testbed.Line(report))
+				t.Errorf("want a violation that contains %q (empty: none), got %d violations:\n%.1500s\n%s", planted.want, len(report.Faults), all, testbed.Line(report))
 			}
 		})
 	}
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -17,8 +17,8 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-// proc is one incarnation of a process. Everything in its environment calls awaitRunning first: calls block while the
-// process is frozen, and have no effect once it is dead.
+// proc is one incarnation of a simulated process. All calls of its environment (clock, network, disk, journal) start
+// with awaitRunning: they block while the process is frozen by SIGSTOP, and have no effect once it was killed.
 type proc struct {
 	cluster   *Cluster
 	process   testbed.Process
@@ -29,7 +29,7 @@
 	stopOnce  sync.Once
 	killOnce  sync.Once
 	mu        sync.Mutex
-	frozen    chan struct{} // closed when the process is thawed; nil: it isn't frozen
+	frozen    chan struct{} // closed by SIGCONT; nil: the process isn't stopped by SIGSTOP
 	conns     map[*conn]bool
 	listeners map[*listener]bool
 	random    *rand.Rand
@@ -40,7 +40,7 @@
 		random: rand.New(rand.NewPCG(seed, 17))}
 }
 
-// awaitRunning blocks while the process is frozen. It reports false if the process is dead.
+// awaitRunning blocks while the process is stopped by SIGSTOP. It returns false if the process was killed.
 func (p *proc) awaitRunning() bool {
 	for {
 		p.mu.Lock()
@@ -105,13 +105,13 @@
 	return p.random.Int64N(n)
 }
 
-// environment returns the environment that the program runs in.
+// environment returns the simulated clocks, network, disk, journal and random seed that the program is started with.
 func (p *proc) environment() daemon.Environment {
 	return daemon.Environment{Clock: p, WallClock: p.wall, Listen: p.listen, Dial: p.dial, Disk: p.disk, Journal: p.journal,
 		Seed: func() uint64 { p.mu.Lock(); defer p.mu.Unlock(); return p.random.Uint64() }}
 }
 
-// Now implements clock.Clock with the machine's boot clock; it blocks while the process is frozen.
+// Now implements clock.Clock: it returns the machine's boot clock. It blocks while the process is stopped by SIGSTOP.
 //
 // Example: process.Now()
 func (p *proc) Now() time.Duration { p.awaitRunning(); return p.machine.now() }
@@ -133,7 +133,8 @@
 	return l, nil
 }
 
-// dial connects after a round trip on an uncut link, or fails after the cluster's dial time-out.
+// dial connects to addr after one round trip. If the link is cut it waits for the link, and fails after the cluster's
+// dialTimeout.
 func (p *proc) dial(_ context.Context, _, addr string) (net.Conn, error) {
 	target, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -203,18 +204,18 @@
 	return c
 }
 
-// journal opens a simulator's journal, which outlives the process.
+// journal opens a worker's journal for appending. Its content is kept when the process ends.
 func (p *proc) journal(file string) (io.Writer, error) {
 	return &journalWriter{p, p.cluster.file(file)}, nil
 }
 
-// journalWriter appends to a journal.
+// journalWriter appends to a worker's journal until the process is killed.
 type journalWriter struct {
 	proc *proc
 	file *file
 }
 
-// Write implements io.Writer; it fails once the process is dead.
+// Write implements io.Writer. It fails once the process was killed.
 //
 // Example: n, err := writer.Write(line)
 func (w *journalWriter) Write(b []byte) (int, error) {
@@ -228,15 +229,15 @@
 }
 
 const (
-	listenBacklog = 512  // connections that wait to be accepted
-	minWriteUs    = 200  // shortest latency of a disk write, in microseconds
-	writeRangeUs  = 1800 // above which it is drawn
+	listenBacklog = 512  // capacity of a listener's queue of connections that wait for Accept
+	minWriteUs    = 200  // minimum latency of a disk write in microseconds
+	writeRangeUs  = 1800 // range of the random latency that is added to minWriteUs
 )
 
-// errProcessDead is what calls of a dead process's environment return.
-var errProcessDead = errors.New("the process is dead")
+// errProcessDead is returned by disk and journal calls of a process that was killed.
+var errProcessDead = errors.New("the simulated process was killed")
 
-// disk returns a folder of the machine's disk.
+// disk returns access to a folder of the machine's disk for this process.
 func (p *proc) disk(folder string) storage.Disk { return &disk{p, folder} }
 
 // disk is a folder of a machine's disk, accessed by one incarnation of a process.
@@ -256,8 +257,8 @@
 	return b, ok, nil
 }
 
-// change executes a write after a random latency, or after a stall of the disk. If the process dies meanwhile, a
-// random prefix of b is written, as by a power loss at any byte.
+// change applies a write of b to a file after a random latency, or after the stall that the disk's fault sets. If the
+// process is killed meanwhile, a random prefix of b is written, as with a power loss in the middle of a write.
 func (d *disk) change(name string, b []byte, write func(old, b []byte) []byte) error {
 	if !d.proc.awaitRunning() {
 		return errProcessDead
--- a/internal/sim/clustersim/race_test.go
+++ b/internal/sim/clustersim/race_test.go
@@ -2,6 +2,6 @@
 
 package clustersim
 
-// raceDetector reports that the race detector is on: its runtime doesn't support so long a run of so many goroutines in
-// a bubble of virtual time.
+// raceDetector is true if the test binary was built with -race. Simulations are then skipped: the race detector's
+// runtime doesn't support runs of this length and this many goroutines in a testing/synctest bubble.
 const raceDetector = true
--- a/internal/sim/clustersim/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -9,7 +9,7 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-// scenario returns the scenario of a name, at ten requests a second.
+// scenario returns the test bed scenario with the given name, at ten requests a second.
 func scenario(t *testing.T, name string) testbed.Scenario {
 	t.Helper()
 	l, err := testbed.Scenarios()
@@ -22,12 +22,12 @@
 			return scenario
 		}
 	}
-	t.Fatalf("no scenario %s", name)
+	t.Fatalf("test bed has no scenario %q", name)
 	return testbed.Scenario{}
 }
 
-// Retirements under traffic succeed without a violation. The first one is compared with the same traffic without a
-// retirement: no more requests may miss their deadline.
+// The retirement of a base model under traffic violates no invariant. The first scenario is compared with the same
+// traffic without a retirement: no more requests may miss their deadline.
 func TestRetirementsUnderTraffic(t *testing.T) {
 	late := func(report *testbed.Report) int { return report.Sum.Requests - report.Sum.Sealed }
 	for _, name := range []string{"retire-calm", "retire-troubles", "retire-abort"} {
@@ -45,15 +45,15 @@
 		comparison := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		t.Log(testbed.Line(comparison))
 		if a, b := late(report), late(comparison); a > b {
-			t.Errorf("%d of %d requests weren't completed in time with a retirement, %d of %d without", a, report.Sum.Requests, b, comparison.Sum.Requests)
+			t.Errorf("requests not completed before their deadline: %d of %d with a retirement, want no more than the %d of %d without one", a, report.Sum.Requests, b, comparison.Sum.Requests)
 		}
 	}
 }
 
-// A retirement completes, and the invariants hold, under mixtures of faults that are drawn from seeds. Left out are faults
-// that the checks can't distinguish from the retirement (other weights of the base model), and those that never end (a
-// drained worker that isn't replaced). `TABLE_SEEDS=20 go test ./internal/sim/clustersim -run
-// TestMixturesInARetirement -timeout 2h` plays many.
+// The retirement of a base model completes, and the invariants hold, under combinations of faults that are drawn at
+// random from a seed. Left out are faults that the checks can't distinguish from the retirement (other weights of the
+// base model), and those that never end (a drained worker that isn't replaced). `TABLE_SEEDS=20 go test
+// ./internal/sim/clustersim -run TestMixturesInARetirement -timeout 2h` runs twenty seeds.
 func TestMixturesInARetirement(t *testing.T) {
 	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 1)
 	for seed := from; seed < from+n; seed++ {
@@ -84,8 +84,8 @@
 	}
 }
 
-// A measurement of the duration of a retirement over the number of workers that migrate at once. `TABLE_PACES=1,2,3,6 go
-// test ./internal/sim/clustersim -run TestPaces -v` prints a line for each.
+// Measures how long the retirement of a base model takes, by the number of workers that migrate at once.
+// `TABLE_PACES=1,2,3,6 go test ./internal/sim/clustersim -run TestPaces -v` prints a line for each number.
 func TestPaces(t *testing.T) {
 	words := os.Getenv("TABLE_PACES")
 	if words == "" {
@@ -98,12 +98,13 @@
 		if len(r.Faults) > 0 {
 			t.Errorf("%v", r.Faults)
 		}
-		fmt.Printf("%s of 18 at once: %s; unanswered %d of %d\n", n, strings.Join(r.Steps, ", "), r.Sum.Requests-r.Sum.Sealed, r.Sum.Requests)
+		fmt.Printf("%s of 18 workers migrate at once: %s; requests without a complete response: %d of %d\n", n, strings.Join(r.Steps, ", "), r.Sum.Requests-r.Sum.Sealed, r.Sum.Requests)
 	}
 }
 
-// Planted faults of a retirement are detected: a worker that reports adapters it hasn't loaded blocks the barrier, so that
-// the old base model stays, and clients detect a response of the wrong adapter.
+// The checks of a run detect deliberate faults in the retirement of a base model: a worker that reports adapters it
+// hasn't loaded fails the verification before the unload, so that the old base model stays, and clients detect a
+// response of the wrong adapter.
 func TestPlantedFaultsOfARetirement(t *testing.T) {
 	step := func(at int, do, who, to string) testbed.Step {
 		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
@@ -127,7 +128,7 @@
 			return cluster
 		})
 		if all := strings.Join(report.Faults, "\n"); !strings.Contains(all, planted.want) {
-			t.Errorf("%s: %q isn't among the faults:\n%.1500s", planted.point, planted.want, all)
+			t.Errorf("%s: want a violation that contains %q, got:\n%.1500s", planted.point, planted.want, all)
 		}
 	}
 }
