--- a/internal/sim/clustersim/cluster.go
+++ b/internal/sim/clustersim/cluster.go
@@ -63,10 +63,10 @@
 	processes       map[string]*proc
 	starts          int
 	machines        map[string]*machine
-	hosts           map[netip.Addr]string // machine name by IP address
+	machineNames    map[netip.Addr]string // machine name by IP address
 	listeners       map[string]*listener
 	files           map[string]*file
-	outside         *proc               // stands for the clients and operators outside the site
+	outsideProcess  *proc               // stands for the clients and operators outside the site
 	tamperWithReads func([]byte) []byte // test fault: rewrites bytes that clients and operators receive; nil: none
 }
 
@@ -96,17 +96,17 @@
 // Example: cluster := clustersim.New(7, site); defer cluster.Stop()
 func New(seed uint64, site *testbed.Site) *Cluster {
 	cluster := &Cluster{
-		Links:       testbed.NewLinks(),
-		seed:        seed,
-		begin:       time.Now(),
-		dialTimeout: settings.DefaultBounds().Leave(1.0 / 3),
-		processes:   map[string]*proc{},
-		machines:    map[string]*machine{},
-		hosts:       map[netip.Addr]string{},
-		listeners:   map[string]*listener{},
-		files:       map[string]*file{},
+		Links:        testbed.NewLinks(),
+		seed:         seed,
+		begin:        time.Now(),
+		dialTimeout:  settings.DefaultBounds().Leave(1.0 / 3),
+		processes:    map[string]*proc{},
+		machines:     map[string]*machine{},
+		machineNames: map[netip.Addr]string{},
+		listeners:    map[string]*listener{},
+		files:        map[string]*file{},
 	}
-	cluster.outside = newProc(cluster, testbed.Process{}, cluster.machine(outsideMachine), seed)
+	cluster.outsideProcess = newProc(cluster, testbed.Process{}, cluster.machine(outsideMachine), seed)
 	for _, process := range site.Processes {
 		cluster.machineOf(process)
 	}
@@ -132,7 +132,7 @@
 	defer c.mu.Unlock()
 	for _, text := range []string{p.Settings.Listen, p.Settings.Public, p.Settings.Operator} {
 		if addr, err := netip.ParseAddrPort(text); err == nil {
-			c.hosts[addr.Addr()] = p.Settings.Name
+			c.machineNames[addr.Addr()] = p.Settings.Name
 		}
 	}
 	return c.machine(p.Settings.Name)
@@ -151,7 +151,7 @@
 func (c *Cluster) machineAt(a netip.Addr) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hosts[a]
+	return c.machineNames[a]
 }
 
 // delay returns the one-way network delay from machine m to the machine named to, whose address is addr.
@@ -161,7 +161,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for a, n := range c.hosts {
+	for a, n := range c.machineNames {
 		if n == m.name && strings.Split(a.String(), ".")[2] == strings.Split(addr, ".")[2] {
 			return sameZoneDelay
 		}
@@ -331,7 +331,7 @@
 //
 // Example: conn, err := cluster.Dial(ctx, "tcp", "127.10.1.11:8080")
 func (c *Cluster) Dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	return c.outside.dial(ctx, network, addr)
+	return c.outsideProcess.dial(ctx, network, addr)
 }
 
 // Stop kills every process of the cluster and waits until their goroutines have ended.
@@ -349,6 +349,6 @@
 		c.stopGracefully(p, 0)
 	}
 	c.wg.Wait()
-	c.outside.kill()
+	c.outsideProcess.kill()
 	<-time.After(pendingTimersTimeout)
 }
--- a/internal/sim/clustersim/cluster_test.go
+++ b/internal/sim/clustersim/cluster_test.go
@@ -21,7 +21,7 @@
 	}
 	n, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
-		t.Fatalf("%s: %v", key, err)
+		t.Fatalf("environment variable %s: %v", key, err)
 	}
 	return n
 }
@@ -40,7 +40,7 @@
 			return on(s), nil
 		})
 		if err != nil {
-			t.Error(err)
+			t.Errorf("run scenario %s on site %s: %v", scenario.Name, site, err)
 		}
 	})
 	if rep == nil {
@@ -49,16 +49,16 @@
 	return rep
 }
 
-// judgedScenario is a scenario that uses every kind of configuration change an operator has. The linearizability check
-// of its history must cover at least minJudged operations.
+// historyScenario is a scenario that uses every kind of configuration change an operator has. The linearizability check
+// of its history must cover at least minCheckedOperations operations.
 const (
-	judgedScenario = "keys-and-drains"
-	minJudged      = 100
+	historyScenario      = "keys-and-drains"
+	minCheckedOperations = 100
 )
 
-// scenariosOfCI are the scenarios that run if TABLE_SCENARIO isn't set: the first one on every site, the others on the
+// ciScenarios are the scenarios that run if TABLE_SCENARIO isn't set: the first one on every site, the others on the
 // site that the scenario names.
-var scenariosOfCI = []string{"all-together", judgedScenario, "runbooks"}
+var ciScenarios = []string{"all-together", historyScenario, "runbooks"}
 
 // The scenarios of the test bed run in virtual time without a violation of the invariants. `TABLE_SCENARIO=all go test
 // ./internal/sim/clustersim -run TestScenarios -timeout 2h` runs all of them; TABLE_SITE, TABLE_SEED and TABLE_SEEDS
@@ -70,14 +70,14 @@
 	}
 	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 1)
 	for _, scenario := range l {
-		if w := os.Getenv("TABLE_SCENARIO"); w != "all" && w != scenario.Name && (w != "" || !slices.Contains(scenariosOfCI, scenario.Name)) {
+		if w := os.Getenv("TABLE_SCENARIO"); w != "all" && w != scenario.Name && (w != "" || !slices.Contains(ciScenarios, scenario.Name)) {
 			continue
 		}
 		for _, site := range testbed.Sites() {
 			if w := os.Getenv("TABLE_SITE"); w != "" && w != site {
 				continue
 			}
-			if os.Getenv("TABLE_SCENARIO") == "" && scenario.Name != scenariosOfCI[0] && scenario.Site != site {
+			if os.Getenv("TABLE_SCENARIO") == "" && scenario.Name != ciScenarios[0] && scenario.Site != site {
 				continue
 			}
 			for seed := from; seed < from+n; seed++ {
@@ -87,11 +87,11 @@
 					}
 					r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster { return New(seed, s) })
 					t.Log(testbed.Line(r))
-					if scenario.Name == judgedScenario && r.Judged < minJudged {
-						t.Errorf("linearizability check covered %d operations on the configuration, want at least %d", r.Judged, minJudged)
+					if scenario.Name == historyScenario && r.Judged < minCheckedOperations {
+						t.Errorf("linearizability check covered %d operations on the configuration, want at least %d", r.Judged, minCheckedOperations)
 					}
 					if len(r.Faults) > 0 {
-						t.Errorf("%d faults:\n%s\nsteps:\n%s\nreplay: TABLE_SCENARIO=%s TABLE_SITE=%s TABLE_SEED=%d go test ./internal/sim/clustersim -run TestScenarios -v",
+						t.Errorf("%d violations, want none:\n%s\nsteps:\n%s\nreplay: TABLE_SCENARIO=%s TABLE_SITE=%s TABLE_SEED=%d go test ./internal/sim/clustersim -run TestScenarios -v",
 							len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"), scenario.Name, site, seed)
 					}
 				})
@@ -131,7 +131,7 @@
 					i++
 				}
 			}
-			t.Errorf("%d faults:\n%s\nsteps:\n%s\nreplay: TABLE_SEED=%d TABLE_SEEDS=1 TABLE_SHRINK=1 go test ./internal/sim/clustersim -run TestMixtures -v",
+			t.Errorf("%d violations, want none:\n%s\nsteps:\n%s\nreplay: TABLE_SEED=%d TABLE_SEEDS=1 TABLE_SHRINK=1 go test ./internal/sim/clustersim -run TestMixtures -v",
 				len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"), seed)
 		})
 	}
--- a/internal/sim/clustersim/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -15,8 +15,8 @@
 // `TABLE_COMPARE="kv=6000 skew=1.0 link=40000" TABLE_SITE=paramo TABLE_SEEDS=5 go test ./internal/sim/clustersim -run
 // TestCompare -v -timeout 3h` prints a table of the modes; each seed is run with every mode in turn.
 func TestCompare(t *testing.T) {
-	words := os.Getenv("TABLE_COMPARE")
-	if words == "" {
+	options := os.Getenv("TABLE_COMPARE")
+	if options == "" {
 		t.Skip("measurement of placement modes; set TABLE_COMPARE to run it")
 	}
 	site, modes := os.Getenv("TABLE_SITE"), testbed.Modes()
@@ -28,36 +28,36 @@
 	for seed := from; seed < from+seeds; seed++ {
 		for _, mode := range modes {
 			scenario := testbed.Scenario{Name: mode, RecoveryMs: 1000, AfterRecoveryMs: 59000}
-			report := runScenario(t, scenario, site, seed, func(laidOut *testbed.Site) *Cluster {
-				v := laidOut.Config.Services[laidOut.Traffic.Model+"-main"]
+			report := runScenario(t, scenario, site, seed, func(layout *testbed.Site) *Cluster {
+				v := layout.Config.Services[layout.Traffic.Model+"-main"]
 				v.Placement = mode
-				laidOut.Config.Services[laidOut.Traffic.Model+"-main"] = v
-				laidOut.Traffic.Rate = map[string]float64{"paramo": 45, "daegu": 30}[site]
-				for _, option := range strings.Fields(words) {
+				layout.Config.Services[layout.Traffic.Model+"-main"] = v
+				layout.Traffic.Rate = map[string]float64{"paramo": 45, "daegu": 30}[site]
+				for _, option := range strings.Fields(options) {
 					if x, ok := strings.CutPrefix(option, "skew="); ok {
-						for i := range laidOut.Traffic.Kinds {
-							if _, err := fmt.Sscan(x, &laidOut.Traffic.Kinds[i].Skew); err != nil {
+						for i := range layout.Traffic.Kinds {
+							if _, err := fmt.Sscan(x, &layout.Traffic.Kinds[i].Skew); err != nil {
 								t.Fatal(err)
 							}
 						}
 						continue
 					}
-					for i := range laidOut.Processes {
-						if laidOut.Processes[i].Program == programs.WorkerSim { // the first of several options with the same name has effect
-							laidOut.Processes[i].Settings.Options = append([]string{option}, laidOut.Processes[i].Settings.Options...)
+					for i := range layout.Processes {
+						if layout.Processes[i].Program == programs.WorkerSim { // the first of several options with the same name has effect
+							layout.Processes[i].Settings.Options = append([]string{option}, layout.Processes[i].Settings.Options...)
 						}
 					}
 				}
-				return New(seed, laidOut)
+				return New(seed, layout)
 			})
 			if len(report.Faults) > 0 {
-				t.Errorf("%s, seed %d: %v", mode, seed, report.Faults)
+				t.Errorf("placement mode %s, seed %d: violations %v, want none", mode, seed, report.Faults)
 			}
 			got[mode] = append(got[mode], report)
 		}
 	}
-	fmt.Printf("%s, %s, seeds %d to %d: median (least to most)\n| placement | hit share | fetched share | R_max | replicated | prefilled | load max/mean | first piece ms, median | 95th |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
-		site, words, from, from+seeds-1)
+	fmt.Printf("site %s, options %s, seeds %d to %d: median (minimum to maximum)\n| placement | hit share | fetched share | R_max | replicated | prefilled | load max/mean | first chunk ms, median | 95th percentile |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
+		site, options, from, from+seeds-1)
 	for _, mode := range modes {
 		col := func(form string, f func(*testbed.Report) float64) string {
 			var l []float64
--- a/internal/sim/clustersim/network.go
+++ b/internal/sim/clustersim/network.go
@@ -199,7 +199,7 @@
 			return 0, nil
 		}
 		n, wait, changed, rulesChanged, err := c.in.read(b)
-		if n > 0 && c.proc == c.proc.cluster.outside && c.proc.cluster.tamperWithReads != nil {
+		if n > 0 && c.proc == c.proc.cluster.outsideProcess && c.proc.cluster.tamperWithReads != nil {
 			n = copy(b, c.proc.cluster.tamperWithReads(b[:n]))
 		}
 		if n > 0 || err != nil {
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -60,19 +60,19 @@
 		{"chunks are lost", "where 1 was due", nil, 1000, nil, replaceBytes(`"n":1,`, `"n":2,`)},
 		{"a seal is missing", "seal", nil, 1000, nil, replaceBytes(`"seal"`, `"seel"`)},
 		{"a revoked key is accepted", "was accepted", partition, 2000, stale, nil},
-		{"a drained worker gets requests", "after it was drained", partition, 2000, stale, nil},
-		{"older weights start", "on weights 1", []testbed.Step{step(1000, "weights", "", "2")}, 26000, func(site *testbed.Site) {
+		{"a drained worker receives requests", "after it was drained", partition, 2000, stale, nil},
+		{"a request runs on older weights than configured", "on weights 1", []testbed.Step{step(1000, "weights", "", "2")}, 26000, func(site *testbed.Site) {
 			plantWorkerFault(site, "deaf", 2)
 			loosenBounds(site, programs.Proxy, func(b *settings.Bounds) { b.WeightsMs = 600000 })
 		}, nil},
-		{"another tenant's cache", "under its tenant", nil, 1000, func(site *testbed.Site) { plantWorkerFault(site, "walls", 1) }, nil},
+		{"a worker shares its prefix cache between tenants", "under its tenant", nil, 1000, func(site *testbed.Site) { plantWorkerFault(site, "walls", 1) }, nil},
 		{"too many retries", "extra runs on", nil, 12000, func(site *testbed.Site) {
 			plantWorkerFault(site, "dies", 2)
 			loosenBounds(site, programs.Proxy, func(b *settings.Bounds) { b.RetryPercent, b.RetryAllowance = 100, 10000 })
 		}, nil},
 		{"an acknowledged configuration is lost", "doesn't return the configuration", []testbed.Step{step(1000, "kill", "archive-*", ""), step(1001, "wipe", "archive-*", ""), step(1100, "start", "archive-*", "")}, 4000, nil, nil},
 		{"service doesn't recover", "service did not recover", []testbed.Step{step(1000, "freeze", "dispatcher-edge-[1-5]", "")}, 3000, nil, nil},
-		{"nothing", "", nil, 1000, nil, nil},
+		{"no planted fault", "", nil, 1000, nil, nil},
 	} {
 		t.Run(planted.point, func(t *testing.T) {
 			scenario := testbed.Scenario{Name: "planted", Rate: 10, Steps: planted.steps, RecoveryMs: planted.heal, AfterRecoveryMs: 3000, ReadAll: true}
--- a/internal/sim/clustersim/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -35,7 +35,7 @@
 		report := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		t.Log(testbed.Line(report))
 		if len(report.Faults) > 0 {
-			t.Errorf("%s:\n%s\n%s", name, strings.Join(report.Faults, "\n"), strings.Join(report.Steps, "\n"))
+			t.Errorf("scenario %s: violations, want none:\n%s\nsteps:\n%s", name, strings.Join(report.Faults, "\n"), strings.Join(report.Steps, "\n"))
 		}
 		if name != "retire-calm" {
 			continue
@@ -78,7 +78,7 @@
 			r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster { return New(seed, s) })
 			t.Logf("%s: %s", testbed.Line(r), scenario.About)
 			if len(r.Faults) > 0 {
-				t.Errorf("%d faults:\n%s\nsteps:\n%s", len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"))
+				t.Errorf("%d violations in a retirement under faults, want none:\n%s\nsteps:\n%s", len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"))
 			}
 		})
 	}
@@ -87,24 +87,24 @@
 // Measures how long the retirement of a base model takes, by the number of workers that migrate at once.
 // `TABLE_PACES=1,2,3,6 go test ./internal/sim/clustersim -run TestPaces -v` prints a line for each number.
 func TestPaces(t *testing.T) {
-	words := os.Getenv("TABLE_PACES")
-	if words == "" {
-		t.Skip("a measurement: run it by hand")
+	concurrencies := os.Getenv("TABLE_PACES")
+	if concurrencies == "" {
+		t.Skip("measurement of retirement durations; set TABLE_PACES to run it")
 	}
-	for _, n := range strings.Split(words, ",") {
+	for _, n := range strings.Split(concurrencies, ",") {
 		scenario := scenario(t, "retire-calm")
 		scenario.Steps[0].Argument = `{"shares":[100],"at_once":` + n + `}`
 		r := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		if len(r.Faults) > 0 {
-			t.Errorf("%v", r.Faults)
+			t.Errorf("retirement with %s workers at once: violations %v, want none", n, r.Faults)
 		}
 		fmt.Printf("%s of 18 workers migrate at once: %s; requests without a complete response: %d of %d\n", n, strings.Join(r.Steps, ", "), r.Sum.Requests-r.Sum.Sealed, r.Sum.Requests)
 	}
 }
 
 // The checks of a run detect deliberate faults in the retirement of a base model: a worker that reports adapters it
-// hasn't loaded fails the verification before the unload, so that the old base model stays, and clients detect a
-// response of the wrong adapter.
+// hasn't loaded rejects the proof requests that must succeed before the old base model is unloaded, so that the old
+// base model stays; and clients detect a response that was generated with the wrong adapter.
 func TestPlantedFaultsOfARetirement(t *testing.T) {
 	step := func(at int, do, who, to string) testbed.Step {
 		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
@@ -115,7 +115,7 @@
 		tamper             func([]byte) []byte
 	}{
 		{"a worker reports adapters that it hasn't loaded", "its proof failed", "done", 18, nil},
-		{"a response of another adapter", "isn't what", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
+		{"a response is generated with another adapter", "isn't what", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
 	} {
 		scenario := testbed.Scenario{Name: "planted", Retire: true, Rate: 10, RecoveryMs: 1000, AfterRecoveryMs: 2000,
 			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", planted.state)}}
--- a/internal/sim/history/check.go
+++ b/internal/sim/history/check.go
@@ -11,15 +11,15 @@
 	"pebbleloom/internal/maputil"
 )
 
-// Result is what Check found.
+// Result is the result of a linearizability check of a History.
 type Result struct {
-	Operations    int      // attempts and reads that were checked
-	Indeterminate int      // attempts whose outcome is unknown
-	Violations    []string // one for each document whose history isn't linearizable, or wasn't checked in time
+	Operations    int      // number of attempts and reads that were checked
+	Indeterminate int      // number of attempts at a change with outcome Unknown
+	Violations    []string // a message for each document whose history isn't linearizable or wasn't checked within the limit
 }
 
-// Check checks the history of each document by itself, for so long at most. A check that isn't done
-// within the limit is a violation.
+// Check checks the history of each document separately for linearizability. If the check of a document takes longer
+// than limit, that is reported as a violation.
 //
 // Example: result := h.Check(10 * time.Second)
 func (h *History) Check(limit time.Duration) Result {
@@ -38,16 +38,16 @@
 		result.Indeterminate += indeterminate
 		switch model := model(); porcupine.CheckOperationsTimeout(model, ops, limit) {
 		case porcupine.Illegal:
-			result.Violations = append(result.Violations, fmt.Sprintf("the history of %s isn't linearizable: %s", key, explain(model, ops, limit)))
+			result.Violations = append(result.Violations, fmt.Sprintf("history of document %s isn't linearizable: %s", key, explain(model, ops, limit)))
 		case porcupine.Unknown:
-			result.Violations = append(result.Violations, fmt.Sprintf("the history of %s (%d operations, %d after reduction) wasn't checked within %v", key, len(byKey[key]), len(ops), limit))
+			result.Violations = append(result.Violations, fmt.Sprintf("history of document %s (%d operations, %d after reduction) wasn't checked for linearizability within %v", key, len(byKey[key]), len(ops), limit))
 		}
 	}
 	return result
 }
 
-// explain describes the end of the longest linearization of a part of the operations, and the first of
-// those that can't follow it.
+// explain describes why a history isn't linearizable: the last operations of the longest partial linearization that
+// the checker found, and the operations of which none can come next.
 func explain(model porcupine.Model, ops []porcupine.Operation, limit time.Duration) string {
 	_, info := porcupine.CheckOperationsVerbose(model, ops, limit)
 	var longest []porcupine.Operation
@@ -72,7 +72,7 @@
 	for _, op := range longest[max(0, len(longest)-shown):] {
 		descriptions = append(descriptions, model.DescribeOperation(op.Input, op.Output))
 	}
-	descriptions = append(descriptions, "then none of")
+	descriptions = append(descriptions, "none of these operations can come next:")
 	for _, op := range others[:min(shown, len(others))] {
 		descriptions = append(descriptions, model.DescribeOperation(op.Input, op.Output))
 	}
--- a/internal/sim/history/history.go
+++ b/internal/sim/history/history.go
@@ -1,44 +1,45 @@
-// Package history records what operators and readers see of versioned documents, and checks the record
-// for linearizability. Simulators and tests use it; no program of the product does.
+// Package history records the operations of clients on versioned documents and checks the record for linearizability.
+// Only simulators and tests use it.
 //
-// A document is modelled as a register with a version, compare-and-set by version, and reads. A change
-// that is retried under its token is the same change: it takes effect once at the most.
+// A document is modelled as a register with a version, compare-and-set by version, and reads. Attempts with the same
+// idempotency token are retries of one change, which takes effect at most once.
 package history
 
 import "sync"
 
-// Outcome is the answer that an operator got to one attempt at a change.
+// Outcome is the result of one attempt at a change, as far as the client knows it.
 type Outcome int
 
-// Outcomes of an attempt.
+// Outcomes of an attempt at a change.
 const (
-	Unknown      Outcome = iota // no definite answer: it may take effect at any later time, or never
-	Acknowledged                // it took effect
-	Rejected                    // another version is current
-	Invalid                     // the content is rejected, whatever the version
-	NotExecuted                 // the node answered that this attempt was not executed
+	Unknown      Outcome = iota // no definite response: the change may take effect at any later time, or never
+	Acknowledged                // the change took effect
+	Rejected                    // not applied: the document has another version than the change's base
+	Invalid                     // not applied: the content is invalid on any version
+	NotExecuted                 // the server responded that it didn't execute this attempt; a retry may be applied
 )
 
-// String is the outcome in words, for messages.
+// String returns the outcome in words.
 //
 // Example: Acknowledged.String() // "acknowledged"
 func (o Outcome) String() string {
 	return [...]string{"unknown", "acknowledged", "rejected", "invalid", "not executed"}[o]
 }
 
-// Change is a change that an operator wants to make. Attempts with the same token are the same change.
+// Change is a change of a document that a client requests. Attempts with the same token are retries of one change.
 type Change struct {
 	Key         string
-	Token       string // empty: each attempt is a change by itself
-	BaseVersion uint64 // the version that it builds on
-	AnyVersion  bool   // it builds on whatever version is current
-	NewVersion  uint64 // the version that it makes; 0: the next one
-	Body        string // the content that it makes; empty: unknown, as of a patch
+	Token       string // idempotency token; empty: each attempt is a separate change
+	BaseVersion uint64 // version of the document that the change applies to
+	AnyVersion  bool   // the change applies to any version; BaseVersion is ignored
+	NewVersion  uint64 // version of the document after the change; 0: the current version plus one
+	Body        string // content of the document after the change; empty: unknown, as with a patch
 }
 
-// observation is one attempt at a change, or one read. Its times count the calls and answers of a History.
+// observation is one attempt at a change, or one read. calledAt and returnedAt are readings of the logical clock of
+// its History.
 type observation struct {
-	change     *Change // nil: a read
+	change     *Change // nil if the observation is a read
 	key        string
 	calledAt   int64
 	returnedAt int64
@@ -47,27 +48,27 @@
 	body       string
 }
 
-// History is a record of attempts and reads, in the order in which they were called and answered. It may
-// be used by several goroutines. The zero value is an empty history.
+// History records attempts at changes and reads, with the order of their calls and responses. It is safe for
+// concurrent use. The zero value is an empty history.
 type History struct {
 	mu           sync.Mutex
-	clock        int64 // counts calls and answers
+	clock        int64 // logical clock: number of calls and responses so far
 	observations []*observation
 }
 
-// Attempt is an attempt at a change that isn't answered yet.
+// Attempt is an attempt at a change that was sent; Complete records its response.
 type Attempt struct {
 	history     *History
 	observation *observation
 }
 
-// Read is a read that isn't answered yet.
+// Read is a read of a document that was sent; Complete records its response.
 type Read struct {
 	history     *History
 	observation *observation
 }
 
-// BeginAttempt records that an attempt at a change is sent. Until it is answered its outcome is Unknown.
+// BeginAttempt records that an attempt at a change is sent. Its outcome is Unknown until Complete is called.
 //
 // Example: attempt := h.BeginAttempt(history.Change{Key: "plan", Token: "t1", BaseVersion: 3, NewVersion: 4, Body: "x"})
 func (h *History) BeginAttempt(change Change) *Attempt {
@@ -79,7 +80,7 @@
 	return &Attempt{h, current}
 }
 
-// Complete records how an attempt was answered, and the version that the answer named (0: none).
+// Complete records the outcome of an attempt, and the document version in its response (0: the response has none).
 //
 // Example: attempt.Complete(history.Acknowledged, 4)
 func (a *Attempt) Complete(outcome Outcome, version uint64) {
@@ -89,7 +90,7 @@
 	a.observation.returnedAt, a.observation.outcome, a.observation.version = a.history.clock, outcome, version
 }
 
-// BeginRead records that a read is sent. One that is never answered isn't part of the history.
+// BeginRead records that a read of a document is sent. A read without a response isn't part of the history.
 //
 // Example: read := h.BeginRead("plan")
 func (h *History) BeginRead(key string) *Read {
@@ -99,7 +100,8 @@
 	return &Read{h, &observation{key: key, calledAt: h.clock}}
 }
 
-// Complete records what a read returned; version 0 with no body: there is no such document.
+// Complete records the version and content that a read returned; version 0 and an empty body mean that the document
+// doesn't exist.
 //
 // Example: read.Complete(4, "x")
 func (r *Read) Complete(version uint64, body string) {
--- a/internal/sim/history/operations.go
+++ b/internal/sim/history/operations.go
@@ -6,10 +6,10 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operations turns the observations of a document into the checker's operations. Attempts with an unknown
-// outcome are one operation for each change, without an end; where the change was acknowledged, they only
-// show from when on it may have taken effect. An end marker follows all that was answered. With reduced,
-// what can't change the result is left out, on which the checker would spend its time.
+// operations converts the observations of a document to the checker's operations. All attempts with an unknown outcome
+// at one change become one operation that never returns; if another attempt at the change was acknowledged, they only
+// extend its operation back to the first call. An end marker follows all operations with a known outcome. If reduced
+// is true, operations that can't change the result are left out, because they make the check slower.
 func operations(observations []*observation, reduced bool) (ops []porcupine.Operation, indeterminate int) {
 	list := operationList{}
 	firstAcks, begun := indexAttempts(observations)
@@ -38,7 +38,7 @@
 	return list, indeterminate
 }
 
-// operationList is the input of the checker; each operation is of a client of its own.
+// operationList is the input of the linearizability checker. Each operation has its own client ID.
 type operationList []porcupine.Operation
 
 func (l *operationList) add(seen *observation, calledAt, returnedAt int64) {
@@ -49,8 +49,9 @@
 	*l = append(*l, porcupine.Operation{ClientId: len(*l), Input: change, Call: calledAt, Output: seen, Return: returnedAt})
 }
 
-// addIndeterminate adds an operation for each change that may have taken effect though no attempt was
-// acknowledged. It returns the number of attempts with an unknown outcome, and the tokens that it added.
+// addIndeterminate adds one operation for each change that may have taken effect although no attempt at it was
+// acknowledged. It returns the number of attempts with an unknown outcome, and the tokens of the changes that it
+// added.
 func (l *operationList) addIndeterminate(observations []*observation, firstAcks map[string]*observation) (attempts int, merged map[string]bool) {
 	isNeverApplied := neverApplied(observations)
 	merged = map[string]bool{}
@@ -69,14 +70,14 @@
 	return attempts, merged
 }
 
-// isRepeatedAcknowledgement reports whether an acknowledgement only repeats the first one of its change. It
-// holds wherever that one does: the change took effect before the first answer, which came before this one.
+// isRepeatedAcknowledgement reports whether an observation repeats the first acknowledgement of its change with the
+// same version. It adds no condition: the change took effect before the first acknowledgement, which came earlier.
 func isRepeatedAcknowledgement(seen, first *observation) bool {
 	return seen.outcome == Acknowledged && seen.change != nil && seen.change.Token != "" && first != nil && first != seen && first.version == seen.version
 }
 
-// isVersionConstraint reports whether an operation changes nothing, and shows only that a version was current
-// at some time between its call and its answer: a read, or a rejection of a change that was never applied.
+// isVersionConstraint reports whether an observation shows only that a version was current at some time between its
+// call and its response: a read, or the rejection of a change that was never applied.
 func isVersionConstraint(seen *observation, isNeverApplied bool) bool {
 	if seen.change == nil {
 		return true
@@ -84,20 +85,21 @@
 	return seen.outcome == Rejected && seen.version != 0 && seen.change.Token != "" && isNeverApplied && !register{version: seen.version}.isApplicable(seen.change)
 }
 
-// versionConstraint is what operations show of a version that are alike but for their times.
+// versionConstraint groups the observations that differ only in their times: reads of the same version and content, or
+// rejections that name the same version.
 type versionConstraint struct {
 	version uint64
 	isRead  bool
 	body    string
 }
 
-// constraintBounds are, of all operations that show the same, the one that was answered first and the one
-// that was called last.
-type constraintBounds struct{ firstAnswered, lastCalled *observation }
+// constraintBounds are the observation that returned first and the one that was called last of all that share a
+// versionConstraint.
+type constraintBounds struct{ firstReturned, lastCalled *observation }
 
-// versionConstraints hold the bounds of each constraint. A version that is current from s to e satisfies all
-// operations of a constraint if, and only if, it satisfies these two: s is before each answer, and e after
-// each call.
+// versionConstraints maps each constraint to its bounds. A version that is current from time s to time e is consistent
+// with all observations of a constraint if and only if it is consistent with its two bounds: s must be before every
+// return, and e after every call.
 type versionConstraints map[versionConstraint]*constraintBounds
 
 func (c versionConstraints) add(seen *observation) {
@@ -107,8 +109,8 @@
 		c[constraint] = &constraintBounds{seen, seen}
 		return
 	}
-	if seen.returnedAt < bounds.firstAnswered.returnedAt {
-		bounds.firstAnswered = seen
+	if seen.returnedAt < bounds.firstReturned.returnedAt {
+		bounds.firstReturned = seen
 	}
 	if seen.calledAt > bounds.lastCalled.calledAt {
 		bounds.lastCalled = seen
@@ -117,15 +119,15 @@
 
 func (c versionConstraints) observations() (all []*observation) {
 	for _, bounds := range c {
-		if all = append(all, bounds.firstAnswered); bounds.lastCalled != bounds.firstAnswered {
+		if all = append(all, bounds.firstReturned); bounds.lastCalled != bounds.firstReturned {
 			all = append(all, bounds.lastCalled)
 		}
 	}
 	return all
 }
 
-// indexAttempts returns, by token, the attempt that was acknowledged first, and when the first attempt began
-// that may have taken effect.
+// indexAttempts returns, by change token, the attempt that was acknowledged first, and the call time of the first
+// attempt that may have taken effect.
 func indexAttempts(observations []*observation) (firstAcks map[string]*observation, begun map[string]int64) {
 	firstAcks, begun = map[string]*observation{}, map[string]int64{}
 	for _, seen := range observations {
@@ -143,19 +145,19 @@
 	return firstAcks, begun
 }
 
-// answeredVersions is what the answers show of versions.
-type answeredVersions struct {
-	byBase    map[uint64]string // the token that was acknowledged on a version
-	byVersion map[uint64]string // the token that was acknowledged as a version
-	bodies    map[uint64]string // the content that a read found under a version
-	named     map[uint64]bool   // versions that an answer names, or that a change with an answer builds on
-	overtaken map[string]bool   // tokens of changes that were rejected because a later version is current
-	allNamed  bool              // each rejection names the current version
+// responseVersions holds what the responses in a history say about the versions of a document.
+type responseVersions struct {
+	byBase     map[uint64]string // token of the acknowledged change, by its base version
+	byVersion  map[uint64]string // token of the acknowledged change, by the version that it produced
+	bodies     map[uint64]string // content that a read returned, by version
+	named      map[uint64]bool   // versions that a response names, or that are the base of a change with a response
+	superseded map[string]bool   // tokens of changes that were rejected because a version later than their base is current
+	allNamed   bool              // true if every rejection names the current version
 }
 
-func answeredVersionsOf(observations []*observation) answeredVersions {
-	versions := answeredVersions{byBase: map[uint64]string{}, byVersion: map[uint64]string{}, bodies: map[uint64]string{},
-		named: map[uint64]bool{}, overtaken: map[string]bool{}, allNamed: true}
+func versionsInResponses(observations []*observation) responseVersions {
+	versions := responseVersions{byBase: map[uint64]string{}, byVersion: map[uint64]string{}, bodies: map[uint64]string{},
+		named: map[uint64]bool{}, superseded: map[string]bool{}, allNamed: true}
 	for _, seen := range observations {
 		if seen.outcome == Unknown {
 			continue
@@ -173,19 +175,19 @@
 		case seen.version == 0:
 			versions.allNamed = false
 		case seen.outcome == Rejected && seen.version > seen.change.BaseVersion:
-			versions.overtaken[seen.change.Token] = true
+			versions.superseded[seen.change.Token] = true
 		}
 		versions.named[seen.change.BaseVersion] = true
 	}
 	return versions
 }
 
-// neverApplied returns a function that reports which changes with an unknown outcome can't have taken effect,
-// or did so unseen by any operation: another change was acknowledged on their base or as their
-// version, a read found another content under it, they were overtaken, or no answer names their version
-// though each rejection names one.
+// neverApplied returns a function that reports whether a change with an unknown outcome can't have taken effect, or
+// has taken effect without any operation observing it. That is so if another change was acknowledged on its base
+// version or with its new version, if a read returned other content for its new version, if it was rejected in favour
+// of a later version, or if no response names its new version although every rejection names a version.
 func neverApplied(observations []*observation) func(*Change) bool {
-	versions := answeredVersionsOf(observations)
+	versions := versionsInResponses(observations)
 	return func(change *Change) bool {
 		if change.Token == "" || change.NewVersion == 0 || change.AnyVersion || change.Body == "" {
 			return false
@@ -194,6 +196,6 @@
 		asVersion, versionUsed := versions.byVersion[change.NewVersion]
 		body, wasRead := versions.bodies[change.NewVersion]
 		return baseUsed && onBase != change.Token || versionUsed && asVersion != change.Token || wasRead && body != change.Body ||
-			versions.allNamed && !versions.named[change.NewVersion] || versions.overtaken[change.Token]
+			versions.allNamed && !versions.named[change.NewVersion] || versions.superseded[change.Token]
 	}
 }
--- a/internal/sim/history/operations_test.go
+++ b/internal/sim/history/operations_test.go
@@ -8,10 +8,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// randomHistory plays a few operators and readers on one register, which at times gives false answers.
+// randomHistory returns a history of random concurrent changes and reads of one document. In two of three histories
+// some responses are wrong.
 func randomHistory(random *rand.Rand) *History {
 	player := &historyPlayer{random: random, history: &History{}, state: register{bodyKnown: true}}
-	player.givesFalseAnswers = random.IntN(3) > 0
+	player.givesWrongResponses = random.IntN(3) > 0
 	for range 10 + random.IntN(14) {
 		switch random.IntN(5) {
 		case 0, 1:
@@ -19,54 +20,55 @@
 		case 2:
 			player.sendRead()
 		default:
-			player.answerOne()
+			player.respondToOne()
 		}
 	}
-	for _, answer := range player.unanswered {
-		answer()
+	for _, respond := range player.pendingResponses {
+		respond()
 	}
 	return player.history
 }
 
-// historyPlayer is a register with its clients.
+// historyPlayer simulates a document and its clients, and records their operations.
 type historyPlayer struct {
-	random            *rand.Rand
-	history           *History
-	state             register
-	changes           []Change
-	unanswered        []func()
-	givesFalseAnswers bool
+	random              *rand.Rand
+	history             *History
+	state               register
+	changes             []Change
+	pendingResponses    []func()
+	givesWrongResponses bool
 }
 
-// sendChange sends a new change, or one again that was sent before.
+// sendChange sends a new change, or retries one that was sent before.
 func (p *historyPlayer) sendChange() {
 	change := newChange(fmt.Sprint("t", len(p.changes)), p.state.version, p.state.version+1+p.random.Uint64N(2))
 	if len(p.changes) > 0 && p.random.IntN(3) == 0 {
 		change = p.changes[p.random.IntN(len(p.changes))]
 	}
 	p.changes = append(p.changes, change)
-	p.unanswered = append(p.unanswered, p.attempt(change)...)
+	p.pendingResponses = append(p.pendingResponses, p.attempt(change)...)
 }
 
 func (p *historyPlayer) sendRead() {
 	read := p.history.BeginRead(key)
 	version, body := p.state.version, p.state.body
-	if p.givesFalseAnswers && p.random.IntN(12) == 0 && version > 0 {
+	if p.givesWrongResponses && p.random.IntN(12) == 0 && version > 0 {
 		version--
 	}
-	p.unanswered = append(p.unanswered, func() { read.Complete(version, body) })
+	p.pendingResponses = append(p.pendingResponses, func() { read.Complete(version, body) })
 }
 
-func (p *historyPlayer) answerOne() {
-	if len(p.unanswered) == 0 {
+func (p *historyPlayer) respondToOne() {
+	if len(p.pendingResponses) == 0 {
 		return
 	}
-	index := p.random.IntN(len(p.unanswered))
-	p.unanswered[index]()
-	p.unanswered = append(p.unanswered[:index], p.unanswered[index+1:]...)
+	index := p.random.IntN(len(p.pendingResponses))
+	p.pendingResponses[index]()
+	p.pendingResponses = append(p.pendingResponses[:index], p.pendingResponses[index+1:]...)
 }
 
-// attempt sends a change, and returns its answer, if it gets one.
+// attempt sends a change. It returns a function that delivers the response, or none if the request or the response is
+// lost.
 func (p *historyPlayer) attempt(change Change) []func() {
 	attempt := p.history.BeginAttempt(change)
 	version, found := p.state.applied.find(change.Token)
@@ -77,20 +79,20 @@
 		p.state = p.state.apply(&change)
 		version = p.state.version
 	case p.state.isApplicable(&change):
-		return nil // the request is lost
+		return nil // the request is lost: the change isn't applied
 	default:
 		outcome, version = Rejected, p.state.version
 	}
-	if p.givesFalseAnswers && p.random.IntN(10) == 0 {
+	if p.givesWrongResponses && p.random.IntN(10) == 0 {
 		outcome = Acknowledged + Rejected - outcome
 	}
 	if p.random.IntN(4) == 0 {
-		return nil // the answer is lost
+		return nil // the response is lost
 	}
 	return []func(){func() { attempt.Complete(outcome, version) }}
 }
 
-// The reduction of a history doesn't change the result.
+// A check of the reduced operations of a history gives the same result as a check of all of them.
 func TestReductionKeepsTheResult(t *testing.T) {
 	const runs = 3000
 	random := rand.New(rand.NewPCG(17, 1))
@@ -101,7 +103,7 @@
 		reducedOps, _ := operations(history.observations, true)
 		want, got := porcupine.CheckOperationsTimeout(model(), allOps, limit), porcupine.CheckOperationsTimeout(model(), reducedOps, limit)
 		if want != got {
-			t.Fatalf("history %d: %s, reduced: %s: %s", run, want, got, explain(model(), allOps, limit))
+			t.Fatalf("check of random history %d: %s with all operations, %s after reduction: %s", run, want, got, explain(model(), allOps, limit))
 		}
 		if len(reducedOps) < len(allOps) {
 			reduced++
@@ -112,8 +114,8 @@
 			illegal++
 		}
 	}
-	t.Logf("%d linearizable, %d not, %d reduced", linearizable, illegal, reduced)
+	t.Logf("random histories: %d linearizable, %d not linearizable, %d with fewer operations after reduction", linearizable, illegal, reduced)
 	if linearizable < runs/5 || illegal < runs/5 || reduced < runs/2 {
-		t.Errorf("%d linearizable, %d not, %d reduced: the test doesn't reach both", linearizable, illegal, reduced)
+		t.Errorf("random histories: %d linearizable (want at least %d), %d not linearizable (want at least %d), %d with fewer operations after reduction (want at least %d)", linearizable, runs/5, illegal, runs/5, reduced, runs/2)
 	}
 }
--- a/internal/sim/history/register.go
+++ b/internal/sim/history/register.go
@@ -6,24 +6,24 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// register is the state of one document in the model: its version and content, and the changes that were
-// applied to it. It is never modified: each step returns another one.
+// register is the state of one document in the checker's model: its version, its content and the changes that were
+// applied to it. It is immutable: each step returns a new register.
 type register struct {
 	version      uint64
 	body         string
 	bodyKnown    bool
-	applied      *appliedChange // the last one
-	allCompleted bool           // all operations that were answered are linearized
+	applied      *appliedChange // last change that took effect; it links to the earlier ones
+	allCompleted bool           // the end marker was reached: all operations with a known outcome are linearized
 }
 
-// appliedChange is a change that took effect, in a list of all of them.
+// appliedChange is an entry in the linked list of the changes that took effect on a document, the latest first.
 type appliedChange struct {
 	token    string
 	version  uint64
 	previous *appliedChange
 }
 
-// find returns the version that the change of a token made.
+// find returns the document version that the change with a token produced, if that change took effect.
 func (a *appliedChange) find(token string) (version uint64, found bool) {
 	for applied := a; applied != nil && token != ""; applied = applied.previous {
 		if applied.token == token {
@@ -33,8 +33,9 @@
 	return 0, false
 }
 
-// model is a register with compare-and-set and reads. A change that was applied is acknowledged again with
-// its first version, or has an unknown outcome; however late it is retried, it isn't rejected.
+// model returns the checker's model of a document: a register with compare-and-set and reads. A retry of a change that
+// was applied is acknowledged with the version of the first time, or its outcome is unknown. It is never rejected,
+// however late it is sent.
 func model() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return register{bodyKnown: true} },
@@ -48,8 +49,8 @@
 	}
 }
 
-// step reports whether an operation may take place in this state, and returns the state after it. The end
-// marker has neither a change nor an observation, a read has no change.
+// step reports whether an operation with the observed result is possible in state r, and returns the state after it.
+// For a read, change is nil; for the end marker of a history, change and seen are nil.
 func (r register) step(change *Change, seen *observation) (bool, any) {
 	switch {
 	case seen == nil:
@@ -67,7 +68,7 @@
 	if seen.version != r.version || r.bodyKnown && seen.body != r.body {
 		return false, r
 	}
-	r.body, r.bodyKnown = seen.body, true // after a patch the first read shows the content
+	r.body, r.bodyKnown = seen.body, true // the content after a patch is unknown until the first read
 	return true, r
 }
 
@@ -89,9 +90,9 @@
 	return seen.version == next.version, next
 }
 
-// stepIndeterminate is a change with an unknown outcome: it takes effect where it is applicable or, once all
-// answered operations are linearized, never. So the checker doesn't try every place at which it would do
-// nothing.
+// stepIndeterminate is the step of a change with an unknown outcome. It is possible where the change takes effect or,
+// as a step without effect, after all operations with a known outcome. So the checker doesn't try every position at
+// which the change would have no effect.
 func (r register) stepIndeterminate(change *Change) (bool, any) {
 	if r.allCompleted {
 		return true, r
@@ -102,7 +103,7 @@
 	return true, r.apply(change)
 }
 
-// isApplicable reports whether a change may take effect on the current version.
+// isApplicable reports whether the change's version conditions allow it to take effect on the register's version.
 func (r register) isApplicable(change *Change) bool {
 	return (change.AnyVersion || change.BaseVersion == r.version) && (change.NewVersion == 0 || change.NewVersion > r.version)
 }
@@ -116,7 +117,7 @@
 	return next
 }
 
-// equal reports whether no later operation can distinguish two states.
+// equal reports whether two states are the same for every later operation.
 func (r register) equal(other register) bool {
 	if r.version != other.version || r.body != other.body || r.bodyKnown != other.bodyKnown || r.allCompleted != other.allCompleted {
 		return false
@@ -130,17 +131,17 @@
 	return true
 }
 
-// describe is an operation in words, with the times of its call and answer.
+// describe returns a text of an operation for messages, with the logical times of its call and response.
 func describe(change *Change, seen *observation) string {
 	if seen == nil {
-		return "end"
+		return "end of the operations with a known outcome"
 	}
 	if change == nil {
-		return fmt.Sprintf("[%d-%d] read version %d %q", seen.calledAt, seen.returnedAt, seen.version, seen.body)
+		return fmt.Sprintf("[%d-%d] read returned version %d, content %q", seen.calledAt, seen.returnedAt, seen.version, seen.body)
 	}
 	base := fmt.Sprint(change.BaseVersion)
 	if change.AnyVersion {
 		base = "any"
 	}
-	return fmt.Sprintf("[%d-%d] change %s on %s, new version %d: %s, version %d", seen.calledAt, seen.returnedAt, change.Token, base, change.NewVersion, seen.outcome, seen.version)
+	return fmt.Sprintf("[%d-%d] change with token %q on version %s, new version %d: %s, response has version %d", seen.calledAt, seen.returnedAt, change.Token, base, change.NewVersion, seen.outcome, seen.version)
 }
