--- a/internal/sim/appservicesim/appservice.go
+++ b/internal/sim/appservicesim/appservice.go
@@ -1,5 +1,5 @@
-// Package appservicesim simulates a site's application service: it responds like a worker without a cache, in few
-// chunks and without a queue.
+// Package appservicesim simulates a site's application service. It serves start requests like a worker, but has no
+// prefix cache, and it rejects a request at once if all its slots are in use.
 package appservicesim
 
 import (
@@ -14,10 +14,10 @@
 
 const (
 	concurrentRequests = 8
-	maxBody            = 1 << 20 // bytes of a request
+	maxBody            = 1 << 20 // maximum size of a request's body in bytes
 )
 
-// Start starts the application service.
+// Start starts the simulated application service.
 //
 // Example: daemon.Main(programs.AppServiceSim, "a simulated application service", need, appservicesim.Start)
 func Start(process *daemon.Process) error {
--- a/internal/sim/history/operations_test.go
+++ b/internal/sim/history/operations_test.go
@@ -8,8 +8,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// randomHistory returns a history of random concurrent changes and reads of one document. In two of three histories
-// some responses are wrong.
+// randomHistory returns a history of random concurrent changes and reads of one document. In two of three histories,
+// responses may be wrong.
 func randomHistory(random *rand.Rand) *History {
 	player := &historyPlayer{random: random, history: &History{}, state: register{bodyKnown: true}}
 	player.givesWrongResponses = random.IntN(3) > 0
--- a/internal/sim/loadgen/check.go
+++ b/internal/sim/loadgen/check.go
@@ -1,5 +1,5 @@
-// Package loadgen simulates the clients of a site. It sends requests, checks every byte of the streamed responses, and
-// compares their outcomes with the workers' journals of what they ran.
+// Package loadgen simulates the clients of a site. It sends requests, checks the content of the streamed responses,
+// and compares the outcomes with the workers' journals of the requests that they executed.
 package loadgen
 
 import (
@@ -15,44 +15,44 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// Request is one request as it was sent.
+// Request is a request of a simulated client, with what is needed to check its response.
 type Request struct {
 	ID        string
 	Kind      string
 	Tenant    string
-	Domain    string // of the prefix cache
-	Key       string // of the tenant
+	Domain    string // prefix cache domain of the tenant
+	Key       string // API key of the tenant
 	Model     string
 	Parts     []string
 	Chunks    int
 	WaitMs    int
-	Once      bool     // it may run at most once
-	Duplicate bool     // the second copy of a once-only request
-	App       bool     // for the application service, which caches no prefixes
-	ServedBy  []string // models that may serve it, base/adapter@build; none: the model that it names
+	Once      bool     // the request isn't idempotent: it may be executed at most once
+	Duplicate bool     // second copy of an at-most-once request, sent to another edge node
+	App       bool     // the request is for the application service, which has no prefix cache
+	ServedBy  []string // names of the models that may serve the request (base or base/adapter@build); none: only Model
 }
 
-// Outcome is the result of a request as its client saw it.
+// Outcome is the result of a request as seen by its client.
 type Outcome struct {
 	Request      Request
 	Sealed       bool
-	Interrupted  string // error of a stream that ended visibly incomplete; empty: none
-	Rejected     string // kind of the rejection; empty: none
+	Interrupted  string // connection error that ended the response stream early; empty: none
+	Rejected     string // kind of the rejection; empty: the request wasn't rejected
 	RetryAfterMs int
 	Worker       string
 	Final        contract.Chunk
 	Message      string
-	SentTwice    bool // it was sent to two edge nodes
+	SentTwice    bool // the request was sent to two edge nodes
 	BothSealed   bool
-	Faults       []string // violations of the contract
+	Faults       []string // violations of the service's guarantees that the client found
 	SentMs       int64
 	DurationMs   int64
-	FirstChunkAt time.Time // zero: no chunk was received
+	FirstChunkAt time.Time // time of the first line of the response; zero: none was received
 	FirstChunkMs int64
 }
 
-// ReadStream reads a response to its end and checks it. A stream that is interrupted visibly is no fault; one that ends
-// in order must be complete and be the response to this request.
+// ReadStream reads a response stream to its end and checks it. A stream that ends with a connection error is not a
+// fault. A stream that ends normally must be complete and must be the response to this request.
 //
 // Example: outcome := loadgen.ReadStream(request, "worker-3", response.Body)
 func ReadStream(request Request, worker string, r io.Reader) Outcome {
@@ -78,7 +78,7 @@
 		}
 		if errors.Is(err, io.EOF) {
 			if verifier.Sealed == nil || len(raw) > 0 {
-				outcome.Faults = append(outcome.Faults, "a stream that ended in order without its seal")
+				outcome.Faults = append(outcome.Faults, "response stream ended without an error but without the last line with its seal (checksum)")
 			}
 			break
 		}
@@ -90,7 +90,7 @@
 	}
 	outcome.Sealed, outcome.Final = true, *verifier.Sealed
 	if len(texts) != request.Chunks {
-		outcome.Faults = append(outcome.Faults, fmt.Sprintf("%d chunks received, %d requested", len(texts), request.Chunks))
+		outcome.Faults = append(outcome.Faults, fmt.Sprintf("response has %d chunks, want %d", len(texts), request.Chunks))
 	}
 	key := request.ID
 	if !request.App {
@@ -99,21 +99,22 @@
 			model = prefix.QualifiedModel(final.Model, final.Adapter, final.Build)
 		}
 		if served := servedName(final.Model, final.Adapter, final.Build); len(request.ServedBy) > 0 && !slices.Contains(request.ServedBy, served) || len(request.ServedBy) == 0 && final.Model != "" && served != request.Model {
-			outcome.Faults = append(outcome.Faults, "served by "+served+", which isn't what "+request.Model+" maps to")
+			outcome.Faults = append(outcome.Faults, "response is by model "+served+", which isn't what "+request.Model+" maps to")
 		}
 		entries := prefix.Chain(request.Domain, model, final.Weights, request.Parts)
 		key = entries[len(entries)-1].Key.String()
 	}
 	for n, t := range texts {
 		if t != contract.SyntheticText(key, outcome.Final.Weights, n) {
-			outcome.Faults = append(outcome.Faults, fmt.Sprintf("chunk %d isn't the response to this prompt under its tenant and weights", n))
+			outcome.Faults = append(outcome.Faults, fmt.Sprintf("text of chunk %d isn't the response to this prompt under its tenant and weights", n))
 			break
 		}
 	}
 	return outcome
 }
 
-// servedName returns the name of what served a request: a base model, or base/adapter@build.
+// servedName returns the name of the model that served a request: the base model, or base/adapter@build if there is an
+// adapter.
 func servedName(model, adapter string, build uint64) string {
 	if adapter == "" {
 		return model
--- a/internal/sim/loadgen/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -15,7 +15,7 @@
 
 var ask = Request{ID: "r1", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Chunks: 5, Once: true}
 
-// lines returns the lines of a correct response.
+// lines returns the lines of a correct response stream to a request, for a prefix cache domain and a weights version.
 func lines(request Request, domain string, weights uint64) [][]byte {
 	entries := prefix.Chain(domain, request.Model, weights, request.Parts)
 	seal := contract.NewSeal(request.ID, "worker-1")
@@ -36,7 +36,8 @@
 	return encoded
 }
 
-// interruptedReader is a reader that ends with an error.
+// interruptedReader reads from r, but ends with io.ErrUnexpectedEOF instead of io.EOF, as an interrupted connection
+// does.
 type interruptedReader struct{ r io.Reader }
 
 func (b interruptedReader) Read(p []byte) (int, error) {
@@ -47,35 +48,36 @@
 	return n, err
 }
 
-// ReadStream detects each fault that is planted in a correct response, and no fault in an interrupted one.
+// ReadStream reports a fault for each kind of corrupted response, and none for a response that is interrupted by a
+// connection error.
 func TestPlantedFaultsAreCaught(t *testing.T) {
 	right := func() [][]byte { return lines(ask, "shared", 3) }
 	if outcome := ReadStream(ask, "worker-1", bytes.NewReader(bytes.Join(right(), nil))); !outcome.Sealed || len(outcome.Faults) > 0 {
-		t.Fatalf("a correct response: %+v", outcome)
+		t.Fatalf("outcome of a correct response is %+v, want sealed without faults", outcome)
 	}
 	other := ask
 	other.ID = "r2"
 	for name, plant := range map[string]func([][]byte) [][]byte{
-		"a lost chunk":              func(l [][]byte) [][]byte { return append(l[:2:2], l[3:]...) },
-		"a doubled chunk":           func(l [][]byte) [][]byte { return append(l[:3:3], l[2:]...) },
-		"a splice":                  func(l [][]byte) [][]byte { return append(l[:2:2], lines(other, "shared", 3)[2:]...) },
-		"chunks swapped":            func(l [][]byte) [][]byte { l[1], l[2] = l[2], l[1]; return l },
-		"a missing seal":            func(l [][]byte) [][]byte { return l[:5] },
-		"a changed byte":            func(l [][]byte) [][]byte { l[2] = bytes.Replace(l[2], []byte(`"t":"`), []byte(`"t":"x`), 1); return l },
-		"a line after the seal":     func(l [][]byte) [][]byte { return append(l, l[5]) },
-		"another tenant's response": func([][]byte) [][]byte { return lines(ask, "t:walled", 3) },
-		"cut short, sealed anew":    func([][]byte) [][]byte { q := ask; q.Chunks = 3; return lines(q, "shared", 3) },
+		"a chunk is missing":                      func(l [][]byte) [][]byte { return append(l[:2:2], l[3:]...) },
+		"a chunk is repeated":                     func(l [][]byte) [][]byte { return append(l[:3:3], l[2:]...) },
+		"the end is of another response":          func(l [][]byte) [][]byte { return append(l[:2:2], lines(other, "shared", 3)[2:]...) },
+		"two chunks are swapped":                  func(l [][]byte) [][]byte { l[1], l[2] = l[2], l[1]; return l },
+		"the last line with the seal is missing":  func(l [][]byte) [][]byte { return l[:5] },
+		"a chunk's text is changed":               func(l [][]byte) [][]byte { l[2] = bytes.Replace(l[2], []byte(`"t":"`), []byte(`"t":"x`), 1); return l },
+		"a line follows the last line":            func(l [][]byte) [][]byte { return append(l, l[5]) },
+		"the response is of another cache domain": func([][]byte) [][]byte { return lines(ask, "t:walled", 3) },
+		"a shorter response with a matching seal": func([][]byte) [][]byte { q := ask; q.Chunks = 3; return lines(q, "shared", 3) },
 	} {
 		if outcome := ReadStream(ask, "worker-1", bytes.NewReader(bytes.Join(plant(right()), nil))); len(outcome.Faults) == 0 {
-			t.Errorf("%s: not caught: %+v", name, outcome)
+			t.Errorf("corrupted response (%s): outcome is %+v, want a fault", name, outcome)
 		}
 	}
 	if outcome := ReadStream(ask, "worker-1", interruptedReader{bytes.NewReader(bytes.Join(right()[:3], nil))}); len(outcome.Faults) > 0 || outcome.Sealed || outcome.Interrupted == "" {
-		t.Errorf("an interrupted stream is no fault: %+v", outcome)
+		t.Errorf("outcome of an interrupted stream is %+v, want interrupted, not sealed and without faults", outcome)
 	}
 }
 
-// Outcomes are checked against the workers' journals.
+// Summarize reports a fault if an outcome contradicts the workers' journals.
 func TestJournalsAreReconciled(t *testing.T) {
 	run := workersim.Run{RequestID: "r1"}
 	for _, test := range []struct {
@@ -84,22 +86,23 @@
 		js   map[string][]workersim.Run
 		want string
 	}{
-		{"ran once, sealed", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}}, ""},
-		{"a doubled run", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}, "b": {run}}, "ran 2 times"},
-		{"rejected as not executed, yet it ran", Outcome{Request: ask, Rejected: "not-run"}, map[string][]workersim.Run{"a": {run}}, "yet it ran"},
-		{"may have run, and did", Outcome{Request: ask, Rejected: "may-have-run"}, map[string][]workersim.Run{"a": {run}}, ""},
-		{"sealed, but in no journal", Outcome{Request: ask, Sealed: true}, nil, "no worker ran it"},
+		{"complete response, executed once", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}}, ""},
+		{"complete response, executed by two workers", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}, "b": {run}}, "ran 2 times"},
+		{"rejected as not executed, but executed", Outcome{Request: ask, Rejected: "not-run"}, map[string][]workersim.Run{"a": {run}}, "yet it ran"},
+		{"rejected as possibly executed, and executed", Outcome{Request: ask, Rejected: "may-have-run"}, map[string][]workersim.Run{"a": {run}}, ""},
+		{"complete response, but in no journal", Outcome{Request: ask, Sealed: true}, nil, "no worker ran it"},
 	} {
 		b := &OutcomeLog{}
 		b.Add(test.o)
 		got := strings.Join(b.Summarize(test.js, true).Faults, "; ")
 		if test.want == "" && got != "" || test.want != "" && !strings.Contains(got, test.want) {
-			t.Errorf("%s: faults %q", test.name, got)
+			t.Errorf("%s: faults %q, want one that contains %q (empty: none)", test.name, got, test.want)
 		}
 	}
 }
 
-// Of a request that was sent to two edge nodes the admitted copy counts; it is a fault if both were executed.
+// For a request that was sent to two edge nodes, the outcome of the copy that was served is counted. It is a fault if
+// both copies were served.
 func TestTwinsAreOneRequest(t *testing.T) {
 	twin := ask
 	twin.Duplicate = true
@@ -109,16 +112,16 @@
 		sealed int
 		faults bool
 	}{
-		{"the first is admitted", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Rejected: "may-have-run"}, 1, false},
-		{"the second is admitted", Outcome{Request: ask, Rejected: "may-have-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
-		{"one is rejected though the other ran", Outcome{Request: ask, Rejected: "not-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
-		{"both are admitted", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Sealed: true}, 1, true},
+		{"the first copy is served", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Rejected: "may-have-run"}, 1, false},
+		{"the second copy is served", Outcome{Request: ask, Rejected: "may-have-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
+		{"one copy is rejected as not executed, the other is served", Outcome{Request: ask, Rejected: "not-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
+		{"both copies are served", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Sealed: true}, 1, true},
 	} {
 		b := &OutcomeLog{}
 		b.Add(c.a)
 		b.Add(c.b)
 		if s := b.Summarize(map[string][]workersim.Run{"a": {{RequestID: "r1"}}}, true); s.Requests != 1 || s.SentTwice != 1 || s.Sealed != c.sealed || (len(s.Faults) > 0) != c.faults {
-			t.Errorf("%s: %+v", c.name, s)
+			t.Errorf("%s: summary is %+v, want 1 request, sent twice, %d sealed, faults = %v", c.name, s, c.sealed, c.faults)
 		}
 	}
 }
--- a/internal/sim/loadgen/client.go
+++ b/internal/sim/loadgen/client.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// Client sends requests to edge nodes and checks their responses.
+// Client sends requests to the edge nodes of a site and checks the responses.
 type Client struct {
 	Edges []string
 	http  *http.Client
 }
 
-// NewClient returns a client of edge addresses.
+// NewClient returns a client for edge nodes, given by address.
 //
 // Example: client := loadgen.NewClient([]string{"127.10.1.1:8080"})
 func NewClient(edges []string) *Client {
 	return NewClientWithDialer((&net.Dialer{Timeout: dialTimeout}).DialContext, edges)
 }
 
-// NewClientWithDialer returns a client that connects with dial.
+// NewClientWithDialer returns a client for edge nodes that opens its connections with dial.
 //
 // Example: client := loadgen.NewClientWithDialer(environment.Dial, []string{"127.10.1.1:8080"})
 func NewClientWithDialer(dial func(ctx context.Context, network, addr string) (net.Conn, error), edges []string) *Client {
@@ -38,21 +38,21 @@
 // Example: defer client.Close()
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Outcomes that the client itself finds, beside the kinds of rejections in responses.
+// Values of Outcome.Rejected for requests without a response.
 const (
-	connectionRefused = "refused"        // nothing was sent
-	unreachable       = "unreachable"    // the connection failed
-	deadlinePassed    = "held-past-wait" // no response within the request's wait and clientGrace
+	connectionRefused = "refused"        // the edge node refused the connection, so the request was not sent
+	unreachable       = "unreachable"    // the connection failed, or the URL was invalid
+	deadlinePassed    = "held-past-wait" // no response within the request's wait time plus clientGrace
 )
 
 const (
 	dialTimeout      = time.Second
-	clientGrace      = 2 * time.Second // beyond a request's wait
-	maxRejectionBody = 1 << 16         // bytes
+	clientGrace      = 2 * time.Second // time that the client waits beyond a request's wait time
+	maxRejectionBody = 1 << 16         // maximum size of a rejection's body in bytes
 )
 
-// Send sends a request to the edge node with an index and checks the response. If a node refuses the connection it
-// tries the next one.
+// Send sends a request to the edge node with index edge and checks the response. If a node refuses the connection,
+// Send tries the next one.
 //
 // Example: outcome := client.Send(ctx, 0, request)
 func (c *Client) Send(ctx context.Context, edge int, request Request) Outcome {
@@ -61,7 +61,7 @@
 	defer cancel()
 	outcome := c.sendTo(ctx, c.Edges[edge%len(c.Edges)], request)
 	for i := 1; i < len(c.Edges) && outcome.Rejected == connectionRefused; i++ {
-		outcome = c.sendTo(ctx, c.Edges[(edge+i)%len(c.Edges)], request) // nothing was sent: another edge node may be tried
+		outcome = c.sendTo(ctx, c.Edges[(edge+i)%len(c.Edges)], request) // safe to retry: a refused connection means that the request wasn't sent
 	}
 	outcome.SentMs, outcome.DurationMs = sentAt.UnixMilli(), time.Since(sentAt).Milliseconds()
 	if !outcome.FirstChunkAt.IsZero() {
@@ -70,12 +70,12 @@
 	return outcome
 }
 
-// sendTo sends a request to one edge address.
+// sendTo sends a request to the edge node at an address and checks the response.
 func (c *Client) sendTo(ctx context.Context, edge string, request Request) Outcome {
 	outcome := Outcome{Request: request}
 	raw, err := json.Marshal(map[string]any{"request_id": request.ID, "model": request.Model, "parts": request.Parts, "wait_ms": request.WaitMs, "once": request.Once, "pieces": request.Chunks})
 	if err != nil {
-		outcome.Faults = append(outcome.Faults, "request can't be encoded: "+err.Error())
+		outcome.Faults = append(outcome.Faults, "request can't be encoded as JSON: "+err.Error())
 		return outcome
 	}
 	post, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+edge+"/v1/answers", bytes.NewReader(raw))
@@ -110,7 +110,7 @@
 		}
 		if err != nil || rejection.Kind == "" {
 			rejection.Kind = fmt.Sprintf("untyped-%d", response.StatusCode)
-			outcome.Faults = append(outcome.Faults, "a rejection without a kind")
+			outcome.Faults = append(outcome.Faults, fmt.Sprintf("rejection with status %d has no kind", response.StatusCode))
 		}
 		outcome.Rejected, outcome.RetryAfterMs, outcome.Message = rejection.Kind, rejection.RetryAfterMs, rejection.Message
 		return outcome
--- a/internal/sim/loadgen/journals.go
+++ b/internal/sim/loadgen/journals.go
@@ -11,7 +11,8 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// ReadJournal reads a worker's journal. A last line that was truncated when the worker was killed is ignored.
+// ReadJournal reads all entries of a worker's journal. It ignores a last line that is truncated because the worker was
+// killed while writing it.
 //
 // Example: runs, err := loadgen.ReadJournal(file)
 func ReadJournal(f io.Reader) ([]workersim.Run, error) {
@@ -21,13 +22,13 @@
 		if err := decoder.Decode(&run); errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return runs, nil
 		} else if err != nil {
-			return runs, errs.Wrap(err, "read journal")
+			return runs, errs.Wrap(err, "read worker's journal")
 		}
 		runs = append(runs, run)
 	}
 }
 
-// Journals requests the journals of running workers, given by name and address.
+// Journals fetches the journals of running workers by HTTP. The argument maps worker names to addresses.
 //
 // Example: journals, err := loadgen.Journals(ctx, map[string]string{"worker-1": "127.10.1.21:9000"})
 func Journals(ctx context.Context, addrs map[string]string) (map[string][]workersim.Run, error) {
@@ -36,7 +37,7 @@
 	for name, addr := range addrs {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/runs", nil)
 		if err != nil {
-			return nil, errs.Wrap(err, "request journal")
+			return nil, errs.Wrap(err, "create request for the journal of worker "+name)
 		}
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
--- a/internal/sim/loadgen/summary.go
+++ b/internal/sim/loadgen/summary.go
@@ -9,18 +9,18 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-// OutcomeLog collects outcomes. It is safe for concurrent use.
+// OutcomeLog collects the outcomes of requests. It is safe for concurrent use.
 type OutcomeLog struct {
 	mu  sync.Mutex
 	all []Outcome
 }
 
-// Add adds an outcome.
+// Add adds the outcome of a request.
 //
 // Example: log.Add(outcome)
 func (b *OutcomeLog) Add(o Outcome) { b.mu.Lock(); b.all = append(b.all, o); b.mu.Unlock() }
 
-// Summary summarizes the outcomes of a run.
+// Summary holds the counts, latencies and violations of the requests of a test run.
 type Summary struct {
 	Requests        int            `json:"requests"`
 	Sealed          int            `json:"sealed"`
@@ -38,13 +38,14 @@
 	P99Ms           int64          `json:"p99_ms"`
 	First50Ms       int64          `json:"p50_first_piece_ms"`
 	First95Ms       int64          `json:"p95_first_piece_ms"`
-	OnceP50Ms       int64          `json:"p50_once_only_ms"`  // differs from RepeatableP50Ms by the cost of claims
-	RepeatableP50Ms int64          `json:"p50_repeatable_ms"` // of idempotent requests
+	OnceP50Ms       int64          `json:"p50_once_only_ms"`  // median latency of at-most-once requests; its difference from RepeatableP50Ms is the cost of claiming the requests
+	RepeatableP50Ms int64          `json:"p50_repeatable_ms"` // median latency of idempotent requests
 	Workers         map[string]int `json:"workers,omitempty"`
 	Faults          []string       `json:"faults"`
 }
 
-// All returns the outcomes; of a request that was sent twice, the one of the copy that was admitted.
+// All returns one outcome for each request. For a request that was sent to two edge nodes, it is the outcome of the
+// copy that was served.
 //
 // Example: for _, outcome := range log.All() { fmt.Println(outcome.Rejected) }
 func (b *OutcomeLog) All() []Outcome {
@@ -65,7 +66,7 @@
 		if outcome.SentTwice = ok; ok {
 			outcome.Faults = append(append([]string(nil), outcome.Faults...), duplicate.Faults...)
 			outcome.BothSealed = outcome.Sealed && duplicate.Sealed
-			if duplicate.Sealed && !outcome.Sealed { // the admitted copy counts
+			if duplicate.Sealed && !outcome.Sealed { // use the outcome of the copy that was served
 				duplicate.Faults, duplicate.SentTwice = outcome.Faults, true
 				outcome = duplicate
 			}
@@ -75,24 +76,24 @@
 	return outcomes
 }
 
-// summarizer accumulates a summary.
+// summarizer computes a Summary from single outcomes.
 type summarizer struct {
 	summary  Summary
-	timesRun map[string]int // by request ID, from the workers' journals
-	complete bool           // no journal is missing
+	timesRun map[string]int // number of executions by request ID, from the workers' journals
+	complete bool           // the journals of all workers are known
 
-	// Latencies in milliseconds of sealed responses.
+	// Latencies of complete responses in milliseconds.
 	all, once, repeatable, firstChunk []int64
 }
 
-// Limits of a summary's lists.
+// Maximum lengths of the lists Summary.Faults and Summary.Samples.
 const (
 	maxFaults  = 100
 	maxSamples = 8
 )
 
-// Summarize summarizes the outcomes and checks them against the workers' journals. complete means that no worker's
-// journal is missing.
+// Summarize summarizes the outcomes and checks them against the workers' journals. complete states that journals has
+// the journals of all workers.
 //
 // Example: sum := log.Summarize(journals, true)
 func (b *OutcomeLog) Summarize(journals map[string][]workersim.Run, complete bool) Summary {
@@ -119,7 +120,7 @@
 	}
 }
 
-// add counts an outcome.
+// add adds an outcome to the counts of the summary.
 func (s *summarizer) add(outcome Outcome) {
 	s.summary.Requests++
 	if outcome.SentTwice {
@@ -141,7 +142,7 @@
 	}
 }
 
-// addSealed counts a complete response, its tokens and its latency.
+// addSealed adds a complete response to the counts of tokens, the latencies and the load of its worker.
 func (s *summarizer) addSealed(outcome Outcome) {
 	s.summary.Sealed++
 	s.summary.CachedTokens += outcome.Final.CachedTokens
@@ -159,15 +160,16 @@
 	s.firstChunk = append(s.firstChunk, outcome.FirstChunkMs)
 	s.summary.Workers[outcome.Worker]++
 	if s.timesRun[outcome.Request.ID] == 0 && s.complete {
-		s.fault(outcome, "sealed, yet no worker ran it")
+		s.fault(outcome, "response is complete, yet no worker ran it according to the journals")
 	}
 }
 
-// check compares an outcome with the workers' journals.
+// check records a violation if the outcome contradicts the workers' journals or the request was neither served nor
+// rejected in time.
 func (s *summarizer) check(outcome Outcome) {
 	timesRun := s.timesRun[outcome.Request.ID]
 	if outcome.Rejected == deadlinePassed {
-		s.fault(outcome, "no response within its wait")
+		s.fault(outcome, "no response within the request's wait time of %d ms and %v of grace", outcome.Request.WaitMs, clientGrace)
 	}
 	if outcome.BothSealed {
 		s.fault(outcome, "both copies of an at-most-once request were executed")
@@ -176,11 +178,12 @@
 		s.fault(outcome, "an at-most-once request ran %d times", timesRun)
 	}
 	if MeansNotExecuted(outcome.Rejected) && timesRun > 0 && !outcome.SentTwice {
-		s.fault(outcome, "rejected as %s, yet it ran", outcome.Rejected)
+		s.fault(outcome, "rejected as %s, which means not executed, yet it ran according to the journals", outcome.Rejected)
 	}
 }
 
-// addShares computes the shares of tokens and the ratio of the highest to the mean load of a worker.
+// addShares computes the shares of cached and fetched tokens, and the ratio of the highest to the mean number of
+// requests per worker.
 func (s *summarizer) addShares() {
 	if tokens := s.summary.CachedTokens + s.summary.FetchedTokens + s.summary.PrefilledTokens; tokens > 0 {
 		s.summary.HitShare = float64(s.summary.CachedTokens) / float64(tokens)
@@ -195,7 +198,8 @@
 	}
 }
 
-// percentile returns the value below which a share of the values lies. It sorts them in place.
+// percentile returns the value below which the given share of the values lies; 0 if there are none. It sorts values in
+// place.
 func percentile(values []int64, share float64) int64 {
 	if len(values) == 0 {
 		return 0
@@ -204,7 +208,7 @@
 	return values[min(len(values)-1, int(float64(len(values))*share))]
 }
 
-// MeansNotExecuted reports whether a rejection's kind guarantees that the request didn't run.
+// MeansNotExecuted reports whether a rejection of this kind guarantees that the request wasn't executed.
 //
 // Example: loadgen.MeansNotExecuted("over-budget")
 func MeansNotExecuted(kind string) bool {
--- a/internal/sim/loadgen/traffic.go
+++ b/internal/sim/loadgen/traffic.go
@@ -10,44 +10,45 @@
 	"time"
 )
 
-// Tenant is a tenant that sends requests.
+// Tenant is a tenant of a site whose requests are simulated.
 type Tenant struct {
 	Name     string
 	Key      string
-	Isolated bool    // it has a cache domain of its own
-	Weight   float64 // in the traffic
+	Isolated bool    // the tenant has its own prefix cache domain
+	Weight   float64 // relative share of the traffic
 }
 
-// Kind is a kind of request of a site.
+// Kind describes a kind of request that the clients of a site send.
 type Kind struct {
 	Name           string
-	Share          float64 // of the requests to the model
-	Prefixes       int     // number of different prefixes
-	PrefixTokens   int     // tokens of a prefix
-	Skew           float64 // Zipf exponent of the prefixes
-	SessionTokens  int     // tokens of the session part after the prefix; 0: none
-	Sessions       int     // number of different sessions
-	QuestionTokens int     // tokens of the question
+	Share          float64 // share of the requests that aren't for the application service
+	Prefixes       int     // number of distinct prompt prefixes
+	PrefixTokens   int     // length of each prompt prefix in tokens
+	Skew           float64 // exponent of the Zipf distribution of prefixes
+	SessionTokens  int     // length in tokens of the session part that follows the prefix; 0: none
+	Sessions       int     // number of distinct sessions
+	QuestionTokens int     // length in tokens of the question that ends the prompt
 	Chunks         int
-	Model          string   // that they name; empty: the traffic's
-	ServedBy       []string // models that may serve them, base/adapter@build; none: the model named
+	Model          string   // model that the requests name; empty: Traffic.Model
+	ServedBy       []string // names of the models that may serve the requests (base or base/adapter@build); none: only the model that they name
 }
 
-// Traffic describes the requests of a site's clients.
+// Traffic describes the requests that the clients of a site send.
 type Traffic struct {
 	Site           string
 	Model          string
-	App            string // model of the application service
+	App            string // model name of requests to the application service
 	Tenants        []Tenant
 	Kinds          []Kind
-	Rate           float64 // requests a second
+	Rate           float64 // requests per second
 	WaitMs         int
-	OnceShare      float64 // share of requests that may run at most once
-	DuplicateShare float64 // share of these that are sent to two edge nodes
-	AppShare       float64 // share of requests to the application service
+	OnceShare      float64 // share of requests that may be executed at most once
+	DuplicateShare float64 // share of at-most-once requests that are sent to two edge nodes
+	AppShare       float64 // share of requests for the application service
 }
 
-// Source generates the requests of a seed. The same seed gives the same prompts.
+// Source generates random requests. Two sources with the same traffic and seed give the same prompts, except for the
+// questions of runs with different names.
 type Source struct {
 	traffic   Traffic
 	random    *rand.Rand
@@ -57,7 +58,7 @@
 	run       string
 }
 
-// NewSource returns a source of requests. run is part of the request ids, which must be unique within a site.
+// NewSource returns a source of random requests. run is part of the request IDs, which must be unique within a site.
 //
 // Example: source := loadgen.NewSource(traffic, 7, "a")
 func NewSource(traffic Traffic, seed uint64, run string) *Source {
@@ -76,7 +77,7 @@
 	return source
 }
 
-// repeatedText returns a text of a number of tokens, at four bytes each, that repeats a name.
+// repeatedText returns a text that repeats name up to the given number of tokens, at four bytes per token.
 func repeatedText(name string, tokens int) string {
 	var b strings.Builder
 	for b.Len() < tokens*4 {
@@ -85,7 +86,7 @@
 	return b.String()[:tokens*4]
 }
 
-// Next returns the next request.
+// Next returns the next random request.
 //
 // Example: request := source.Next()
 func (s *Source) Next() Request {
@@ -131,8 +132,8 @@
 	return request
 }
 
-// SendTraffic sends traffic at its rate, spread over all edge nodes, until ctx is done or n requests were sent, and adds
-// the outcomes to log. It returns once all requests have ended.
+// SendTraffic sends requests at the rate of traffic, to the edge nodes in turn, until ctx is done or n requests were
+// sent. It adds the outcomes to log and returns once all requests have ended.
 //
 // Example: loadgen.SendTraffic(ctx, traffic, client, 7, "a", 1000, log)
 func SendTraffic(ctx context.Context, traffic Traffic, client *Client, seed uint64, run string, n int, log *OutcomeLog) {
@@ -146,7 +147,7 @@
 		case <-tick.C:
 			request := source.Next()
 			wg.Go(func() { log.Add(client.Send(context.WithoutCancel(ctx), i, request)) })
-			if request.Once && source.random.Float64() < traffic.DuplicateShare { // an impatient client sends the same request to another edge node at once
+			if request.Once && source.random.Float64() < traffic.DuplicateShare { // simulates a client that doesn't wait for the response and sends the request to another edge node as well
 				duplicate := request
 				duplicate.Duplicate = true
 				wg.Go(func() { log.Add(client.Send(context.WithoutCancel(ctx), i+1+i%3, duplicate)) })
--- a/internal/sim/platformsim/platform.go
+++ b/internal/sim/platformsim/platform.go
@@ -1,5 +1,5 @@
-// Package platformsim simulates the platform: it lists workers, marks those that it will terminate as draining, and
-// runs health checks on the seeds.
+// Package platformsim simulates the platform that operates a site's workers: it lists the workers, marks those that it
+// will terminate as draining, and probes the health of the site's seed nodes.
 package platformsim
 
 import (
@@ -19,18 +19,18 @@
 const (
 	probeInterval = time.Second
 	probeTimeout  = time.Second
-	maxBody       = 4096 // bytes of a request
+	maxBody       = 4096 // maximum size of a request's body in bytes
 )
 
-// platform is the simulator's state.
+// platform is the state of the simulated platform.
 type platform struct {
 	mu           sync.Mutex
 	workers      map[string]contract.ListedWorker
-	probeResults map[string]string // by address: "ok" or the error
+	probeResults map[string]string // latest result of the health check by address: "ok" or the error
 	client       *http.Client
 }
 
-// Start starts the platform. Its option "list" names a file with the initial worker list.
+// Start starts the simulated platform. Its option "list" is the path of a JSON file with the initial list of workers.
 //
 // Example: daemon.Main(programs.PlatformSim, "a simulated platform", need, platformsim.Start)
 func Start(process *daemon.Process) error {
@@ -44,7 +44,7 @@
 			err = json.Unmarshal(raw, &workers)
 		}
 		if err != nil {
-			return errs.WrapAs(err, errs.BadInput, "read list "+file)
+			return errs.WrapAs(err, errs.BadInput, "read worker list "+file)
 		}
 		for _, worker := range workers {
 			platform.workers[worker.Name] = worker
@@ -80,7 +80,7 @@
 func (p *platform) putWorker(w http.ResponseWriter, r *http.Request) {
 	var x contract.ListedWorker
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&x); err != nil || x.Name == "" || x.Addr == "" {
-		http.Error(w, "give name and addr", 400)
+		http.Error(w, "worker must have a name and an addr", 400)
 		return
 	}
 	p.mu.Lock()
@@ -99,7 +99,7 @@
 	defer p.mu.Unlock()
 	x, ok := p.workers[r.PathValue("name")]
 	if !ok {
-		http.Error(w, "no such worker", 404)
+		http.Error(w, "worker "+r.PathValue("name")+" is not listed", 404)
 		return
 	}
 	x.Draining = true
--- a/internal/sim/storesim/store.go
+++ b/internal/sim/storesim/store.go
@@ -1,5 +1,5 @@
-// Package storesim simulates the prompt store: it keeps prefixes in memory up to a capacity, so that a restart empties
-// it.
+// Package storesim simulates the prompt store, from which workers fetch cached prompt prefixes. It keeps the prefixes
+// in memory only, so a restart empties the store.
 package storesim
 
 import (
@@ -16,12 +16,12 @@
 )
 
 const (
-	defaultCapacity = 400000 // tokens
+	defaultCapacity = 400000 // capacity in tokens if the option "kv" isn't a number
 	reportInterval  = 500 * time.Millisecond
-	maxBody         = 4096 // bytes of a request
+	maxBody         = 4096 // maximum size of a request's body in bytes
 )
 
-// Start starts the store. Its option "kv" is the capacity in tokens.
+// Start starts the simulated prompt store. Its option "kv" is the capacity in tokens.
 //
 // Example: daemon.Main(programs.StoreSim, "a simulated prompt store", need, storesim.Start)
 func Start(process *daemon.Process) error {
@@ -49,12 +49,12 @@
 			contract.WriteJSON(writer, 200, contract.CachedPrefix{Key: request.PathValue("key"), Tokens: n})
 			return
 		}
-		contract.WriteJSON(writer, 404, map[string]string{"error": "not held"})
+		contract.WriteJSON(writer, 404, map[string]string{"error": "prefix is not cached"})
 	})
 	mux.HandleFunc("PUT /kv/{key}", func(writer http.ResponseWriter, request *http.Request) {
 		var k contract.CachedPrefix
 		if err := json.NewDecoder(io.LimitReader(request.Body, maxBody)).Decode(&k); err != nil || k.Key != request.PathValue("key") || k.Tokens <= 0 {
-			contract.WriteJSON(writer, 400, map[string]string{"error": "give k and n"})
+			contract.WriteJSON(writer, 400, map[string]string{"error": "body must have k, the key in the path, and n, a positive number of tokens"})
 			return
 		}
 		cache.Store(k.Key, k.Tokens)
--- a/internal/sim/workersim/cache.go
+++ b/internal/sim/workersim/cache.go
@@ -1,5 +1,5 @@
-// Package workersim simulates a language-model worker: it prefills, decodes, keeps prefixes in a bounded cache, and
-// publishes cache reports, optionally late, with gaps or not at all.
+// Package workersim simulates a language-model worker: it simulates prefill and decoding, caches prompt prefixes up to
+// a capacity, and publishes reports of cache changes, optionally late, with gaps or not at all.
 package workersim
 
 import (
@@ -10,17 +10,18 @@
 	"pebbleloom/internal/contract"
 )
 
-// Cache is a worker's LRU prefix cache. Changes are collected in numbered reports. It is safe for concurrent use.
+// Cache is the LRU prefix cache of a worker. It collects its changes in numbered reports and is safe for concurrent
+// use.
 type Cache struct {
 	mu            sync.Mutex
-	capacity      int // tokens
+	capacity      int // maximum sum of the entries' tokens
 	used          int
 	order         *list.List
 	entries       map[string]*list.Element
 	number        uint64
 	openReport    contract.CacheReport
 	closedReports []contract.CacheReport
-	closedAt      []time.Duration // when each of closedReports was closed
+	closedAt      []time.Duration // time at which the report at the same index of closedReports was closed
 }
 
 type cachedEntry struct {
@@ -28,17 +29,17 @@
 	tokens int
 }
 
-// maxClosedReports is how many closed reports are kept; older ones are lost to readers.
+// maxClosedReports is the number of closed cache reports that can be read; older ones are discarded.
 const maxClosedReports = 64
 
-// NewCache returns a cache with a capacity in tokens.
+// NewCache returns an empty prefix cache with a capacity in tokens.
 //
 // Example: cache := workersim.NewCache(40000)
 func NewCache(capacity int) *Cache {
 	return &Cache{capacity: capacity, order: list.New(), entries: map[string]*list.Element{}}
 }
 
-// Lookup returns the tokens of a cached key and marks it as used.
+// Lookup returns the number of tokens of a cached prefix and marks it as most recently used.
 //
 // Example: tokens, ok := cache.Lookup(key)
 func (c *Cache) Lookup(key string) (int, bool) {
@@ -52,7 +53,8 @@
 	return e.Value.(cachedEntry).tokens, true
 }
 
-// Store caches a key and evicts the least recently used ones as necessary. A key above the capacity isn't cached.
+// Store caches a prefix by its key and evicts the least recently used prefixes as necessary. A prefix with more tokens
+// than the cache's capacity isn't cached.
 //
 // Example: cache.Store(key, 800)
 func (c *Cache) Store(key string, tokens int) {
@@ -78,7 +80,7 @@
 	c.openReport.Added = append(c.openReport.Added, contract.CachedPrefix{Key: key, Tokens: tokens})
 }
 
-// Clear removes all keys, as a change of weights does.
+// Clear removes all prefixes. Workers call it when their weights change.
 //
 // Example: cache.Clear()
 func (c *Cache) Clear() {
@@ -92,7 +94,8 @@
 	c.used = 0
 }
 
-// CloseReport closes the open report, unless it is empty. With drop the report is lost, so that its number is a gap.
+// CloseReport closes the open report of cache changes, unless it is empty. If drop is true the report is discarded, so
+// that readers see a gap in the report numbers.
 //
 // Example: cache.CloseReport(false, clock.Now())
 func (c *Cache) CloseReport(drop bool, now time.Duration) {
@@ -112,8 +115,8 @@
 	c.openReport = contract.CacheReport{}
 }
 
-// Reports returns the reports with higher numbers than after that were closed by the time until, or the complete
-// content of the cache.
+// Reports returns the cache reports with numbers above after that were closed by the time until or, if complete is
+// true, the whole content of the cache.
 //
 // Example: reports := cache.Reports(41, false, clock.Now())
 func (c *Cache) Reports(after uint64, complete bool, until time.Duration) contract.CacheReports {
@@ -129,7 +132,7 @@
 	}
 	for i, p := range c.closedReports {
 		if c.closedAt[i] > until {
-			reports.Number = p.Number - 1 // the last one that is visible
+			reports.Number = p.Number - 1 // number of the last report that readers may see
 			break
 		}
 		if p.Number > after {
@@ -139,7 +142,7 @@
 	return reports
 }
 
-// Used returns the cached tokens and the capacity.
+// Used returns the number of cached tokens and the capacity in tokens.
 //
 // Example: used, capacity := cache.Used()
 func (c *Cache) Used() (int, int) {
--- a/internal/sim/workersim/fencing.go
+++ b/internal/sim/workersim/fencing.go
@@ -1,13 +1,14 @@
 package workersim
 
-// maxLeases bounds the leases whose tokens a worker remembers.
+// maxLeases is the maximum number of leases for which a worker stores the highest fencing token.
 const maxLeases = 64
 
-// fencingTokens are the highest fencing tokens that a worker has received, by lease. Tokens of different leases
-// can't be compared: a worker that the platform moves to another service gets its orders under that one's lease.
+// fencingTokens maps each lease to the highest fencing token that a worker has received under it. Tokens of different
+// leases can't be compared: when the platform moves a worker to another service, its orders come under the lease of
+// that service.
 type fencingTokens map[string]uint64
 
-// accept reports whether an order under a token of a lease may be executed, and remembers the token.
+// accept reports whether an order with a lease and fencing token may be executed, and stores the token if so.
 func (t fencingTokens) accept(lease string, token uint64) bool {
 	highest, known := t[lease]
 	if token < highest || !known && len(t) >= maxLeases {
@@ -17,7 +18,7 @@
 	return true
 }
 
-// highest returns the highest token of all leases, which the worker's state shows.
+// highest returns the highest fencing token of all leases, which the worker reports in its state.
 func (t fencingTokens) highest() (highest uint64) {
 	for _, token := range t {
 		highest = max(highest, token)
--- a/internal/sim/workersim/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -10,23 +10,24 @@
 	"pebbleloom/internal/maputil"
 )
 
-// memory is a worker's weight memory: base models and the adapters on them. The first base model is the worker's model
-// and weights; further ones are in bases. The worker's lock protects it.
+// memory describes the accelerator memory for weights: the loaded base models and their adapters. The first base model
+// is in Worker.model and Worker.weights, further ones are in bases. Worker.mu protects all fields.
 type memory struct {
-	totalMB         int                          // 0: unlimited
-	bases           map[string]uint64            // weights of the further base models
-	adapters        map[string]map[string]uint64 // base -> adapter -> build
-	sizesMB         map[string]int               // of "base" and "base/adapter"
-	busy            map[string]int               // running and queued requests, by base
-	loading         string                       // key of sizesMB that is being loaded; empty: none
-	latestSteps     map[string]uint64            // latest step of each plan whose order was accepted
+	totalMB         int                          // size of the weight memory; 0: unlimited
+	bases           map[string]uint64            // weights version by base model, without the first one
+	adapters        map[string]map[string]uint64 // build number by base model and adapter
+	sizesMB         map[string]int               // memory use by "base" or "base/adapter"
+	busy            map[string]int               // number of running and queued requests by base model
+	loading         string                       // key in sizesMB of the load in progress; empty: none
+	latestSteps     map[string]uint64            // highest step of an accepted order, by plan
 	baseLoadTime    time.Duration
 	adapterLoadTime time.Duration
-	defaultBaseMB   int // size of the initial base model
+	defaultBaseMB   int // memory use of the base model that is loaded at the start
 }
 
-// loadInitialModels sets what is in memory at the start by the options: "empty=yes" is nothing, "adapters=a@1,b@2" are
-// adapters on the model. It fails with errs.BadInput for a malformed option.
+// loadInitialModels sets the models in memory at the start of the worker. With the option "empty=yes" there are none;
+// "adapters=a@1,b@2" lists adapters of the base model with their builds. It fails with errs.BadInput if the option
+// adapters is malformed.
 func (w *Worker) loadInitialModels() error {
 	process := w.process
 	w.memory = memory{totalMB: int(numberOption(process, "memory", 0)), bases: map[string]uint64{}, adapters: map[string]map[string]uint64{}, sizesMB: map[string]int{},
@@ -44,7 +45,7 @@
 		name, buildText, ok := strings.Cut(option, "@")
 		var build uint64
 		if _, err := fmt.Sscan(buildText, &build); !ok || err != nil {
-			return errs.New(errs.BadInput, "adapters: %q: give name@build", option)
+			return errs.New(errs.BadInput, "option adapters: %q isn't of the form name@build", option)
 		}
 		w.addAdapter(w.model, name, build, int(numberOption(process, "adapter_room", 0)))
 	}
@@ -58,7 +59,7 @@
 	w.adapters[base][adapter], w.sizesMB[base+"/"+adapter] = build, memoryMB
 }
 
-// weightsOf returns the weights of a base model in memory; 0: it isn't loaded.
+// weightsOf returns the weights version of a base model; 0 if the model isn't loaded.
 func (w *Worker) weightsOf(base string) uint64 {
 	if base == w.model && base != "" {
 		return w.weights
@@ -66,7 +67,7 @@
 	return w.bases[base]
 }
 
-// missing returns the reason why a request can't run with what is in memory, or "".
+// missing returns the reason why a request can't run with the loaded models and adapters, or "" if it can.
 func (w *Worker) missing(request *contract.StartRequest) string {
 	weights := w.weightsOf(request.Model)
 	switch {
@@ -76,13 +77,14 @@
 		return "weights"
 	case request.Adapter != "" && (w.adapters[request.Model][request.Adapter] != request.Build || request.Build == 0):
 		return "adapter"
-	case request.Adapter != "" && w.plantedFault == faultReportsUnloaded: // it reports adapters that it hasn't loaded
+	case request.Adapter != "" && w.plantedFault == faultReportsUnloaded: // test fault: the worker reports an adapter but rejects requests for it
 		return "adapter"
 	}
 	return ""
 }
 
-// loadedModels returns what is in memory. It returns nil if that is the one model only.
+// loadedModels returns the loaded base models and adapters. It returns nil if no model is loaded, or if there is only
+// the first base model without adapters and the worker has accepted no load or unload orders.
 func (w *Worker) loadedModels() []contract.LoadedModel {
 	if w.model == "" || len(w.bases) == 0 && len(w.adapters[w.model]) == 0 && len(w.latestSteps) == 0 {
 		return nil
@@ -101,7 +103,7 @@
 	return models
 }
 
-// freeMemoryMB returns the free weight memory; 0 if it is unlimited.
+// freeMemoryMB returns the free memory for weights; 0 if the memory is unlimited.
 func (w *Worker) freeMemoryMB() int {
 	if w.totalMB == 0 {
 		return 0
@@ -113,8 +115,8 @@
 	return free
 }
 
-// rejectStale returns the reason to reject an order for another incarnation, or one that was superseded by an accepted
-// order of its plan; otherwise "".
+// rejectStale returns the reason to reject a load or unload order that is for another incarnation of the worker, or
+// that has a lower step than an accepted order of its plan. It returns "" for any other order, and records its step.
 func (w *Worker) rejectStale(order *contract.Order) string {
 	switch {
 	case order.Kind != "load" && order.Kind != "unload":
@@ -128,8 +130,8 @@
 	return ""
 }
 
-// executeOrder executes an order to load or unload, or returns the reason why it can't. One load runs at a time; a base
-// model in use isn't unloaded. Orders are idempotent.
+// executeOrder executes a load or unload order, or returns the reason why it can't be executed. Only one load runs at
+// a time, and a base model with running or queued requests isn't unloaded. Orders are idempotent.
 func (w *Worker) executeOrder(order *contract.Order) string {
 	key := order.Model
 	if order.Adapter != "" {
@@ -140,7 +142,7 @@
 		have = w.adapters[order.Model][order.Adapter]
 	}
 	if order.Kind == "unload" && w.loading != "" && (w.loading == key || order.Adapter == "" && strings.HasPrefix(w.loading, order.Model+"/")) {
-		delete(w.sizesMB, w.loading) // the load is cancelled
+		delete(w.sizesMB, w.loading) // cancel the load in progress
 		w.loading = ""
 	}
 	switch {
@@ -178,7 +180,7 @@
 		return
 	}
 	w.model, w.weights = "", 0
-	for _, next := range maputil.SortedKeys(w.bases) { // the next base model becomes the worker's model
+	for _, next := range maputil.SortedKeys(w.bases) { // the first of the other base models becomes the worker's model
 		w.model, w.weights = next, w.bases[next]
 		delete(w.bases, next)
 		break
@@ -186,7 +188,7 @@
 	w.process.Log.Info("weights unloaded", "model", base)
 }
 
-// load loads a base model or an adapter in the background.
+// load starts loading a base model or an adapter in the background.
 func (w *Worker) load(order contract.Order, key string) {
 	duration := w.baseLoadTime
 	if order.Adapter != "" {
@@ -201,7 +203,7 @@
 			w.loading = ""
 		}
 		switch {
-		case !current: // it was cancelled meanwhile
+		case !current: // an unload order cancelled the load
 			return
 		case order.Adapter != "" && w.weightsOf(order.Model) == 0:
 			delete(w.sizesMB, key)
--- a/internal/sim/workersim/plantedfaults.go
+++ b/internal/sim/workersim/plantedfaults.go
@@ -1,18 +1,19 @@
 package workersim
 
-// Planted faults of a worker, by the option "lie"; the checks of a run must detect each.
+// Deliberate faults of a simulated worker, selected by the option "lie". Tests verify that the checks of a run detect
+// each of them.
 const (
-	faultRejectsExecuted  = "denies" // runs a request and rejects it as not executed
-	faultRunsTwice        = "twice"  // runs a request twice
-	faultSharesCache      = "walls"  // uses the shared cache domain for all tenants
-	faultIgnoresWeights   = "deaf"   // doesn't load newer weights
-	faultReportsUnloaded  = "boasts" // reports adapters that it hasn't loaded
-	faultAbortsExecutions = "dies"   // aborts every request that it has started
+	faultRejectsExecuted  = "denies" // executes each request and then rejects it as not executed
+	faultRunsTwice        = "twice"  // writes a second journal entry for each request, as if it ran twice
+	faultSharesCache      = "walls"  // uses one prefix cache domain for all tenants, also for isolated ones
+	faultIgnoresWeights   = "deaf"   // accepts orders for newer weights but doesn't load them
+	faultReportsUnloaded  = "boasts" // reports adapters as loaded and rejects requests for them
+	faultAbortsExecutions = "dies"   // aborts the connection of every request after its start
 )
 
-// plantSecondRun journals a run a second time if the worker runs requests twice.
+// plantSecondRun writes the journal entry of a request a second time if the worker has the fault faultRunsTwice.
 func (w *Worker) plantSecondRun(run *Run) {
 	if w.plantedFault == faultRunsTwice {
-		_ = w.writeJournal(run) // writeJournal logs the error; the fault's test then fails
+		_ = w.writeJournal(run) // writeJournal logs a failure; the test of this fault then fails
 	}
 }
--- a/internal/sim/workersim/run.go
+++ b/internal/sim/workersim/run.go
@@ -13,20 +13,20 @@
 	"pebbleloom/internal/data/prefix"
 )
 
-// attempt is the execution of a request in a slot.
+// attempt is the execution of a start request that has a slot.
 type attempt struct {
 	worker  *Worker
 	http    *http.Request
 	rw      http.ResponseWriter
 	request *contract.StartRequest
 	entries []prefix.Entry
-	final   contract.Chunk // the last line of the stream, with the seal
-	run     *Run           // its journal entry; nil until it has started
+	final   contract.Chunk // last line of the response stream, with the checksum and the token counts
+	run     *Run           // journal entry of the request; nil until the request has started
 }
 
-// run executes a request in a slot: it fetches prefixes from peers, waits for the prefill lock, checks once more that
-// the request may start, prefills the rest, and streams the chunks and the seal. It reports false if the wait ended
-// before the request could start.
+// run executes a request that has a slot: it fetches prefixes from peers, waits until no other prefill runs, checks
+// again that the request may start, prefills the remaining tokens, and streams the response. It returns false if the
+// context wait was done before the request could start.
 func (w *Worker) run(wait context.Context, writer http.ResponseWriter, httpRequest *http.Request, request *contract.StartRequest, reject func(int, string)) bool {
 	if w.plantedFault == faultSharesCache {
 		request.CacheDomain = "shared"
@@ -57,8 +57,8 @@
 	return true
 }
 
-// fetchPrefixes looks prefixes up in the cache, or fetches them from the sources that the request names, up to the
-// first that is in neither. The rest is counted as tokens to prefill.
+// fetchPrefixes gets the prompt's prefixes in order from the cache, or from the peers that the request's headers name,
+// up to the first that neither has. The tokens of the remaining prefixes are counted as tokens to prefill.
 func (a *attempt) fetchPrefixes() {
 	sources := contract.ParseFetchFrom(a.http.Header.Get(contract.FetchFrom))
 	i, startedAt := 0, time.Now()
@@ -80,7 +80,8 @@
 	}
 }
 
-// begin journals the start, prefills and releases the prefill lock. If the request may not start it returns the reason.
+// begin writes the journal entry of the request, simulates its prefill and releases the prefill semaphore. If the
+// request may not start, it returns the reason.
 func (a *attempt) begin() (reason string) {
 	a.run, reason = a.worker.beginRun(a.request)
 	if a.final.PrefilledTokens == 0 {
@@ -95,8 +96,8 @@
 	return reason
 }
 
-// cachePrefixes caches the prompt's prefixes. It reports false, and caches none, if the weights have changed since the
-// prefill.
+// cachePrefixes stores the prompt's prefixes in the cache. If the model, adapter or weights of the request are no
+// longer loaded after the prefill, it stores none and returns false.
 func (a *attempt) cachePrefixes() (current bool) {
 	w := a.worker
 	w.mu.Lock()
@@ -111,7 +112,8 @@
 	return current
 }
 
-// stream sends the chunks and the seal. It reports false if the client has disconnected before the seal.
+// stream sends the chunks of the response and the last line with their checksum. It returns false if the client
+// disconnected before the last line.
 func (a *attempt) stream() bool {
 	w := a.worker
 	ended := EndedInterrupted
@@ -136,7 +138,7 @@
 	return true
 }
 
-// acquire takes a place in a semaphore; it reports false if ctx is done first.
+// acquire acquires the semaphore ch. It returns false if ctx is done first.
 func (w *Worker) acquire(ctx context.Context, ch chan struct{}) bool {
 	select {
 	case <-ctx.Done():
@@ -151,7 +153,7 @@
 	}
 }
 
-// sleep waits for d or until the client disconnects.
+// sleep waits for d, or until the client of the request disconnects.
 func (w *Worker) sleep(r *http.Request, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -161,7 +163,8 @@
 	}
 }
 
-// fetch reads a prefix from a peer or the store, at the speed of the link. It reports whether that succeeded.
+// fetch reads a cached prefix from another worker or the prompt store, and sleeps for the simulated transfer time. It
+// reports whether the source has the prefix.
 func (w *Worker) fetch(original *http.Request, addr, key string) bool {
 	request, err := http.NewRequestWithContext(original.Context(), http.MethodGet, "http://"+addr+"/kv/"+key, nil)
 	if err != nil {
@@ -184,13 +187,15 @@
 	return true
 }
 
-// crossesZones reports whether two addresses are in different zones, which their third byte numbers.
+// crossesZones reports whether two IPv4 addresses are in different zones. The third byte of an address is the number
+// of its zone.
 func crossesZones(a, b string) bool {
 	x, y := strings.Split(a, "."), strings.Split(b, ".")
 	return len(x) > 2 && len(y) > 2 && x[2] != y[2]
 }
 
-// saveTo sends the first upTo prefixes, or all, to the addresses in to, in the background.
+// saveTo copies the first upTo prefixes in the background to the caches at the comma-separated addresses in to. It
+// copies all prefixes if upTo isn't a number or is too high.
 func (w *Worker) saveTo(to, upTo string, entries []prefix.Entry) {
 	count, err := strconv.Atoi(upTo)
 	if err != nil || count > len(entries) {
@@ -202,14 +207,14 @@
 		}
 		w.process.Go(func() {
 			for _, entry := range entries[:count] {
-				raw, _ := json.Marshal(contract.CachedPrefix{Key: entry.Key.String(), Tokens: entry.Tokens}) // plain fields: can't fail
+				raw, _ := json.Marshal(contract.CachedPrefix{Key: entry.Key.String(), Tokens: entry.Tokens}) // can't fail: the struct has only a string and an int
 				request, err := http.NewRequestWithContext(w.process.Ctx, http.MethodPut, "http://"+addr+"/kv/"+entry.Key.String(), strings.NewReader(string(raw)))
 				if err != nil {
 					return
 				}
 				response, err := w.client.Do(request)
 				if err != nil {
-					return // the receiver is unreachable: saves are best effort
+					return // copying prefixes is best effort: skip an unreachable receiver
 				}
 				response.Body.Close()
 			}
--- a/internal/sim/workersim/worker.go
+++ b/internal/sim/workersim/worker.go
@@ -16,17 +16,17 @@
 	"pebbleloom/internal/errs"
 )
 
-// Speed holds the simulated durations, in microseconds, and link speeds.
+// Speed holds the simulated durations of prefills and decoding, and the speed at which prefixes are fetched.
 type Speed struct {
-	FixedUs                  float64 // fixed cost of a prefill
-	TokenUs                  float64 // for each token
-	SquareUs                 float64 // for the square of the tokens
-	ChunkUs                  float64 // to decode a chunk
-	LinkTokensPerSecond      float64 // from another worker or the store
-	CrossZoneTokensPerSecond float64 // the same from another zone
+	FixedUs                  float64 // duration of a prefill that doesn't depend on its length, in microseconds
+	TokenUs                  float64 // added to a prefill per token, in microseconds
+	SquareUs                 float64 // times the square of the number of tokens is added to a prefill, in microseconds
+	ChunkUs                  float64 // duration of decoding one chunk, in microseconds
+	LinkTokensPerSecond      float64 // fetch of a prefix from a worker or the prompt store in the same zone
+	CrossZoneTokensPerSecond float64 // fetch of a prefix from another zone
 }
 
-// Prefill returns the duration of a prefill.
+// Prefill returns the simulated duration of the prefill of a number of tokens.
 //
 // Example: speed.Prefill(4000)
 func (s Speed) Prefill(tokens int) time.Duration {
@@ -34,49 +34,50 @@
 	return time.Duration((s.FixedUs + s.TokenUs*n + s.SquareUs*n*n) * 1000)
 }
 
-// Run is one line of a worker's journal: a request that it started, or an order that it executed.
+// Run is one line of a worker's journal: a request that the worker started, or an order of the control plane that it
+// accepted.
 type Run struct {
 	RequestID       string `json:"request_id"`
 	Once            bool   `json:"once"`
 	Weights         uint64 `json:"weights"`
 	AtMs            int64  `json:"at_ms"`
-	Ended           string `json:"ended"` // EndedSealed or EndedInterrupted; empty: unknown
+	Ended           string `json:"ended"` // EndedSealed or EndedInterrupted; empty: not ended, or unknown
 	CachedTokens    int    `json:"hit"`
 	FetchedTokens   int    `json:"fetched"`
 	PrefilledTokens int    `json:"prefilled"`
 	Model           string `json:"model,omitempty"`
 	Adapter         string `json:"adapter,omitempty"`
 	Build           uint64 `json:"build,omitempty"`
-	FencingToken    uint64 `json:"fence,omitempty"` // of an executed order; 0: the line is of a request
-	Lease           string `json:"lease,omitempty"` // of that token
-	Kind            string `json:"kind,omitempty"`  // of the order
+	FencingToken    uint64 `json:"fence,omitempty"` // fencing token of an accepted order; 0: the entry is a request
+	Lease           string `json:"lease,omitempty"` // lease that FencingToken belongs to
+	Kind            string `json:"kind,omitempty"`  // kind of an accepted order
 	Holder          string `json:"holder,omitempty"`
 }
 
-// How a journalled request ended.
+// Values of Run.Ended: how a request ended.
 const (
-	EndedSealed      = "sealed" // the response was complete
-	EndedInterrupted = "broken" // the client disconnected before the seal
+	EndedSealed      = "sealed" // the response was sent completely, with its checksum in the last line
+	EndedInterrupted = "broken" // the client disconnected before the last line of the response
 )
 
 const (
-	maxRuns      = 100000  // runs that /v1/runs lists
-	maxBody      = 4 << 20 // bytes of a start request
-	maxSmallBody = 4096    // bytes of any other request
+	maxRuns      = 100000  // number of latest requests that GET /v1/runs returns
+	maxBody      = 4 << 20 // maximum size of a start request's body in bytes
+	maxSmallBody = 4096    // maximum size of any other HTTP body in bytes
 )
 
-// Worker is a simulated worker.
+// Worker is a simulated language-model worker.
 type Worker struct {
 	process       *daemon.Process
 	incarnation   string
 	cache         *Cache
 	speed         Speed
-	slots         chan struct{} // semaphore of running requests
-	prefill       chan struct{} // lock: one prefill runs at a time
-	waiting       int           // requests that wait for a slot
+	slots         chan struct{} // semaphore: one element per running request
+	prefill       chan struct{} // semaphore of capacity 1: one prefill runs at a time
+	waiting       int           // number of requests that wait for a slot
 	queueCapacity int
 	mu            sync.Mutex
-	model         string // the first base model in memory
+	model         string // first base model in memory; empty: none
 	weights       uint64
 	memory
 	fencingTokens    fencingTokens
@@ -85,13 +86,13 @@
 	random           *rand.Rand
 	dropReportRatio  float64
 	withholdsReports bool
-	reportDelay      time.Duration // from the close of a cache report until it is visible
-	plantedFault     string        // see plantedfaults.go; empty: none
+	reportDelay      time.Duration // time after which a closed cache report can be read
+	plantedFault     string        // one of the test faults in plantedfaults.go; empty: none
 	client           *http.Client
-	journalFile      io.Writer // nil: no journal is kept
+	journalFile      io.Writer // nil: the worker keeps no journal
 }
 
-// numberOption returns an option of the settings, or the default if it is missing or not a number.
+// numberOption returns the number in a process's option, or the default if the option is missing or not a number.
 func numberOption(process *daemon.Process, key string, or float64) float64 {
 	v, err := strconv.ParseFloat(process.Settings.Option(key, ""), 64)
 	if err != nil {
@@ -100,7 +101,7 @@
 	return v
 }
 
-// Start starts a worker.
+// Start starts a simulated worker and serves its HTTP interface.
 //
 // Example: daemon.Main(programs.WorkerSim, "a simulated worker", need, workersim.Start)
 func Start(process *daemon.Process) error {
@@ -130,7 +131,8 @@
 	return nil
 }
 
-// openWorker returns a worker with the options of its process. It fails with errs.BadInput for an invalid option.
+// openWorker returns a worker that is configured by the options of its process. It fails with errs.BadInput if an
+// option is malformed or the journal can't be opened.
 func openWorker(process *daemon.Process) (*Worker, error) {
 	worker := &Worker{
 		fencingTokens:    fencingTokens{},
@@ -157,13 +159,13 @@
 	if file := process.Settings.Option("journal", ""); file != "" {
 		var err error
 		if worker.journalFile, err = process.Journal(file); err != nil {
-			return nil, errs.WrapAs(err, errs.BadInput, "open journal")
+			return nil, errs.WrapAs(err, errs.BadInput, "open worker's journal "+file)
 		}
 	}
 	return worker, nil
 }
 
-// speedOptions returns the speed that the options set.
+// speedOptions returns the simulated durations and link speeds that a process's options set.
 func speedOptions(process *daemon.Process) Speed {
 	return Speed{
 		FixedUs:                  numberOption(process, "fixed_us", 2000),
@@ -175,7 +177,8 @@
 	}
 }
 
-// fnv64 hashes a text as FNV-1a does, with an offset basis of its own. It seeds a worker's draws and must not change.
+// fnv64 returns the FNV-1a hash of a text with a non-standard offset basis. It must not change: a worker's random
+// numbers are seeded with it.
 func fnv64(s string) uint64 {
 	var x uint64 = 1469598103934665603
 	for _, b := range []byte(s) {
@@ -216,7 +219,7 @@
 
 func (w *Worker) serveCacheReports(rw http.ResponseWriter, r *http.Request) {
 	if w.withholdsReports {
-		contract.WriteJSON(rw, 503, map[string]string{"error": "no reports today"})
+		contract.WriteJSON(rw, 503, map[string]string{"error": "cache reports are withheld by option mute"})
 		return
 	}
 	until := w.process.Clock.Now() - w.reportDelay
@@ -239,7 +242,8 @@
 	contract.WriteJSON(rw, 200, runs)
 }
 
-// serveOrder executes an order, unless a higher fencing token of its lease was seen before.
+// serveOrder executes an order of the control plane. It rejects the order if the worker has received a higher fencing
+// token of the same lease.
 func (w *Worker) serveOrder(writer http.ResponseWriter, r *http.Request) {
 	var order contract.Order
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxSmallBody)).Decode(&order); err != nil {
@@ -253,7 +257,8 @@
 	contract.WriteJSON(writer, 200, w.workerState())
 }
 
-// handleOrder executes an order. If it is rejected, handleOrder returns the reason and the highest fencing token of its lease.
+// handleOrder executes an order, or returns the reason why it is rejected and the highest fencing token received under
+// the order's lease.
 func (w *Worker) handleOrder(order *contract.Order) (reason string, fencingToken uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -263,7 +268,7 @@
 	if reason := w.rejectStale(order); reason != "" {
 		return reason, order.FencingToken
 	}
-	_ = w.writeJournal(&Run{Weights: order.Weights, AtMs: w.process.WallClock().UnixMilli(), FencingToken: order.FencingToken, Lease: order.Lease, Holder: order.Holder, Kind: order.Kind, Model: order.Model, Adapter: order.Adapter, Build: order.Build}) // writeJournal logs the error; the order is executed nevertheless
+	_ = w.writeJournal(&Run{Weights: order.Weights, AtMs: w.process.WallClock().UnixMilli(), FencingToken: order.FencingToken, Lease: order.Lease, Holder: order.Holder, Kind: order.Kind, Model: order.Model, Adapter: order.Adapter, Build: order.Build}) // writeJournal logs a failure; the order is executed nevertheless
 	if reason := w.executeOrder(order); reason != "" {
 		return reason, order.FencingToken
 	}
@@ -278,7 +283,7 @@
 func (w *Worker) serveCachedPrefix(rw http.ResponseWriter, r *http.Request) {
 	n, ok := w.cache.Lookup(r.PathValue("key"))
 	if !ok {
-		contract.WriteJSON(rw, 404, map[string]string{"error": "not held"})
+		contract.WriteJSON(rw, 404, map[string]string{"error": "prefix is not cached"})
 		return
 	}
 	contract.WriteJSON(rw, 200, contract.CachedPrefix{Key: r.PathValue("key"), Tokens: n})
@@ -287,14 +292,14 @@
 func (w *Worker) storeCachedPrefix(rw http.ResponseWriter, r *http.Request) {
 	var entry contract.CachedPrefix
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxSmallBody)).Decode(&entry); err != nil || entry.Key != r.PathValue("key") || entry.Tokens <= 0 {
-		contract.WriteJSON(rw, 400, map[string]string{"error": "give k and n"})
+		contract.WriteJSON(rw, 400, map[string]string{"error": "body must have k, the key in the path, and n, a positive number of tokens"})
 		return
 	}
 	w.cache.Store(entry.Key, entry.Tokens)
 	contract.WriteJSON(rw, 200, entry)
 }
 
-// serveStart admits a request, waits for a slot and executes it.
+// serveStart admits a start request to the queue, waits for a free slot and executes the request.
 func (w *Worker) serveStart(writer http.ResponseWriter, httpRequest *http.Request) {
 	var request contract.StartRequest
 	reject := func(code int, reason string) {
@@ -327,7 +332,7 @@
 	}
 }
 
-// admit adds a request to the queue, or returns the reason why it is rejected.
+// admit counts a request as queued, or returns the reason why it is rejected.
 func (w *Worker) admit(request *contract.StartRequest) (reason string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -345,20 +350,20 @@
 	return ""
 }
 
-// writeJournal appends a line to the journal, if there is one, and logs an error of it.
+// writeJournal appends an entry to the worker's journal, if it keeps one. A failure is also logged.
 func (w *Worker) writeJournal(run *Run) error {
 	if w.journalFile == nil {
 		return nil
 	}
 	err := json.NewEncoder(w.journalFile).Encode(run)
 	if err != nil {
-		w.process.Log.Error("journal", "error", err)
+		w.process.Log.Error("write to the worker's journal failed", "error", err)
 	}
 	return err
 }
 
-// beginRun journals that a request starts, right before its prefill. All its conditions are checked again; if one has
-// failed since the admission, it returns the reason and no run.
+// beginRun writes the journal entry of a request right before its prefill. It first checks again that the request may
+// start; if a condition no longer holds since the admission, it returns the reason and a nil Run.
 func (w *Worker) beginRun(request *contract.StartRequest) (*Run, string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -370,7 +375,7 @@
 	}
 	run := &Run{RequestID: request.RequestID, Once: request.AtMostOnce, Model: request.Model, Adapter: request.Adapter, Build: request.Build, Weights: request.Weights, AtMs: w.process.WallClock().UnixMilli()}
 	if w.writeJournal(run) != nil {
-		return nil, "full" // a request that can't be journalled isn't started
+		return nil, "full" // a request without a journal entry must not be started
 	}
 	w.plantSecondRun(run)
 	if w.runs = append(w.runs, run); len(w.runs) > maxRuns {
