--- a/internal/sim/history/register.go
+++ b/internal/sim/history/register.go
@@ -134,7 +134,7 @@
 // describe returns a text of an operation for messages, with the logical times of its call and response.
 func describe(change *Change, seen *observation) string {
 	if seen == nil {
-		return "end of the operations with a known outcome"
+		return "end"
 	}
 	if change == nil {
 		return fmt.Sprintf("[%d-%d] read returned version %d, content %q", seen.calledAt, seen.returnedAt, seen.version, seen.body)
--- a/internal/sim/workersim/worker.go
+++ b/internal/sim/workersim/worker.go
@@ -357,7 +357,7 @@
 	}
 	err := json.NewEncoder(w.journalFile).Encode(run)
 	if err != nil {
-		w.process.Log.Error("write to the worker's journal failed", "error", err)
+		w.process.Log.Error("journal", "error", err)
 	}
 	return err
 }
