--- a/internal/sim/clustersim/cluster_test.go
+++ b/internal/sim/clustersim/cluster_test.go
@@ -13,11 +13,11 @@
 )
 
 // envNumber returns the number in the environment variable key, or the default if the variable isn't set.
-func envNumber(t *testing.T, key string, or uint64) uint64 {
+func envNumber(t *testing.T, key string, defaultValue uint64) uint64 {
 	t.Helper()
 	v := os.Getenv(key)
 	if v == "" {
-		return or
+		return defaultValue
 	}
 	n, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
@@ -26,9 +26,9 @@
 	return n
 }
 
-// runScenario runs a test bed scenario in a testing/synctest bubble on the cluster that on returns, and returns the
+// runScenario runs a test bed scenario in a testing/synctest bubble on the cluster that newCluster returns, and returns the
 // report.
-func runScenario(t *testing.T, scenario testbed.Scenario, site string, seed uint64, on func(*testbed.Site) *Cluster) (rep *testbed.Report) {
+func runScenario(t *testing.T, scenario testbed.Scenario, site string, seed uint64, newCluster func(*testbed.Site) *Cluster) (report *testbed.Report) {
 	t.Helper()
 	if raceDetector {
 		t.Skip("the race detector doesn't support simulations of this size; run without -race (see README)")
@@ -36,17 +36,17 @@
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		rep, err = testbed.PlayOn(t.Context(), scenario, testbed.Options{Site: site, Seed: seed, Dir: dir, AddressByte: 10}, func(s *testbed.Site) (testbed.Environment, error) {
-			return on(s), nil
+		report, err = testbed.PlayOn(t.Context(), scenario, testbed.Options{Site: site, Seed: seed, Dir: dir, AddressByte: 10}, func(s *testbed.Site) (testbed.Environment, error) {
+			return newCluster(s), nil
 		})
 		if err != nil {
 			t.Errorf("run scenario %s on site %s: %v", scenario.Name, site, err)
 		}
 	})
-	if rep == nil {
+	if report == nil {
 		t.Fatal("the scenario ended without a report")
 	}
-	return rep
+	return report
 }
 
 // historyScenario is a scenario that uses every kind of configuration change an operator has. The linearizability check
@@ -101,9 +101,9 @@
 }
 
 // runMixture runs a scenario with the given faults on a site and returns the report.
-func runMixture(t *testing.T, site string, seed uint64, l []testbed.Fault) *testbed.Report {
+func runMixture(t *testing.T, site string, seed uint64, faults []testbed.Fault) *testbed.Report {
 	t.Helper()
-	scenario := testbed.FaultScenario(site, seed, l)
+	scenario := testbed.FaultScenario(site, seed, faults)
 	scenario.Rate = 10
 	r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster { return New(seed, s) })
 	t.Logf("%s: %s", testbed.Line(r), scenario.About)
@@ -118,15 +118,15 @@
 	for seed := from; seed < from+n; seed++ {
 		site := testbed.Sites()[seed%2]
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			l := testbed.DrawFaults(seed)
-			r := runMixture(t, site, seed, l)
+			faults := testbed.DrawFaults(seed)
+			r := runMixture(t, site, seed, faults)
 			if len(r.Faults) == 0 {
 				return
 			}
-			for i := 0; os.Getenv("TABLE_SHRINK") != "" && i < len(l); {
-				fewer := append(append([]testbed.Fault(nil), l[:i]...), l[i+1:]...)
+			for i := 0; os.Getenv("TABLE_SHRINK") != "" && i < len(faults); {
+				fewer := append(append([]testbed.Fault(nil), faults[:i]...), faults[i+1:]...)
 				if o := runMixture(t, site, seed, fewer); len(o.Faults) > 0 {
-					l, r = fewer, o
+					faults, r = fewer, o
 				} else {
 					i++
 				}
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -44,23 +44,23 @@
 	}
 	cores := "core-1 core-2 core-3 core-4"
 	partition := []testbed.Step{step(1000, "cut", cores, "edge-3"), step(1000, "cut", "edge-3", cores), step(1500, "revoke", "tenant-1", ""), step(1600, "drain", "cab-? cab-1[0-5]", ""), step(12000, "heal", "", "")}
-	stale := func(site *testbed.Site) { // proxies that keep using a configuration older than the limit
+	useStaleConfig := func(site *testbed.Site) { // proxies that keep using a configuration older than the limit
 		loosenBounds(site, programs.Proxy, func(b *settings.Bounds) { b.ConfigMs = 60000 })
 	}
 	for _, planted := range []struct {
-		point, want string
-		steps       []testbed.Step
-		heal        int
-		plant       func(*testbed.Site)
-		tamper      func([]byte) []byte
+		name, want string
+		steps      []testbed.Step
+		recoveryMs int
+		plant      func(*testbed.Site)
+		tamper     func([]byte) []byte
 	}{
 		{"an at-most-once request runs twice", "ran 2 times", nil, 1000, func(site *testbed.Site) { plantWorkerFault(site, "twice", 2) }, nil},
 		{"rejected as not executed, yet it ran", "yet it ran", nil, 1000, func(site *testbed.Site) { plantWorkerFault(site, "denies", 1) }, nil},
 		{"a response is mixed with another", "a piece of another answer", nil, 1000, nil, replaceBytes(`"r":"paramo`, `"r":"parano`)},
 		{"chunks are lost", "where 1 was due", nil, 1000, nil, replaceBytes(`"n":1,`, `"n":2,`)},
 		{"a seal is missing", "seal", nil, 1000, nil, replaceBytes(`"seal"`, `"seel"`)},
-		{"a revoked key is accepted", "was accepted", partition, 2000, stale, nil},
-		{"a drained worker receives requests", "after it was drained", partition, 2000, stale, nil},
+		{"a revoked key is accepted", "was accepted", partition, 2000, useStaleConfig, nil},
+		{"a drained worker receives requests", "after it was drained", partition, 2000, useStaleConfig, nil},
 		{"a request runs on older weights than configured", "on weights 1", []testbed.Step{step(1000, "weights", "", "2")}, 26000, func(site *testbed.Site) {
 			plantWorkerFault(site, "deaf", 2)
 			loosenBounds(site, programs.Proxy, func(b *settings.Bounds) { b.WeightsMs = 600000 })
@@ -74,8 +74,8 @@
 		{"service doesn't recover", "service did not recover", []testbed.Step{step(1000, "freeze", "dispatcher-edge-[1-5]", "")}, 3000, nil, nil},
 		{"no planted fault", "", nil, 1000, nil, nil},
 	} {
-		t.Run(planted.point, func(t *testing.T) {
-			scenario := testbed.Scenario{Name: "planted", Rate: 10, Steps: planted.steps, RecoveryMs: planted.heal, AfterRecoveryMs: 3000, ReadAll: true}
+		t.Run(planted.name, func(t *testing.T) {
+			scenario := testbed.Scenario{Name: "planted", Rate: 10, Steps: planted.steps, RecoveryMs: planted.recoveryMs, AfterRecoveryMs: 3000, ReadAll: true}
 			report := runScenario(t, scenario, "paramo", 3, func(site *testbed.Site) *Cluster {
 				if planted.plant != nil {
 					planted.plant(site)
--- a/internal/sim/clustersim/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -26,7 +26,7 @@
 	return testbed.Scenario{}
 }
 
-// The retirement of a base model under traffic violates no invariant. The first scenario is compared with the same
+// The retirement of a base model under traffic violates no invariant. The scenario retire-calm is compared with the same
 // traffic without a retirement: no more requests may miss their deadline.
 func TestRetirementsUnderTraffic(t *testing.T) {
 	late := func(report *testbed.Report) int { return report.Sum.Requests - report.Sum.Sealed }
@@ -110,9 +110,9 @@
 		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
 	}
 	for _, planted := range []struct {
-		point, want, state string
-		every              int
-		tamper             func([]byte) []byte
+		name, want, state string
+		every             int
+		tamper            func([]byte) []byte
 	}{
 		{"a worker reports adapters that it hasn't loaded", "its proof failed", "done", 18, nil},
 		{"a response is generated with another adapter", "isn't what", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
@@ -128,7 +128,7 @@
 			return cluster
 		})
 		if all := strings.Join(report.Faults, "\n"); !strings.Contains(all, planted.want) {
-			t.Errorf("%s: want a violation that contains %q, got:\n%.1500s", planted.point, planted.want, all)
+			t.Errorf("fault %q: want a violation that contains %q, got:\n%.1500s", planted.name, planted.want, all)
 		}
 	}
 }
--- a/internal/sim/history/history_test.go
+++ b/internal/sim/history/history_test.go
@@ -43,7 +43,7 @@
 	for _, test := range []struct {
 		name         string
 		linearizable bool
-		play         func(scriptedHistory)
+		record       func(scriptedHistory)
 	}{
 		{"a read of a document that doesn't exist", true, func(s scriptedHistory) { s.read(0, "") }},
 		{"consecutive changes and a read of the last", true, func(s scriptedHistory) { s.chain("a b"); s.read(2, "b") }},
@@ -146,7 +146,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := scriptedHistory{&History{}}
-			test.play(s)
+			test.record(s)
 			if result := s.history.Check(limit); (len(result.Violations) == 0) != test.linearizable {
 				t.Errorf("check returned %+v, want linearizable = %v", result, test.linearizable)
 			}
--- a/internal/sim/history/operations_test.go
+++ b/internal/sim/history/operations_test.go
@@ -11,26 +11,26 @@
 // randomHistory returns a history of random concurrent changes and reads of one document. In two of three histories,
 // responses may be wrong.
 func randomHistory(random *rand.Rand) *History {
-	player := &historyPlayer{random: random, history: &History{}, state: register{bodyKnown: true}}
-	player.givesWrongResponses = random.IntN(3) > 0
+	simulator := &documentSimulator{random: random, history: &History{}, state: register{bodyKnown: true}}
+	simulator.givesWrongResponses = random.IntN(3) > 0
 	for range 10 + random.IntN(14) {
 		switch random.IntN(5) {
 		case 0, 1:
-			player.sendChange()
+			simulator.sendChange()
 		case 2:
-			player.sendRead()
+			simulator.sendRead()
 		default:
-			player.respondToOne()
+			simulator.respondToOne()
 		}
 	}
-	for _, respond := range player.pendingResponses {
+	for _, respond := range simulator.pendingResponses {
 		respond()
 	}
-	return player.history
+	return simulator.history
 }
 
-// historyPlayer simulates a document and its clients, and records their operations.
-type historyPlayer struct {
+// documentSimulator simulates a document and its clients, and records their operations.
+type documentSimulator struct {
 	random              *rand.Rand
 	history             *History
 	state               register
@@ -40,7 +40,7 @@
 }
 
 // sendChange sends a new change, or retries one that was sent before.
-func (p *historyPlayer) sendChange() {
+func (p *documentSimulator) sendChange() {
 	change := newChange(fmt.Sprint("t", len(p.changes)), p.state.version, p.state.version+1+p.random.Uint64N(2))
 	if len(p.changes) > 0 && p.random.IntN(3) == 0 {
 		change = p.changes[p.random.IntN(len(p.changes))]
@@ -49,7 +49,7 @@
 	p.pendingResponses = append(p.pendingResponses, p.attempt(change)...)
 }
 
-func (p *historyPlayer) sendRead() {
+func (p *documentSimulator) sendRead() {
 	read := p.history.BeginRead(key)
 	version, body := p.state.version, p.state.body
 	if p.givesWrongResponses && p.random.IntN(12) == 0 && version > 0 {
@@ -58,7 +58,7 @@
 	p.pendingResponses = append(p.pendingResponses, func() { read.Complete(version, body) })
 }
 
-func (p *historyPlayer) respondToOne() {
+func (p *documentSimulator) respondToOne() {
 	if len(p.pendingResponses) == 0 {
 		return
 	}
@@ -69,7 +69,7 @@
 
 // attempt sends a change. It returns a function that delivers the response, or none if the request or the response is
 // lost.
-func (p *historyPlayer) attempt(change Change) []func() {
+func (p *documentSimulator) attempt(change Change) []func() {
 	attempt := p.history.BeginAttempt(change)
 	version, found := p.state.applied.find(change.Token)
 	outcome := Acknowledged
--- a/internal/sim/loadgen/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -13,7 +13,7 @@
 	"pebbleloom/internal/sim/workersim"
 )
 
-var ask = Request{ID: "r1", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Chunks: 5, Once: true}
+var testRequest = Request{ID: "r1", Domain: "shared", Model: "m", Parts: []string{"opening", "question"}, Chunks: 5, Once: true}
 
 // lines returns the lines of a correct response stream to a request, for a prefix cache domain and a weights version.
 func lines(request Request, domain string, weights uint64) [][]byte {
@@ -51,11 +51,11 @@
 // ReadStream reports a fault for each kind of corrupted response, and none for a response that is interrupted by a
 // connection error.
 func TestPlantedFaultsAreCaught(t *testing.T) {
-	right := func() [][]byte { return lines(ask, "shared", 3) }
-	if outcome := ReadStream(ask, "worker-1", bytes.NewReader(bytes.Join(right(), nil))); !outcome.Sealed || len(outcome.Faults) > 0 {
+	correctLines := func() [][]byte { return lines(testRequest, "shared", 3) }
+	if outcome := ReadStream(testRequest, "worker-1", bytes.NewReader(bytes.Join(correctLines(), nil))); !outcome.Sealed || len(outcome.Faults) > 0 {
 		t.Fatalf("outcome of a correct response is %+v, want sealed without faults", outcome)
 	}
-	other := ask
+	other := testRequest
 	other.ID = "r2"
 	for name, plant := range map[string]func([][]byte) [][]byte{
 		"a chunk is missing":                      func(l [][]byte) [][]byte { return append(l[:2:2], l[3:]...) },
@@ -65,14 +65,14 @@
 		"the last line with the seal is missing":  func(l [][]byte) [][]byte { return l[:5] },
 		"a chunk's text is changed":               func(l [][]byte) [][]byte { l[2] = bytes.Replace(l[2], []byte(`"t":"`), []byte(`"t":"x`), 1); return l },
 		"a line follows the last line":            func(l [][]byte) [][]byte { return append(l, l[5]) },
-		"the response is of another cache domain": func([][]byte) [][]byte { return lines(ask, "t:walled", 3) },
-		"a shorter response with a matching seal": func([][]byte) [][]byte { q := ask; q.Chunks = 3; return lines(q, "shared", 3) },
+		"the response is of another cache domain": func([][]byte) [][]byte { return lines(testRequest, "t:walled", 3) },
+		"a shorter response with a matching seal": func([][]byte) [][]byte { q := testRequest; q.Chunks = 3; return lines(q, "shared", 3) },
 	} {
-		if outcome := ReadStream(ask, "worker-1", bytes.NewReader(bytes.Join(plant(right()), nil))); len(outcome.Faults) == 0 {
+		if outcome := ReadStream(testRequest, "worker-1", bytes.NewReader(bytes.Join(plant(correctLines()), nil))); len(outcome.Faults) == 0 {
 			t.Errorf("corrupted response (%s): outcome is %+v, want a fault", name, outcome)
 		}
 	}
-	if outcome := ReadStream(ask, "worker-1", interruptedReader{bytes.NewReader(bytes.Join(right()[:3], nil))}); len(outcome.Faults) > 0 || outcome.Sealed || outcome.Interrupted == "" {
+	if outcome := ReadStream(testRequest, "worker-1", interruptedReader{bytes.NewReader(bytes.Join(correctLines()[:3], nil))}); len(outcome.Faults) > 0 || outcome.Sealed || outcome.Interrupted == "" {
 		t.Errorf("outcome of an interrupted stream is %+v, want interrupted, not sealed and without faults", outcome)
 	}
 }
@@ -81,20 +81,20 @@
 func TestJournalsAreReconciled(t *testing.T) {
 	run := workersim.Run{RequestID: "r1"}
 	for _, test := range []struct {
-		name string
-		o    Outcome
-		js   map[string][]workersim.Run
-		want string
+		name     string
+		outcome  Outcome
+		journals map[string][]workersim.Run
+		want     string
 	}{
-		{"complete response, executed once", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}}, ""},
-		{"complete response, executed by two workers", Outcome{Request: ask, Sealed: true}, map[string][]workersim.Run{"a": {run}, "b": {run}}, "ran 2 times"},
-		{"rejected as not executed, but executed", Outcome{Request: ask, Rejected: "not-run"}, map[string][]workersim.Run{"a": {run}}, "yet it ran"},
-		{"rejected as possibly executed, and executed", Outcome{Request: ask, Rejected: "may-have-run"}, map[string][]workersim.Run{"a": {run}}, ""},
-		{"complete response, but in no journal", Outcome{Request: ask, Sealed: true}, nil, "no worker ran it"},
+		{"complete response, executed once", Outcome{Request: testRequest, Sealed: true}, map[string][]workersim.Run{"a": {run}}, ""},
+		{"complete response, executed by two workers", Outcome{Request: testRequest, Sealed: true}, map[string][]workersim.Run{"a": {run}, "b": {run}}, "ran 2 times"},
+		{"rejected as not executed, but executed", Outcome{Request: testRequest, Rejected: "not-run"}, map[string][]workersim.Run{"a": {run}}, "yet it ran"},
+		{"rejected as possibly executed, and executed", Outcome{Request: testRequest, Rejected: "may-have-run"}, map[string][]workersim.Run{"a": {run}}, ""},
+		{"complete response, but in no journal", Outcome{Request: testRequest, Sealed: true}, nil, "no worker ran it"},
 	} {
 		b := &OutcomeLog{}
-		b.Add(test.o)
-		got := strings.Join(b.Summarize(test.js, true).Faults, "; ")
+		b.Add(test.outcome)
+		got := strings.Join(b.Summarize(test.journals, true).Faults, "; ")
 		if test.want == "" && got != "" || test.want != "" && !strings.Contains(got, test.want) {
 			t.Errorf("%s: faults %q, want one that contains %q (empty: none)", test.name, got, test.want)
 		}
@@ -104,18 +104,18 @@
 // For a request that was sent to two edge nodes, the outcome of the copy that was served is counted. It is a fault if
 // both copies were served.
 func TestTwinsAreOneRequest(t *testing.T) {
-	twin := ask
-	twin.Duplicate = true
+	duplicate := testRequest
+	duplicate.Duplicate = true
 	for _, c := range []struct {
 		name   string
 		a, b   Outcome
 		sealed int
 		faults bool
 	}{
-		{"the first copy is served", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Rejected: "may-have-run"}, 1, false},
-		{"the second copy is served", Outcome{Request: ask, Rejected: "may-have-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
-		{"one copy is rejected as not executed, the other is served", Outcome{Request: ask, Rejected: "not-run"}, Outcome{Request: twin, Sealed: true}, 1, false},
-		{"both copies are served", Outcome{Request: ask, Sealed: true}, Outcome{Request: twin, Sealed: true}, 1, true},
+		{"the first copy is served", Outcome{Request: testRequest, Sealed: true}, Outcome{Request: duplicate, Rejected: "may-have-run"}, 1, false},
+		{"the second copy is served", Outcome{Request: testRequest, Rejected: "may-have-run"}, Outcome{Request: duplicate, Sealed: true}, 1, false},
+		{"one copy is rejected as not executed, the other is served", Outcome{Request: testRequest, Rejected: "not-run"}, Outcome{Request: duplicate, Sealed: true}, 1, false},
+		{"both copies are served", Outcome{Request: testRequest, Sealed: true}, Outcome{Request: duplicate, Sealed: true}, 1, true},
 	} {
 		b := &OutcomeLog{}
 		b.Add(c.a)
--- a/internal/sim/loadgen/journals.go
+++ b/internal/sim/loadgen/journals.go
@@ -41,11 +41,11 @@
 		}
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
-			batch.Add("journal of "+name, err)
+			batch.Add("fetch journal of worker "+name, err)
 			continue
 		}
 		var runs []workersim.Run
-		batch.Add("journal of "+name, json.NewDecoder(response.Body).Decode(&runs))
+		batch.Add("fetch journal of worker "+name, json.NewDecoder(response.Body).Decode(&runs))
 		response.Body.Close()
 		journals[name] = runs
 	}
--- a/internal/sim/workersim/begin_test.go
+++ b/internal/sim/workersim/begin_test.go
@@ -61,9 +61,9 @@
 			if test.beginBy != 0 {
 				request.BeginByUs = (process.Clock.Now() + test.beginBy).Microseconds()
 			}
-			t0 := time.Now()
+			sentAt := time.Now()
 			recorder := ask(request)
-			elapsed := time.Since(t0)
+			elapsed := time.Since(sentAt)
 			first.Wait()
 			var rejection contract.Rejection
 			_ = json.Unmarshal(recorder.Body.Bytes(), &rejection) // a response stream isn't one JSON value, so rejection stays empty
--- a/internal/sim/workersim/worker.go
+++ b/internal/sim/workersim/worker.go
@@ -93,10 +93,10 @@
 }
 
 // numberOption returns the number in a process's option, or the default if the option is missing or not a number.
-func numberOption(process *daemon.Process, key string, or float64) float64 {
+func numberOption(process *daemon.Process, key string, defaultValue float64) float64 {
 	v, err := strconv.ParseFloat(process.Settings.Option(key, ""), 64)
 	if err != nil {
-		return or
+		return defaultValue
 	}
 	return v
 }
