--- a/internal/sim/clustersim/cluster_test.go
+++ b/internal/sim/clustersim/cluster_test.go
@@ -91,7 +91,7 @@
 						t.Errorf("linearizability check covered %d operations on the configuration, want at least %d", r.Judged, minCheckedOperations)
 					}
 					if len(r.Faults) > 0 {
-						t.Errorf("%d violations, want none:\n%s\nsteps:\n%s\nreplay: TABLE_SCENARIO=%s TABLE_SITE=%s TABLE_SEED=%d go test ./internal/sim/clustersim -run TestScenarios -v",
+						t.Errorf("scenario run has %d violations of invariants, want none:\n%s\nsteps:\n%s\nreplay: TABLE_SCENARIO=%s TABLE_SITE=%s TABLE_SEED=%d go test ./internal/sim/clustersim -run TestScenarios -v",
 							len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"), scenario.Name, site, seed)
 					}
 				})
@@ -131,7 +131,7 @@
 					i++
 				}
 			}
-			t.Errorf("%d violations, want none:\n%s\nsteps:\n%s\nreplay: TABLE_SEED=%d TABLE_SEEDS=1 TABLE_SHRINK=1 go test ./internal/sim/clustersim -run TestMixtures -v",
+			t.Errorf("run with random faults has %d violations of invariants, want none:\n%s\nsteps:\n%s\nreplay: TABLE_SEED=%d TABLE_SEEDS=1 TABLE_SHRINK=1 go test ./internal/sim/clustersim -run TestMixtures -v",
 				len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"), seed)
 		})
 	}
--- a/internal/sim/clustersim/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -43,7 +43,7 @@
 						continue
 					}
 					for i := range layout.Processes {
-						if layout.Processes[i].Program == programs.WorkerSim { // the first of several options with the same name has effect
+						if layout.Processes[i].Program == programs.WorkerSim { // prepend: only the first of several options with the same name has an effect
 							layout.Processes[i].Settings.Options = append([]string{option}, layout.Processes[i].Settings.Options...)
 						}
 					}
--- a/internal/sim/clustersim/network.go
+++ b/internal/sim/clustersim/network.go
@@ -256,7 +256,7 @@
 	return sent, nil
 }
 
-// Close implements net.Conn. As with TCP, unread bytes turn it into a reset.
+// Close implements net.Conn. As with TCP, closing a connection with unread bytes resets it.
 //
 // Example: defer conn.Close()
 func (c *conn) Close() error {
--- a/internal/sim/loadgen/check.go
+++ b/internal/sim/loadgen/check.go
@@ -29,7 +29,7 @@
 	Once      bool     // the request isn't idempotent: it may be executed at most once
 	Duplicate bool     // second copy of an at-most-once request, sent to another edge node
 	App       bool     // the request is for the application service, which has no prefix cache
-	ServedBy  []string // names of the models that may serve the request (base or base/adapter@build); none: only Model
+	ServedBy  []string // names of the models that may serve the request (base or base/adapter@build); none: only the one in Model
 }
 
 // Outcome is the result of a request as seen by its client.
--- a/internal/sim/workersim/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -116,7 +116,8 @@
 }
 
 // rejectStale returns the reason to reject a load or unload order that is for another incarnation of the worker, or
-// that has a lower step than an accepted order of its plan. It returns "" for any other order, and records its step.
+// that has a lower step than an accepted order of its plan. It returns "" for any other order; if that is a load or
+// unload order, it records the step as the plan's highest.
 func (w *Worker) rejectStale(order *contract.Order) string {
 	switch {
 	case order.Kind != "load" && order.Kind != "unload":
--- a/internal/sim/workersim/worker.go
+++ b/internal/sim/workersim/worker.go
@@ -18,12 +18,12 @@
 
 // Speed holds the simulated durations of prefills and decoding, and the speed at which prefixes are fetched.
 type Speed struct {
-	FixedUs                  float64 // duration of a prefill that doesn't depend on its length, in microseconds
+	FixedUs                  float64 // part of a prefill's duration that doesn't depend on its length, in microseconds
 	TokenUs                  float64 // added to a prefill per token, in microseconds
-	SquareUs                 float64 // times the square of the number of tokens is added to a prefill, in microseconds
+	SquareUs                 float64 // added to a prefill per square of its number of tokens, in microseconds
 	ChunkUs                  float64 // duration of decoding one chunk, in microseconds
-	LinkTokensPerSecond      float64 // fetch of a prefix from a worker or the prompt store in the same zone
-	CrossZoneTokensPerSecond float64 // fetch of a prefix from another zone
+	LinkTokensPerSecond      float64 // transfer speed of prefixes from a worker or the prompt store in the same zone
+	CrossZoneTokensPerSecond float64 // transfer speed of prefixes from another zone
 }
 
 // Prefill returns the simulated duration of the prefill of a number of tokens.
@@ -34,8 +34,8 @@
 	return time.Duration((s.FixedUs + s.TokenUs*n + s.SquareUs*n*n) * 1000)
 }
 
-// Run is one line of a worker's journal: a request that the worker started, or an order of the control plane that it
-// accepted.
+// Run is one line of a worker's journal: a request that the worker started, or an order of the control plane that
+// passed the checks of its fencing token, incarnation and step.
 type Run struct {
 	RequestID       string `json:"request_id"`
 	Once            bool   `json:"once"`
