--- a/internal/sim/clustersim/cluster.go
+++ b/internal/sim/clustersim/cluster.go
@@ -67,7 +67,7 @@
 	listeners       map[string]*listener
 	files           map[string]*file
 	outsideProcess  *proc               // stands for the clients and operators outside the site
-	tamperWithReads func([]byte) []byte // test fault: rewrites bytes that clients and operators receive; nil: none
+	tamperWithReads func([]byte) []byte // injected fault: rewrites bytes that clients and operators receive; nil: none
 }
 
 // outsideMachine is the name of the machine of clients and operators. Link rules don't apply to its connections. The
--- a/internal/sim/clustersim/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -102,14 +102,14 @@
 	}
 }
 
-// The checks of a run detect deliberate faults in the retirement of a base model: a worker that reports adapters it
+// The checks of a run detect injected faults in the retirement of a base model: a worker that reports adapters it
 // hasn't loaded rejects the proof requests that must succeed before the old base model is unloaded, so that the old
 // base model stays; and clients detect a response that was generated with the wrong adapter.
 func TestPlantedFaultsOfARetirement(t *testing.T) {
 	step := func(at int, do, who, to string) testbed.Step {
 		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
 	}
-	for _, planted := range []struct {
+	for _, test := range []struct {
 		name, want, state string
 		every             int
 		tamper            func([]byte) []byte
@@ -118,17 +118,17 @@
 		{"a response is generated with another adapter", "isn't what", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
 	} {
 		scenario := testbed.Scenario{Name: "planted", Retire: true, Rate: 10, RecoveryMs: 1000, AfterRecoveryMs: 2000,
-			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", planted.state)}}
+			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", test.state)}}
 		report := runScenario(t, scenario, "paramo", 3, func(s *testbed.Site) *Cluster {
-			if planted.every > 0 {
-				plantWorkerFault(s, "boasts", planted.every)
+			if test.every > 0 {
+				injectWorkerFault(s, "boasts", test.every)
 			}
 			cluster := New(3, s)
-			cluster.tamperWithReads = planted.tamper
+			cluster.tamperWithReads = test.tamper
 			return cluster
 		})
-		if all := strings.Join(report.Faults, "\n"); !strings.Contains(all, planted.want) {
-			t.Errorf("fault %q: want a violation that contains %q, got:\n%.1500s", planted.name, planted.want, all)
+		if all := strings.Join(report.Faults, "\n"); !strings.Contains(all, test.want) {
+			t.Errorf("fault %q: want a violation that contains %q, got:\n%.1500s", test.name, test.want, all)
 		}
 	}
 }
--- a/internal/sim/loadgen/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -57,7 +57,7 @@
 	}
 	other := testRequest
 	other.ID = "r2"
-	for name, plant := range map[string]func([][]byte) [][]byte{
+	for name, corrupt := range map[string]func([][]byte) [][]byte{
 		"a chunk is missing":                      func(l [][]byte) [][]byte { return append(l[:2:2], l[3:]...) },
 		"a chunk is repeated":                     func(l [][]byte) [][]byte { return append(l[:3:3], l[2:]...) },
 		"the end is of another response":          func(l [][]byte) [][]byte { return append(l[:2:2], lines(other, "shared", 3)[2:]...) },
@@ -68,7 +68,7 @@
 		"the response is of another cache domain": func([][]byte) [][]byte { return lines(testRequest, "t:walled", 3) },
 		"a shorter response with a matching seal": func([][]byte) [][]byte { q := testRequest; q.Chunks = 3; return lines(q, "shared", 3) },
 	} {
-		if outcome := ReadStream(testRequest, "worker-1", bytes.NewReader(bytes.Join(plant(correctLines()), nil))); len(outcome.Faults) == 0 {
+		if outcome := ReadStream(testRequest, "worker-1", bytes.NewReader(bytes.Join(corrupt(correctLines()), nil))); len(outcome.Faults) == 0 {
 			t.Errorf("corrupted response (%s): outcome is %+v, want a fault", name, outcome)
 		}
 	}
--- a/internal/sim/workersim/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -77,7 +77,7 @@
 		return "weights"
 	case request.Adapter != "" && (w.adapters[request.Model][request.Adapter] != request.Build || request.Build == 0):
 		return "adapter"
-	case request.Adapter != "" && w.plantedFault == faultReportsUnloaded: // test fault: the worker reports an adapter but rejects requests for it
+	case request.Adapter != "" && w.injectedFault == faultReportsUnloaded: // the worker reports the adapter as loaded but rejects requests for it
 		return "adapter"
 	}
 	return ""
--- a/internal/sim/workersim/memory_test.go
+++ b/internal/sim/workersim/memory_test.go
@@ -147,7 +147,7 @@
 	})
 }
 
-// With the option empty=yes a worker starts without a model. With the test fault "boasts" it reports an adapter as
+// With the option empty=yes a worker starts without a model. With the injected fault "boasts" it reports an adapter as
 // loaded and rejects requests for it.
 func TestEmptyAndBoasting(t *testing.T) {
 	inBubble(t, []string{"empty=yes"}, func(t *testing.T, c *Worker, _ func(contract.Order) string, ask func(string, string, uint64) string) {
--- a/internal/sim/workersim/plantedfaults.go
+++ b/internal/sim/workersim/plantedfaults.go
@@ -1,6 +1,6 @@
 package workersim
 
-// Deliberate faults of a simulated worker, selected by the option "lie". Tests verify that the checks of a run detect
+// Injected faults of a simulated worker, selected by the option "lie". Tests verify that the checks of a run detect
 // each of them.
 const (
 	faultRejectsExecuted  = "denies" // executes each request and then rejects it as not executed
@@ -11,9 +11,9 @@
 	faultAbortsExecutions = "dies"   // aborts the connection of every request after its start
 )
 
-// plantSecondRun writes the journal entry of a request a second time if the worker has the fault faultRunsTwice.
-func (w *Worker) plantSecondRun(run *Run) {
-	if w.plantedFault == faultRunsTwice {
+// journalSecondRun writes the journal entry of a request a second time if the worker has the fault faultRunsTwice.
+func (w *Worker) journalSecondRun(run *Run) {
+	if w.injectedFault == faultRunsTwice {
 		_ = w.writeJournal(run) // writeJournal logs a failure; the test of this fault then fails
 	}
 }
--- a/internal/sim/workersim/run.go
+++ b/internal/sim/workersim/run.go
@@ -28,7 +28,7 @@
 // again that the request may start, prefills the remaining tokens, and streams the response. It returns false if the
 // context wait was done before the request could start.
 func (w *Worker) run(wait context.Context, writer http.ResponseWriter, httpRequest *http.Request, request *contract.StartRequest, reject func(int, string)) bool {
-	if w.plantedFault == faultSharesCache {
+	if w.injectedFault == faultSharesCache {
 		request.CacheDomain = "shared"
 	}
 	running := &attempt{worker: w, http: httpRequest, rw: writer, request: request,
@@ -43,7 +43,7 @@
 		reject(409, reason)
 		return true
 	}
-	switch w.plantedFault {
+	switch w.injectedFault {
 	case faultRejectsExecuted:
 		reject(409, "full")
 		return true
--- a/internal/sim/workersim/worker.go
+++ b/internal/sim/workersim/worker.go
@@ -87,7 +87,7 @@
 	dropReportRatio  float64
 	withholdsReports bool
 	reportDelay      time.Duration // time after which a closed cache report can be read
-	plantedFault     string        // one of the test faults in plantedfaults.go; empty: none
+	injectedFault    string        // one of the injected faults in plantedfaults.go; empty: none
 	client           *http.Client
 	journalFile      io.Writer // nil: the worker keeps no journal
 }
@@ -148,7 +148,7 @@
 		dropReportRatio:  numberOption(process, "drop", 0),
 		withholdsReports: process.Settings.Option("mute", "") == "yes",
 		reportDelay:      time.Duration(numberOption(process, "late_ms", 0)) * time.Millisecond,
-		plantedFault:     process.Settings.Option("lie", ""),
+		injectedFault:    process.Settings.Option("lie", ""),
 		random:           rand.New(rand.NewPCG(fnv64(process.Settings.Name), 7)),
 		client:           &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DialContext: process.Dial}},
 	}
@@ -272,7 +272,7 @@
 	if reason := w.executeOrder(order); reason != "" {
 		return reason, order.FencingToken
 	}
-	if order.Kind == "weights" && (order.Model == "" || order.Model == w.model) && order.Weights > w.weights && w.plantedFault != faultIgnoresWeights {
+	if order.Kind == "weights" && (order.Model == "" || order.Model == w.model) && order.Weights > w.weights && w.injectedFault != faultIgnoresWeights {
 		w.weights = order.Weights
 		w.cache.Clear()
 		w.process.Log.Info("weights loaded", "weights", order.Weights)
@@ -377,7 +377,7 @@
 	if w.writeJournal(run) != nil {
 		return nil, "full" // a request without a journal entry must not be started
 	}
-	w.plantSecondRun(run)
+	w.journalSecondRun(run)
 	if w.runs = append(w.runs, run); len(w.runs) > maxRuns {
 		w.runs = w.runs[1:]
 	}
