--- a/internal/sim/clustersim/cluster_test.go
+++ b/internal/sim/clustersim/cluster_test.go
@@ -12,54 +12,57 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-// envNumber returns the number in an environment variable, or a default if it isn't set.
-func envNumber(t *testing.T, key string, or uint64) uint64 {
+// envNumber returns the number in the environment variable key, or the default if the variable isn't set.
+func envNumber(t *testing.T, key string, defaultValue uint64) uint64 {
 	t.Helper()
 	v := os.Getenv(key)
 	if v == "" {
-		return or
+		return defaultValue
 	}
 	n, err := strconv.ParseUint(v, 10, 64)
 	if err != nil {
-		t.Fatalf("%s: %v", key, err)
+		t.Fatalf("environment variable %s: %v", key, err)
 	}
 	return n
 }
 
-// runScenario plays a scenario on the cluster that on returns, in a bubble of virtual time.
-func runScenario(t *testing.T, scenario testbed.Scenario, site string, seed uint64, on func(*testbed.Site) *Cluster) (rep *testbed.Report) {
+// runScenario runs a test bed scenario in a testing/synctest bubble on the cluster that newCluster returns, and returns the
+// report.
+func runScenario(t *testing.T, scenario testbed.Scenario, site string, seed uint64, newCluster func(*testbed.Site) *Cluster) (report *testbed.Report) {
 	t.Helper()
 	if raceDetector {
-		t.Skip("without the race detector: see README")
+		t.Skip("the race detector doesn't support simulations of this size; run without -race (see README)")
 	}
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		rep, err = testbed.PlayOn(t.Context(), scenario, testbed.Options{Site: site, Seed: seed, Dir: dir, AddressByte: 10}, func(s *testbed.Site) (testbed.Environment, error) {
-			return on(s), nil
+		report, err = testbed.PlayOn(t.Context(), scenario, testbed.Options{Site: site, Seed: seed, Dir: dir, AddressByte: 10}, func(s *testbed.Site) (testbed.Environment, error) {
+			return newCluster(s), nil
 		})
 		if err != nil {
-			t.Error(err)
+			t.Errorf("run scenario %s on site %s: %v", scenario.Name, site, err)
 		}
 	})
-	if rep == nil {
-		t.Fatal("no report")
+	if report == nil {
+		t.Fatal("the scenario ended without a report")
 	}
-	return rep
+	return report
 }
 
-// judgedScenario changes the configuration in every way that an operator has; its history has to be checked, with so
-// many operations or more.
+// historyScenario is a scenario that uses every kind of configuration change an operator has. The linearizability check
+// of its history must cover at least minCheckedOperations operations.
 const (
-	judgedScenario = "keys-and-drains"
-	minJudged      = 100
+	historyScenario      = "keys-and-drains"
+	minCheckedOperations = 100
 )
 
-// scenariosOfCI are played where TABLE_SCENARIO names none: the first at both sites, the others at their own.
-var scenariosOfCI = []string{"all-together", judgedScenario, "runbooks"}
+// ciScenarios are the scenarios that run if TABLE_SCENARIO isn't set: the first one on every site, the others on the
+// site that the scenario names.
+var ciScenarios = []string{"all-together", historyScenario, "runbooks"}
 
-// The scenarios of the test bed have no fault in virtual time. `TABLE_SCENARIO=all go test ./internal/sim/clustersim -run
-// TestScenarios -timeout 2h` plays them all; TABLE_SITE, TABLE_SEED and TABLE_SEEDS select the site and the seeds.
+// The scenarios of the test bed run in virtual time without a violation of the invariants. `TABLE_SCENARIO=all go test
+// ./internal/sim/clustersim -run TestScenarios -timeout 2h` runs all of them; TABLE_SITE, TABLE_SEED and TABLE_SEEDS
+// select the site and the seeds.
 func TestScenarios(t *testing.T) {
 	l, err := testbed.Scenarios()
 	if err != nil {
@@ -67,14 +70,14 @@
 	}
 	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 1)
 	for _, scenario := range l {
-		if w := os.Getenv("TABLE_SCENARIO"); w != "all" && w != scenario.Name && (w != "" || !slices.Contains(scenariosOfCI, scenario.Name)) {
+		if w := os.Getenv("TABLE_SCENARIO"); w != "all" && w != scenario.Name && (w != "" || !slices.Contains(ciScenarios, scenario.Name)) {
 			continue
 		}
 		for _, site := range testbed.Sites() {
 			if w := os.Getenv("TABLE_SITE"); w != "" && w != site {
 				continue
 			}
-			if os.Getenv("TABLE_SCENARIO") == "" && scenario.Name != scenariosOfCI[0] && scenario.Site != site {
+			if os.Getenv("TABLE_SCENARIO") == "" && scenario.Name != ciScenarios[0] && scenario.Site != site {
 				continue
 			}
 			for seed := from; seed < from+n; seed++ {
@@ -84,11 +87,11 @@
 					}
 					r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster { return New(seed, s) })
 					t.Log(testbed.Line(r))
-					if scenario.Name == judgedScenario && r.Judged < minJudged {
-						t.Errorf("only %d operations on the configuration were checked", r.Judged)
+					if scenario.Name == historyScenario && r.Judged < minCheckedOperations {
+						t.Errorf("linearizability check covered %d operations on the configuration, want at least %d", r.Judged, minCheckedOperations)
 					}
 					if len(r.Faults) > 0 {
-						t.Errorf("%d faults:\n%s\nsteps:\n%s\nreplay: TABLE_SCENARIO=%s TABLE_SITE=%s TABLE_SEED=%d go test ./internal/sim/clustersim -run TestScenarios -v",
+						t.Errorf("scenario run has %d violations of invariants, want none:\n%s\nsteps:\n%s\nreplay: TABLE_SCENARIO=%s TABLE_SITE=%s TABLE_SEED=%d go test ./internal/sim/clustersim -run TestScenarios -v",
 							len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"), scenario.Name, site, seed)
 					}
 				})
@@ -97,38 +100,38 @@
 	}
 }
 
-// runMixture plays a mixture of faults and returns the report.
-func runMixture(t *testing.T, site string, seed uint64, l []testbed.Fault) *testbed.Report {
+// runMixture runs a scenario with the given faults on a site and returns the report.
+func runMixture(t *testing.T, site string, seed uint64, faults []testbed.Fault) *testbed.Report {
 	t.Helper()
-	scenario := testbed.FaultScenario(site, seed, l)
+	scenario := testbed.FaultScenario(site, seed, faults)
 	scenario.Rate = 10
 	r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster { return New(seed, s) })
 	t.Logf("%s: %s", testbed.Line(r), scenario.About)
 	return r
 }
 
-// The invariants hold under mixtures of faults that are drawn from seeds. `TABLE_SEEDS=1000 go test
-// ./internal/sim/clustersim -run TestMixtures -timeout 12h` plays many; TABLE_SEED replays one, and TABLE_SHRINK=1 omits
-// the faults that a violation doesn't need.
+// The invariants of a site hold under combinations of faults that are drawn at random from a seed. `TABLE_SEEDS=1000
+// go test ./internal/sim/clustersim -run TestMixtures -timeout 12h` runs a thousand seeds; TABLE_SEED is the first
+// seed, and TABLE_SHRINK=1 reduces the faults of a failing seed to those that are needed for a violation.
 func TestMixtures(t *testing.T) {
 	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 1)
 	for seed := from; seed < from+n; seed++ {
 		site := testbed.Sites()[seed%2]
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			l := testbed.DrawFaults(seed)
-			r := runMixture(t, site, seed, l)
+			faults := testbed.DrawFaults(seed)
+			r := runMixture(t, site, seed, faults)
 			if len(r.Faults) == 0 {
 				return
 			}
-			for i := 0; os.Getenv("TABLE_SHRINK") != "" && i < len(l); {
-				fewer := append(append([]testbed.Fault(nil), l[:i]...), l[i+1:]...)
+			for i := 0; os.Getenv("TABLE_SHRINK") != "" && i < len(faults); {
+				fewer := append(append([]testbed.Fault(nil), faults[:i]...), faults[i+1:]...)
 				if o := runMixture(t, site, seed, fewer); len(o.Faults) > 0 {
-					l, r = fewer, o
+					faults, r = fewer, o
 				} else {
 					i++
 				}
 			}
-			t.Errorf("%d faults:\n%s\nsteps:\n%s\nreplay: TABLE_SEED=%d TABLE_SEEDS=1 TABLE_SHRINK=1 go test ./internal/sim/clustersim -run TestMixtures -v",
+			t.Errorf("run with random faults has %d violations of invariants, want none:\n%s\nsteps:\n%s\nreplay: TABLE_SEED=%d TABLE_SEEDS=1 TABLE_SHRINK=1 go test ./internal/sim/clustersim -run TestMixtures -v",
 				len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"), seed)
 		})
 	}
--- a/internal/sim/clustersim/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -9,7 +9,7 @@
 	"pebbleloom/internal/sim/testbed"
 )
 
-// scenario returns the scenario of a name, at ten requests a second.
+// scenario returns the test bed scenario with the given name, at ten requests a second.
 func scenario(t *testing.T, name string) testbed.Scenario {
 	t.Helper()
 	l, err := testbed.Scenarios()
@@ -22,12 +22,12 @@
 			return scenario
 		}
 	}
-	t.Fatalf("no scenario %s", name)
+	t.Fatalf("test bed has no scenario %q", name)
 	return testbed.Scenario{}
 }
 
-// Retirements under traffic succeed without a violation. The first one is compared with the same traffic without a
-// retirement: no more requests may miss their deadline.
+// The retirement of a base model under traffic violates no invariant. The scenario retire-calm is compared with the same
+// traffic without a retirement: no more requests may miss their deadline.
 func TestRetirementsUnderTraffic(t *testing.T) {
 	late := func(report *testbed.Report) int { return report.Sum.Requests - report.Sum.Sealed }
 	for _, name := range []string{"retire-calm", "retire-troubles", "retire-abort"} {
@@ -35,7 +35,7 @@
 		report := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		t.Log(testbed.Line(report))
 		if len(report.Faults) > 0 {
-			t.Errorf("%s:\n%s\n%s", name, strings.Join(report.Faults, "\n"), strings.Join(report.Steps, "\n"))
+			t.Errorf("scenario %s: violations, want none:\n%s\nsteps:\n%s", name, strings.Join(report.Faults, "\n"), strings.Join(report.Steps, "\n"))
 		}
 		if name != "retire-calm" {
 			continue
@@ -45,15 +45,15 @@
 		comparison := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		t.Log(testbed.Line(comparison))
 		if a, b := late(report), late(comparison); a > b {
-			t.Errorf("%d of %d requests weren't completed in time with a retirement, %d of %d without", a, report.Sum.Requests, b, comparison.Sum.Requests)
+			t.Errorf("requests not completed before their deadline: %d of %d with a retirement, want no more than the %d of %d without one", a, report.Sum.Requests, b, comparison.Sum.Requests)
 		}
 	}
 }
 
-// A retirement completes, and the invariants hold, under mixtures of faults that are drawn from seeds. Left out are faults
-// that the checks can't distinguish from the retirement (other weights of the base model), and those that never end (a
-// drained worker that isn't replaced). `TABLE_SEEDS=20 go test ./internal/sim/clustersim -run
-// TestMixturesInARetirement -timeout 2h` plays many.
+// The retirement of a base model completes, and the invariants hold, under combinations of faults that are drawn at
+// random from a seed. Left out are faults that the checks can't distinguish from the retirement (other weights of the
+// base model), and those that never end (a drained worker that isn't replaced). `TABLE_SEEDS=20 go test
+// ./internal/sim/clustersim -run TestMixturesInARetirement -timeout 2h` runs twenty seeds.
 func TestMixturesInARetirement(t *testing.T) {
 	from, n := envNumber(t, "TABLE_SEED", 1), envNumber(t, "TABLE_SEEDS", 1)
 	for seed := from; seed < from+n; seed++ {
@@ -78,56 +78,57 @@
 			r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster { return New(seed, s) })
 			t.Logf("%s: %s", testbed.Line(r), scenario.About)
 			if len(r.Faults) > 0 {
-				t.Errorf("%d faults:\n%s\nsteps:\n%s", len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"))
+				t.Errorf("%d violations in a retirement under faults, want none:\n%s\nsteps:\n%s", len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"))
 			}
 		})
 	}
 }
 
-// A measurement of the duration of a retirement over the number of workers that migrate at once. `TABLE_PACES=1,2,3,6 go
-// test ./internal/sim/clustersim -run TestPaces -v` prints a line for each.
+// Measures how long the retirement of a base model takes, by the number of workers that migrate at once.
+// `TABLE_PACES=1,2,3,6 go test ./internal/sim/clustersim -run TestPaces -v` prints a line for each number.
 func TestPaces(t *testing.T) {
-	words := os.Getenv("TABLE_PACES")
-	if words == "" {
-		t.Skip("a measurement: run it by hand")
+	concurrencies := os.Getenv("TABLE_PACES")
+	if concurrencies == "" {
+		t.Skip("measurement of retirement durations; set TABLE_PACES to run it")
 	}
-	for _, n := range strings.Split(words, ",") {
+	for _, n := range strings.Split(concurrencies, ",") {
 		scenario := scenario(t, "retire-calm")
 		scenario.Steps[0].Argument = `{"shares":[100],"at_once":` + n + `}`
 		r := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		if len(r.Faults) > 0 {
-			t.Errorf("%v", r.Faults)
+			t.Errorf("retirement with %s workers at once: violations %v, want none", n, r.Faults)
 		}
-		fmt.Printf("%s of 18 at once: %s; unanswered %d of %d\n", n, strings.Join(r.Steps, ", "), r.Sum.Requests-r.Sum.Sealed, r.Sum.Requests)
+		fmt.Printf("%s of 18 workers migrate at once: %s; requests without a complete response: %d of %d\n", n, strings.Join(r.Steps, ", "), r.Sum.Requests-r.Sum.Sealed, r.Sum.Requests)
 	}
 }
 
-// Planted faults of a retirement are detected: a worker that reports adapters it hasn't loaded blocks the barrier, so that
-// the old base model stays, and clients detect a response of the wrong adapter.
+// The checks of a run detect injected faults in the retirement of a base model: a worker that reports adapters it
+// hasn't loaded rejects the proof requests that must succeed before the old base model is unloaded, so that the old
+// base model stays; and clients detect a response that was generated with the wrong adapter.
 func TestPlantedFaultsOfARetirement(t *testing.T) {
 	step := func(at int, do, who, to string) testbed.Step {
 		return testbed.Step{At: at, Action: do, Targets: who, Argument: to}
 	}
-	for _, planted := range []struct {
-		point, want, state string
-		every              int
-		tamper             func([]byte) []byte
+	for _, test := range []struct {
+		name, want, state string
+		every             int
+		tamper            func([]byte) []byte
 	}{
 		{"a worker reports adapters that it hasn't loaded", "its proof failed", "done", 18, nil},
-		{"a response of another adapter", "isn't what", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
+		{"a response is generated with another adapter", "isn't what", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
 	} {
 		scenario := testbed.Scenario{Name: "planted", Retire: true, Rate: 10, RecoveryMs: 1000, AfterRecoveryMs: 2000,
-			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", planted.state)}}
+			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", test.state)}}
 		report := runScenario(t, scenario, "paramo", 3, func(s *testbed.Site) *Cluster {
-			if planted.every > 0 {
-				plantWorkerFault(s, "boasts", planted.every)
+			if test.every > 0 {
+				injectWorkerFault(s, "boasts", test.every)
 			}
 			cluster := New(3, s)
-			cluster.tamperWithReads = planted.tamper
+			cluster.tamperWithReads = test.tamper
 			return cluster
 		})
-		if all := strings.Join(report.Faults, "\n"); !strings.Contains(all, planted.want) {
-			t.Errorf("%s: %q isn't among the faults:\n%.1500s", planted.point, planted.want, all)
+		if all := strings.Join(report.Faults, "\n"); !strings.Contains(all, test.want) {
+			t.Errorf("fault %q: want a violation that contains %q, got:\n%.1500s", test.name, test.want, all)
 		}
 	}
 }
