--- a/bench/randomday/main_test.go
+++ b/bench/randomday/main_test.go
@@ -49,23 +49,23 @@
 	for seed := range uint64(400) {
 		text, err := randomDay(path, "scale-1", seed)
 		if err != nil {
-			t.Fatalf("draw a day with seed %d: %v", seed, err)
+			t.Fatalf("draw a random test scenario (a day) with seed %d: %v", seed, err)
 		}
 		if again, err := randomDay(path, "scale-1", seed); err != nil || again != text {
-			t.Fatalf("two calls with seed %d returned different days, want identical ones; error %v", seed, err)
+			t.Fatalf("two calls with seed %d returned different random test scenarios (days), want identical ones; error %v", seed, err)
 		}
 		w := written{}
 		if _, err := toml.Decode(text, &w); err != nil {
-			t.Fatalf("decode the day of seed %d: %v\n%s", seed, err, text)
+			t.Fatalf("decode the random test scenario (a day) of seed %d: %v\n%s", seed, err, text)
 		}
 		day := w.Day[0]
 		if len(w.Day) != 1 || day.Seed != seed || day.Slot != "scale" || day.Traffic[0].Zone != "south" || len(day.Plan) < 3 || len(day.Faults) < 4 {
-			t.Fatalf("seed %d: decoded %d days, the first %+v; want one day with this seed, slot scale, traffic in zone south, at least 3 planned operations and 4 faults", seed, len(w.Day), day)
+			t.Fatalf("seed %d: decoded %d random test scenarios (days), the first %+v; want one with this seed, with the slot \"scale\" and the traffic in zone south of the site file's day \"scale-1\", and with at least 3 planned operations and 4 faults", seed, len(w.Day), day)
 		}
 		for _, e := range append(day.Plan, day.Faults...) {
 			seen[e.Kind] = true
 			if e.At < 1 || e.At > 25 {
-				t.Fatalf("seed %d: entry %s of a day of 30 s starts at %v s, want 1 to 25 s", seed, e.Kind, e.At)
+				t.Fatalf("seed %d: entry %s of a test scenario (a day) of 30 s starts at %v s, want 1 to 25 s", seed, e.Kind, e.At)
 			}
 		}
 	}
--- a/internal/codecheck/words_test.go
+++ b/internal/codecheck/words_test.go
@@ -51,9 +51,9 @@
 // wireForms matches the uses of withdrawn words in comments and strings that can't change: names on which other
 // releases, operators' scripts and stored data depend.
 var wireForms = regexp.MustCompile(strings.Join([]string{
-	`"(archive|catalogue|appraiser|dispatcher|district|setup|tell|owns|not-owner)"`,                       // roles, names of settings and JSON fields, states, outcomes
+	`"(archive|catalogue|appraiser|dispatcher|district|setup|tell|owns|not-owner)"`,                       // original roles, names of settings and JSON fields, states and outcomes, which other releases use
 	`\b(archive|catalogue|appraiser|dispatcher)/`,                                                         // prefixes of node names, such as archive/core-1
-	"`(district|setup [a-z]+)", `--district\b`, `\bx\.json: district\b`, `\bsetup_ms\b`, `\\tDISTRICT\\t`, // settings, command-line flags, and a column of the command line's output
+	"`(district|setup [a-z]+)", `--district\b`, `\bx\.json: district\b`, `\bsetup_ms\b`, `\\tDISTRICT\\t`, // original names of settings, command-line flags and a column of the command line's output, which operators' scripts use
 	`\bsetup (get|apply|patch|validate|render|diff|fly)\b`, // original names of commands, which operators' scripts use
 	`/v1/setup\b`, `\.setup\b`, `\btestdata/setups\b`, `\bpebbleloom_(denied_total|setup_epoch)\b`,
 	`\b(patch-setup|no-setup|setup-wrong|duties-unheld|duties of the)\b`,                              // kinds of problems, actions, and names of facts and runbooks in operators' reports
--- a/internal/control/calendar/planner_test.go
+++ b/internal/control/calendar/planner_test.go
@@ -328,9 +328,9 @@
 		holder                      string
 		entryVersion, configVersion uint64
 	}{
-		{"first", 3, 7},
-		{"second", 3, 9},
-		{"of a later entry", 30, 9},
+		{"first lease holder", 3, 7},
+		{"second lease holder", 3, 9},
+		{"lease holder of a later calendar entry", 30, 9},
 	} {
 		planner, observed := NewPlanner(), newTestSite().observe(t)
 		started, _, _ := planner.Next(entry, observed)
@@ -338,10 +338,10 @@
 		observed.EntryVersion, observed.ConfigVersion = test.entryVersion, test.configVersion
 		_, action, _ := NewPlanner().Next(doing, observed)
 		if tokens[test.holder] = action.Token; action.Patch == nil || action.Token == "" {
-			t.Fatalf("lease holder %q: got no action with an idempotency token for the calendar entry %+v", test.holder, doing)
+			t.Fatalf("%s: got no action with an idempotency token for the calendar entry %+v", test.holder, doing)
 		}
 	}
-	if tokens["first"] != tokens["second"] || tokens["first"] == tokens["of a later entry"] {
+	if tokens["first lease holder"] != tokens["second lease holder"] || tokens["first lease holder"] == tokens["lease holder of a later calendar entry"] {
 		t.Errorf("action tokens by lease holder %v: want equal tokens for the same entry and another for the later entry", tokens)
 	}
 }
--- a/internal/control/controlstate/change_search_test.go
+++ b/internal/control/controlstate/change_search_test.go
@@ -102,7 +102,7 @@
 		if random.IntN(4) == 0 {
 			author = "any" // operators that send a change by "any" with equal versions and content send the same change
 		}
-		change.text = fmt.Sprintf("author %s, base %d, partial %v", author, change.baseVersion, change.partial) // different changes get different bodies
+		change.text = fmt.Sprintf("change by operator %s, base version %d, sent as a patch: %v", author, change.baseVersion, change.partial) // different changes get different bodies
 		for _, other := range s.changes {
 			if other.baseVersion == change.baseVersion && other.newVersion == change.newVersion && other.text == change.text {
 				change = other
--- a/internal/control/controlstate/second_loss_table_test.go
+++ b/internal/control/controlstate/second_loss_table_test.go
@@ -13,10 +13,10 @@
 // repairCase is a group in which one or two members have to be replaced. Each machine is one letter: A is the leader,
 // X and Y are the members that are lost first, N and M are their replacements, and all others are followers.
 type repairCase struct {
-	members  string // voters before the loss
+	members  string // voters before the loss, one letter per machine
 	lost     string // members that are lost: "X" or "XY"
 	failure  repairFailure
-	newcomer string // replacements: "N", "NM" or "" (none available)
+	newcomer string // machines that replace the lost members: "N" (one machine, N), "NM" (two, N and M) or "" (none available)
 }
 
 // repairFailure is the way in which members are lost. The values appear in the table in docs/control.md.
--- a/internal/control/controlstate/sim_group_test.go
+++ b/internal/control/controlstate/sim_group_test.go
@@ -64,7 +64,7 @@
 
 // groupSim is a simulation of a site with one group.
 type groupSim struct {
-	simBase                             // the links in partitioned stay partitioned until a fault or awaitRecovery clears them
+	simBase                             // links in simBase.partitioned drop messages until an injected event that ends all partitions, or awaitRecovery, clears this map
 	bootstrapping       bool            // whether the site is in its first start, in which the seeds bootstrap the group
 	restoreGeneration   uint64          // restore generation of the group that clients use
 	toleratedLosses     int             // number of simultaneous node losses that the site has to tolerate
--- a/internal/control/placementcontroller/compute_test.go
+++ b/internal/control/placementcontroller/compute_test.go
@@ -31,18 +31,19 @@
 }
 
 // The expected values of the placement are calculated by hand: 1000 shared tokens per request take 40 ms of
-// prefill, the initial bandwidth B is 50000 tokens per second, and R_max = α·t·B·(N−1)/(S·N) =
-// 0.5·0.04·50000·3/(1000·4) = 0.75. The scan selects entries until they cover 1 − 0.75 = 0.25 of all accesses,
-// which the first one does alone. Slow links, a small cache, a single worker and no accesses are checked too.
+// prefill, the initial bandwidth B is 50000 tokens per second, and the largest fraction of a request's tokens to
+// fetch from other workers is R_max = α·t·B·(N−1)/(S·N) = 0.5·0.04·50000·3/(1000·4) = 0.75. The scan selects
+// entries until they cover 1 − 0.75 = 0.25 of all accesses, which the first one does alone. Slow links, a small
+// cache, a single worker and no accesses are checked too.
 func TestCompute(t *testing.T) {
 	next := Compute(testInputs(50, 30, 20), nil)
 	if next.RMax < 0.7499 || next.RMax > 0.7501 || len(next.Replicated) != 1 || next.Replicated[0] != "00" || next.MeanSharedTokens != 1000 {
-		t.Errorf("placement with four workers at the initial bandwidth: %+v, want R_max 0.75, only entry 00 replicated, 1000 shared tokens", next)
+		t.Errorf("placement with four workers at the initial bandwidth: %+v, want at most 0.75 of a request's tokens fetched from other workers (RMax), only entry 00 replicated, 1000 shared tokens per request", next)
 	}
 	inputs := testInputs(50, 30, 20)
 	inputs.Links = []*wire.LinkThroughput{{Class: "near", Tokens: 1e6, ElapsedNs: 1e12}, {Class: "store", Tokens: 1e12, ElapsedNs: 1}}
 	if next = Compute(inputs, nil); next.RMax > 0.05 || len(next.Replicated) != 3 {
-		t.Errorf("placement with slow links between workers and a fast link to the store: R_max %v with %d entries replicated, want at most 0.05 with 3", next.RMax, len(next.Replicated))
+		t.Errorf("placement with slow links between workers and a fast link to the store: largest fraction of a request's tokens to fetch from other workers %v with %d entries replicated, want at most 0.05 with 3", next.RMax, len(next.Replicated))
 	}
 	inputs = testInputs(50, 30, 20)
 	inputs.FetchTolerance, inputs.CapacityTokens = 0.01, 4500
@@ -51,7 +52,7 @@
 	}
 	inputs.Workers = []string{"a"}
 	if next = Compute(inputs, nil); next.RMax != 0 {
-		t.Errorf("placement with one worker: R_max %v, want 0", next.RMax)
+		t.Errorf("placement with one worker: largest fraction of a request's tokens to fetch from other workers %v, want 0", next.RMax)
 	}
 	if next = Compute(testInputs(), nil); len(next.Replicated) != 0 || next.ReplicatedRatio != 0 {
 		t.Errorf("placement without hot entries: %+v, want none replicated and ratio 0", next)
@@ -62,10 +63,10 @@
 // keeps the set stable.
 func TestReplicatedSetDoesntFlap(t *testing.T) {
 	inputs := testInputs(40, 30, 16, 14)
-	inputs.FetchTolerance = 0.15 // this tolerance gives a replication ratio R_max of 0.225, so that three of four entries are replicated
+	inputs.FetchTolerance = 0.15 // at most 0.225 of a request's tokens may then be fetched from other workers, so that three of four entries are replicated
 	current := Compute(inputs, nil)
 	if len(current.Replicated) != 3 {
-		t.Fatalf("placement with fetch tolerance 0.15: %+v, want three entries replicated", current)
+		t.Fatalf("placement if fetching may take 0.15 of the saved prefill time: %+v, want three entries replicated", current)
 	}
 	changes := 0
 	for i := range 50 {
@@ -85,7 +86,7 @@
 		current = next
 	}
 	if changes > 1 {
-		t.Errorf("the replicated set changed %d times over 50 oscillations, want at most 1", changes)
+		t.Errorf("the replicated set changed %d times while two entries exchanged their access counts 50 times, want at most 1", changes)
 	}
 }
 
@@ -98,6 +99,6 @@
 		t.Errorf("replicated entries %v after a burst on entry 03, before %v: want 03 first and as many entries", next.Replicated, current.Replicated)
 	}
 	if _, changed = SwapInBurst(next, hotEntries(40, 30, 16, 90)); changed {
-		t.Error("a second SwapInBurst with unchanged hot entries changed the placement")
+		t.Error("second replacement of cold replicated entries by hot ones (SwapInBurst), with unchanged access counts: the placement changed, want no change")
 	}
 }
--- a/internal/control/retire/fleet_test.go
+++ b/internal/control/retire/fleet_test.go
@@ -44,6 +44,16 @@
 	incompleteRevert                  // rule: an abort restores the routes and unloads the new base model
 )
 
+// invariantNames has a description of each invariant for messages, by its value.
+var invariantNames = []string{
+	neverEnds:        "every retirement ends",
+	earlyUnload:      "the old base model is unloaded only after PhaseBarrier",
+	falseBarrier:     "PhaseBarrier ends only when every node has answered the proof requests",
+	lostRequest:      "a request gets at most one answer, and its model is not unloaded while it runs",
+	delayedRequests:  "a retirement leaves no more requests unanswered than a run without one",
+	incompleteRevert: "an abort restores the routes and unloads the new base model",
+}
+
 // noFault is the value of testFleet.plantedFault for a simulation without a planted fault.
 const noFault = neverEnds
 
@@ -151,7 +161,7 @@
 // violation records that an invariant was violated; beyond the fifth violation it does nothing.
 func (f *testFleet) violation(violated invariant, format string, args ...any) {
 	if len(f.violations) < 5 {
-		f.violations = append(f.violations, fmt.Sprintf("invariant %d violated at tick %d: ", violated, f.now)+fmt.Sprintf(format, args...))
+		f.violations = append(f.violations, fmt.Sprintf("invariant %q violated at tick %d: ", invariantNames[violated], f.now)+fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/control/retire/simulation_test.go
+++ b/internal/control/retire/simulation_test.go
@@ -284,7 +284,7 @@
 				detected = "invariant delayedRequests violated: more requests unanswered with the retirement than without"
 			}
 			for _, violation := range fleet.violations {
-				if strings.HasPrefix(violation, fmt.Sprintf("invariant %d violated", fault)) {
+				if strings.HasPrefix(violation, fmt.Sprintf("invariant %q violated", invariantNames[fault])) {
 					detected = violation
 				}
 			}
@@ -293,7 +293,7 @@
 			}
 		}
 		if t.Log(detected); detected == "" {
-			t.Errorf("the planted violation of invariant %d was not detected in 300 seeds", fault)
+			t.Errorf("simulations with 300 seeds did not detect the planted violation of the invariant %q", invariantNames[fault])
 		}
 	}
 }
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -95,6 +95,6 @@
 	}
 	process.ApplySettings(settings.Process{Zone: "north"})
 	if !slices.Equal(received, []string{"north", "north"}) {
-		t.Errorf("zones that the two callbacks received: %q, want \"north\" in each", received)
+		t.Errorf("zones that the two callbacks for changed process settings received: %q, want \"north\" in each", received)
 	}
 }
--- a/internal/data/callerproxy/freshness_test.go
+++ b/internal/data/callerproxy/freshness_test.go
@@ -66,7 +66,7 @@
 		return fixture.snapshot
 	})
 	if outcome := fixture.send("r", true); outcome.Rejected != "not-run" || snapshotReads <= 10 {
-		t.Errorf("request that cannot start before its deadline: rejection %q after %d snapshot reads, want not-run after more than 10", outcome.Rejected, snapshotReads)
+		t.Errorf("request that cannot start before its deadline: rejection %q after the proxy read its cluster snapshot %d times, want not-run after more than 10 reads, since the first 10 snapshots still list the worker", outcome.Rejected, snapshotReads)
 	}
 }
 
--- a/internal/data/callerproxy/select_test.go
+++ b/internal/data/callerproxy/select_test.go
@@ -57,8 +57,8 @@
 		name string
 		run  func(t *testing.T)
 	}{
-		{"an uncached prefix goes to its shard worker, and is copied to the store once it is reused", testUncachedEntry},
-		{"an overloaded shard worker is not preferred", testOverloadedShardWorker},
+		{"an uncached prefix goes to the worker that its hash ranks first, and is copied to the store once it is reused", testUncachedEntry},
+		{"an overloaded worker is not preferred, even if the prefix's hash ranks it first", testOverloadedShardWorker},
 		{"a worker that holds the prefix is preferred over an idle one without it", testHolder},
 		{"the least loaded worker is selected for a replicated prefix", testReplicatedEntry},
 		{"a replicated prefix is copied to a worker that does not hold it and to the store", testReplicatedEntryIsSaved},
@@ -78,11 +78,11 @@
 	query := testQuery(false, nil)
 	choice, ok := Select(query)
 	if !ok || choice.Worker.Name != ranked[0] || choice.Replicated || choice.SaveAddrs != "d:1" {
-		t.Fatalf("uncached prefix: choice %+v, want shard worker %s and a copy to the store only", choice, ranked[0])
+		t.Fatalf("uncached prefix: choice %+v, want worker %s, which the prefix's hash ranks first, and a copy to the store only", choice, ranked[0])
 	}
 	query.LookupResults[entries[0].Key].Hotness = 1
 	if choice, _ := Select(query); choice.Worker.Name != ranked[0] || choice.SaveAddrs != "" {
-		t.Fatalf("prefix accessed once: choice %+v, want the shard worker and no copy", choice)
+		t.Fatalf("prefix accessed once: choice %+v, want worker %s, which the prefix's hash ranks first, and no copy to the store", choice, ranked[0])
 	}
 }
 
@@ -91,7 +91,7 @@
 	query := testQuery(false, nil)
 	query.Load = loadFrom(map[string]float64{ranked[0]: 6})
 	if choice, _ := Select(query); choice.Worker.Name != ranked[1] {
-		t.Fatalf("shard worker overloaded: selected %s, want the next worker in the ranking, %s", choice.Worker.Name, ranked[1])
+		t.Fatalf("overloaded worker that the prefix's hash ranks first: selected %s, want the next worker in the ranking, %s", choice.Worker.Name, ranked[1])
 	}
 }
 
--- a/internal/data/indexclient/client_test.go
+++ b/internal/data/indexclient/client_test.go
@@ -330,7 +330,7 @@
 		}
 		advance(client.bounds.Recovery(lateProbeRatio))
 		if client.Lookup(context.Background(), newKeys(1), lookupWait) == nil {
-			t.Error("lookup after the index nodes recovered: got nil, want a result from a probe of a late node")
+			t.Errorf("lookup after the index nodes, whose calls had timed out, recovered: got nil, want a result, as the client calls such a node again after %v", client.bounds.Recovery(lateProbeRatio))
 		}
 	})
 }
--- a/internal/data/promptindex/core_test.go
+++ b/internal/data/promptindex/core_test.go
@@ -76,8 +76,9 @@
 		}
 	}
 	walk(reports, nil)
-	// Of the 65 ordered subsets of four reports, only the one with all four in ascending order makes no full report
-	// necessary.
+	// Four reports have 65 ordered subsets. Only the one with all four in ascending order makes no full report
+	// necessary: in all others, even the empty one and those like 1, 2, a report is missing or out of order, because the
+	// worker's last response states that the number of its last report is 4.
 	if orders != 65 || fullRequests != 64 {
 		t.Fatalf("got %d tested orders of cache reports, %d of which led to a request for a full report; want 65 orders and 64 requests", orders, fullRequests)
 	}
@@ -137,7 +138,7 @@
 		t.Errorf("response to batch 1 of a sender's new incarnation: got %v, want sequence 1 and resend_window false", got)
 	}
 	if got := NewCore(settings.DefaultBounds(), anyKey).RecordAccesses(newRequest(1, 7), 1); !got.ResendWindow {
-		t.Error("response of a new index to batch 7 of an unknown sender: got ResendWindow false, want true")
+		t.Error("response of a new index to batch 7 of the access counts of an unknown sender: got ResendWindow false, want true, which asks the sender to resend its recent batches")
 	}
 	if h := core.Lookup([]prefix.Key{accessed}, 1+30*time.Second)[0].Hotness; h > 6 || h < 5 {
 		t.Errorf("hotness of a key 30 s after 15 accesses to it, with a decay time constant of 30 s: got %v, want 5 to 6", h)
