--- a/internal/control/retire/simulation_test.go
+++ b/internal/control/retire/simulation_test.go
@@ -269,7 +269,7 @@
 		t.Errorf("final states of the simulated retirements %v: want some retirements done and some aborted", ends)
 	}
 	if float64(unansweredWith) > float64(unansweredWithout)*1.1+0.001*float64(total) {
-		t.Errorf("invariant delayedRequests violated: %d of %d requests unanswered with a retirement, %d without, want at most 10 percent more plus 0.1 percent of all", unansweredWith, total, unansweredWithout)
+		t.Errorf("invariant violated that a retirement leaves no more requests unanswered than a run without one: %d of %d requests unanswered with a retirement, %d without, want at most 10 percent more plus 0.1 percent of all", unansweredWith, total, unansweredWithout)
 	}
 }
 
@@ -281,7 +281,7 @@
 		for seed := range uint64(300) {
 			fleet := simulate(t, seed, fault, true)
 			if fault == delayedRequests && fleet.unanswered > simulate(t, seed, noFault, false).unanswered+len(fleet.requests)/100 {
-				detected = "invariant delayedRequests violated: more requests unanswered with the retirement than without"
+				detected = "invariant violated that a retirement leaves no more requests unanswered than a run without one"
 			}
 			for _, violation := range fleet.violations {
 				if strings.HasPrefix(violation, fmt.Sprintf("invariant %q violated", invariantNames[fault])) {
--- a/internal/data/placement/placement_test.go
+++ b/internal/data/placement/placement_test.go
@@ -22,10 +22,10 @@
 		{"bandwidth too high to limit fetching: all tokens of a request may be fetched", 1, 1, 1e6, 10, 18, 1},
 		{"requests without a shared part: no tokens to fetch", 1, 1, 1e6, 0, 4, 0},
 		{"negative prefill time counts as zero", 1, -0.1, 1e6, 10, 4, 0},
-		{"alpha 0 tolerates no fetch", 0, 1, 1e6, 10, 4, 0},
+		{"fetching may take no part of the saved prefill time: no token may be fetched", 0, 1, 1e6, 10, 4, 0},
 	} {
 		if got := RMax(test.alpha, test.prefillSeconds, test.bandwidth, test.sharedTokens, test.workers); math.Abs(got-test.want) > 1e-12 {
-			t.Errorf("RMax, case %q: got %v, want %v", test.name, got, test.want)
+			t.Errorf("largest fraction of a request's tokens to fetch from other workers (RMax), case %q: got %v, want %v", test.name, got, test.want)
 		}
 	}
 }
@@ -62,8 +62,8 @@
 	}
 }
 
-// When a worker leaves, only the keys of which it was the shard worker move to other workers. The keys are distributed
-// evenly over the workers.
+// When a worker leaves, only the keys whose hash ranking it headed (as their shard worker) move to other workers.
+// The keys are distributed evenly over the workers.
 func TestShardWorkersAreEvenAndStable(t *testing.T) {
 	workers := []string{"a", "b", "c", "d", "e", "f"}
 	keys := map[string]int{}
@@ -77,7 +77,7 @@
 	}
 	for worker, n := range keys {
 		if n < 850 || n > 1150 {
-			t.Errorf("worker %s is the shard worker of %d of 6000 keys, want 850 to 1150", worker, n)
+			t.Errorf("worker %s is the first in the hash ranking (the shard worker) of %d of 6000 keys, want 850 to 1150", worker, n)
 		}
 	}
 }
