--- a/internal/sim/clustersim/cluster.go
+++ b/internal/sim/clustersim/cluster.go
@@ -324,7 +324,7 @@
 
 // SetLink sets the fault rule of the network link from one machine to another.
 //
-// Example: err := cluster.SetLink("edge-1", "core-2", testbed.LinkRule{Cut: true})
+// Example: err := cluster.SetLink("edge-1", "core-2", testbed.LinkRule{Partitioned: true})
 func (c *Cluster) SetLink(from, to string, r testbed.LinkRule) error { c.Set(from, to, r); return nil }
 
 // Dial connects to an address of the site from the machine of clients and operators.
--- a/internal/sim/clustersim/cluster_test.go
+++ b/internal/sim/clustersim/cluster_test.go
@@ -61,8 +61,8 @@
 var ciScenarios = []string{"all-together", historyScenario, "runbooks"}
 
 // The scenarios of the test bed run in virtual time without a violation of the invariants. `TABLE_SCENARIO=all go test
-// ./internal/sim/clustersim -run TestScenarios -timeout 2h` runs all of them; TABLE_SITE, TABLE_SEED and TABLE_SEEDS
-// select the site and the seeds.
+// ./internal/sim/clustersim -run TestScenarios -timeout 2h` runs all of them; TABLE_SITE
+// is the name of the only site to run, TABLE_SEED the first seed and TABLE_SEEDS the number of consecutive seeds.
 func TestScenarios(t *testing.T) {
 	l, err := testbed.Scenarios()
 	if err != nil {
--- a/internal/sim/clustersim/compare_test.go
+++ b/internal/sim/clustersim/compare_test.go
@@ -51,7 +51,7 @@
 				return New(seed, layout)
 			})
 			if len(report.Faults) > 0 {
-				t.Errorf("placement mode %s, seed %d: violations %v, want none", mode, seed, report.Faults)
+				t.Errorf("placement mode %s, seed %d: violations of invariants %v, want none", mode, seed, report.Faults)
 			}
 			got[mode] = append(got[mode], report)
 		}
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -29,7 +29,7 @@
 	stopOnce  sync.Once
 	killOnce  sync.Once
 	mu        sync.Mutex
-	frozen    chan struct{} // closed by SIGCONT; nil: the process isn't stopped by SIGSTOP
+	frozen    chan struct{} // channel that SIGCONT closes; nil: the process isn't stopped by SIGSTOP
 	conns     map[*conn]bool
 	listeners map[*listener]bool
 	random    *rand.Rand
--- a/internal/sim/clustersim/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -35,7 +35,7 @@
 		report := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		t.Log(testbed.Line(report))
 		if len(report.Faults) > 0 {
-			t.Errorf("scenario %s: violations, want none:\n%s\nsteps:\n%s", name, strings.Join(report.Faults, "\n"), strings.Join(report.Steps, "\n"))
+			t.Errorf("scenario %s: got violations of invariants, want none:\n%s\nsteps:\n%s", name, strings.Join(report.Faults, "\n"), strings.Join(report.Steps, "\n"))
 		}
 		if name != "retire-calm" {
 			continue
@@ -78,7 +78,7 @@
 			r := runScenario(t, scenario, site, seed, func(s *testbed.Site) *Cluster { return New(seed, s) })
 			t.Logf("%s: %s", testbed.Line(r), scenario.About)
 			if len(r.Faults) > 0 {
-				t.Errorf("%d violations in a retirement under faults, want none:\n%s\nsteps:\n%s", len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"))
+				t.Errorf("%d violations of invariants in the retirement of a base model under faults, want none:\n%s\nsteps:\n%s", len(r.Faults), strings.Join(r.Faults, "\n"), strings.Join(r.Steps, "\n"))
 			}
 		})
 	}
@@ -96,9 +96,9 @@
 		scenario.Steps[0].Argument = `{"shares":[100],"at_once":` + n + `}`
 		r := runScenario(t, scenario, scenario.Site, 1, func(s *testbed.Site) *Cluster { return New(1, s) })
 		if len(r.Faults) > 0 {
-			t.Errorf("retirement with %s workers at once: violations %v, want none", n, r.Faults)
+			t.Errorf("retirement of a base model, %s workers migrating at once: violations of invariants %v, want none", n, r.Faults)
 		}
-		fmt.Printf("%s of 18 workers migrate at once: %s; requests without a complete response: %d of %d\n", n, strings.Join(r.Steps, ", "), r.Sum.Requests-r.Sum.Sealed, r.Sum.Requests)
+		fmt.Printf("retirement of a base model, migrating %s of 18 workers to the new model at once: steps %s; requests without a complete response: %d of %d\n", n, strings.Join(r.Steps, ", "), r.Sum.Requests-r.Sum.Sealed, r.Sum.Requests)
 	}
 }
 
--- a/internal/sim/history/register.go
+++ b/internal/sim/history/register.go
@@ -143,5 +143,5 @@
 	if change.AnyVersion {
 		base = "any"
 	}
-	return fmt.Sprintf("[%d-%d] change with token %q on version %s, new version %d: %s, response has version %d", seen.calledAt, seen.returnedAt, change.Token, base, change.NewVersion, seen.outcome, seen.version)
+	return fmt.Sprintf("[%d-%d] change with token %q on version %s, requested new version %d (0: the next one): outcome %s, version in the response %d", seen.calledAt, seen.returnedAt, change.Token, base, change.NewVersion, seen.outcome, seen.version)
 }
--- a/internal/sim/loadgen/check.go
+++ b/internal/sim/loadgen/check.go
@@ -35,15 +35,15 @@
 // Outcome is the result of a request as seen by its client.
 type Outcome struct {
 	Request      Request
-	Sealed       bool
+	Sealed       bool   // the response was complete and its checksum was correct
 	Interrupted  string // connection error that ended the response stream early; empty: none
 	Rejected     string // kind of the rejection; empty: the request wasn't rejected
 	RetryAfterMs int
 	Worker       string
 	Final        contract.Chunk
 	Message      string
-	SentTwice    bool // the request was sent to two edge nodes
-	BothSealed   bool
+	SentTwice    bool     // the request was sent to two edge nodes
+	BothSealed   bool     // both copies of an at-most-once request got a complete response
 	Faults       []string // violations of the service's guarantees that the client found
 	SentMs       int64
 	DurationMs   int64
@@ -99,7 +99,7 @@
 			model = prefix.QualifiedModel(final.Model, final.Adapter, final.Build)
 		}
 		if served := servedName(final.Model, final.Adapter, final.Build); len(request.ServedBy) > 0 && !slices.Contains(request.ServedBy, served) || len(request.ServedBy) == 0 && final.Model != "" && served != request.Model {
-			outcome.Faults = append(outcome.Faults, "response is by model "+served+", which isn't what "+request.Model+" maps to")
+			outcome.Faults = append(outcome.Faults, "response is by model "+served+", want the model that the requested name "+request.Model+" maps to")
 		}
 		entries := prefix.Chain(request.Domain, model, final.Weights, request.Parts)
 		key = entries[len(entries)-1].Key.String()
--- a/internal/sim/loadgen/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -53,27 +53,27 @@
 func TestPlantedFaultsAreCaught(t *testing.T) {
 	correctLines := func() [][]byte { return lines(testRequest, "shared", 3) }
 	if outcome := ReadStream(testRequest, "worker-1", bytes.NewReader(bytes.Join(correctLines(), nil))); !outcome.Sealed || len(outcome.Faults) > 0 {
-		t.Fatalf("outcome of a correct response is %+v, want sealed without faults", outcome)
+		t.Fatalf("outcome of a correct response is %+v, want complete (Sealed) and without violations", outcome)
 	}
 	other := testRequest
 	other.ID = "r2"
 	for name, corrupt := range map[string]func([][]byte) [][]byte{
 		"a chunk is missing":                      func(l [][]byte) [][]byte { return append(l[:2:2], l[3:]...) },
 		"a chunk is repeated":                     func(l [][]byte) [][]byte { return append(l[:3:3], l[2:]...) },
-		"the end is of another response":          func(l [][]byte) [][]byte { return append(l[:2:2], lines(other, "shared", 3)[2:]...) },
+		"the last line is that of another response":          func(l [][]byte) [][]byte { return append(l[:2:2], lines(other, "shared", 3)[2:]...) },
 		"two chunks are swapped":                  func(l [][]byte) [][]byte { l[1], l[2] = l[2], l[1]; return l },
-		"the last line with the seal is missing":  func(l [][]byte) [][]byte { return l[:5] },
+		"the last line with the checksum is missing":  func(l [][]byte) [][]byte { return l[:5] },
 		"a chunk's text is changed":               func(l [][]byte) [][]byte { l[2] = bytes.Replace(l[2], []byte(`"t":"`), []byte(`"t":"x`), 1); return l },
 		"a line follows the last line":            func(l [][]byte) [][]byte { return append(l, l[5]) },
 		"the response is of another cache domain": func([][]byte) [][]byte { return lines(testRequest, "t:walled", 3) },
-		"a shorter response with a matching seal": func([][]byte) [][]byte { q := testRequest; q.Chunks = 3; return lines(q, "shared", 3) },
+		"a shorter response whose checksum matches": func([][]byte) [][]byte { q := testRequest; q.Chunks = 3; return lines(q, "shared", 3) },
 	} {
 		if outcome := ReadStream(testRequest, "worker-1", bytes.NewReader(bytes.Join(corrupt(correctLines()), nil))); len(outcome.Faults) == 0 {
 			t.Errorf("corrupted response (%s): outcome is %+v, want a fault", name, outcome)
 		}
 	}
 	if outcome := ReadStream(testRequest, "worker-1", interruptedReader{bytes.NewReader(bytes.Join(correctLines()[:3], nil))}); len(outcome.Faults) > 0 || outcome.Sealed || outcome.Interrupted == "" {
-		t.Errorf("outcome of an interrupted stream is %+v, want interrupted, not sealed and without faults", outcome)
+		t.Errorf("outcome of an interrupted stream is %+v, want interrupted, not complete (Sealed) and without violations", outcome)
 	}
 }
 
@@ -112,10 +112,10 @@
 		sealed int
 		faults bool
 	}{
-		{"the first copy is served", Outcome{Request: testRequest, Sealed: true}, Outcome{Request: duplicate, Rejected: "may-have-run"}, 1, false},
-		{"the second copy is served", Outcome{Request: testRequest, Rejected: "may-have-run"}, Outcome{Request: duplicate, Sealed: true}, 1, false},
-		{"one copy is rejected as not executed, the other is served", Outcome{Request: testRequest, Rejected: "not-run"}, Outcome{Request: duplicate, Sealed: true}, 1, false},
-		{"both copies are served", Outcome{Request: testRequest, Sealed: true}, Outcome{Request: duplicate, Sealed: true}, 1, true},
+		{"of a request sent to two edge nodes, only the first copy is served", Outcome{Request: testRequest, Sealed: true}, Outcome{Request: duplicate, Rejected: "may-have-run"}, 1, false},
+		{"of a request sent to two edge nodes, only the second copy is served", Outcome{Request: testRequest, Rejected: "may-have-run"}, Outcome{Request: duplicate, Sealed: true}, 1, false},
+		{"of a request sent to two edge nodes, one copy is rejected as not executed, the other is served", Outcome{Request: testRequest, Rejected: "not-run"}, Outcome{Request: duplicate, Sealed: true}, 1, false},
+		{"both copies of a request sent to two edge nodes are served", Outcome{Request: testRequest, Sealed: true}, Outcome{Request: duplicate, Sealed: true}, 1, true},
 	} {
 		b := &OutcomeLog{}
 		b.Add(c.a)
--- a/internal/sim/loadgen/traffic.go
+++ b/internal/sim/loadgen/traffic.go
@@ -47,8 +47,8 @@
 	AppShare       float64 // share of requests for the application service
 }
 
-// Source generates random requests. Two sources with the same traffic and seed give the same prompts, except for the
-// questions of runs with different names.
+// Source generates random requests. Two sources with the same traffic and seed give the same prompts, except for
+// the question at the end of each prompt, whose text differs between runs with different names (see NewSource).
 type Source struct {
 	traffic   Traffic
 	random    *rand.Rand
@@ -58,7 +58,8 @@
 	run       string
 }
 
-// NewSource returns a source of random requests. run is part of the request IDs, which must be unique within a site.
+// NewSource returns a source of random requests. run is the name of the run of the
+// load generator: it is part of the request IDs, which must be unique within a site.
 //
 // Example: source := loadgen.NewSource(traffic, 7, "a")
 func NewSource(traffic Traffic, seed uint64, run string) *Source {
--- a/internal/sim/platformsim/platform.go
+++ b/internal/sim/platformsim/platform.go
@@ -99,7 +99,7 @@
 	defer p.mu.Unlock()
 	x, ok := p.workers[r.PathValue("name")]
 	if !ok {
-		http.Error(w, "worker "+r.PathValue("name")+" is not listed", 404)
+		http.Error(w, "worker "+r.PathValue("name")+" is not in the platform's list of workers", 404)
 		return
 	}
 	x.Draining = true
--- a/internal/sim/workersim/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -16,7 +16,7 @@
 	totalMB         int                          // size of the weight memory; 0: unlimited
 	bases           map[string]uint64            // weights version by base model, without the first one
 	adapters        map[string]map[string]uint64 // build number by base model and adapter
-	sizesMB         map[string]int               // memory use by "base" or "base/adapter"
+	sizesMB         map[string]int               // memory use in MB by model name, "base" or "base/adapter"
 	busy            map[string]int               // number of running and queued requests by base model
 	loading         string                       // key in sizesMB of the load in progress; empty: none
 	latestSteps     map[string]uint64            // highest step of an accepted order, by plan
--- a/internal/sim/workersim/worker.go
+++ b/internal/sim/workersim/worker.go
@@ -41,7 +41,7 @@
 	Once            bool   `json:"once"`
 	Weights         uint64 `json:"weights"`
 	AtMs            int64  `json:"at_ms"`
-	Ended           string `json:"ended"` // EndedSealed or EndedInterrupted; empty: not ended, or unknown
+	Ended           string `json:"ended"` // how the response ended: EndedSealed (sent completely) or EndedInterrupted; empty: the request hasn't ended, or the entry is from the journal file, which is written when the request starts
 	CachedTokens    int    `json:"hit"`
 	FetchedTokens   int    `json:"fetched"`
 	PrefilledTokens int    `json:"prefilled"`
--- a/internal/sim/workersim/worker_test.go
+++ b/internal/sim/workersim/worker_test.go
@@ -177,7 +177,7 @@
 	}
 	r := cache.Reports(0, false, 1)
 	if r.Number != 3 || len(r.Reports) != 2 || r.Reports[0].Number != 1 || r.Reports[1].Number != 3 {
-		t.Errorf("cache reports are %+v, want reports 1 and 3 and last number 3", r)
+		t.Errorf("cache reports after report 2 was discarded are %+v, want reports 1 and 3, and 3 as the number of the latest report", r)
 	}
 	if l := cache.Reports(0, false, 0); len(l.Reports) != 0 || l.Number != 0 {
 		t.Errorf("cache reports closed by time 0 are %+v, want none: all were closed at time 1", l)
