--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -183,7 +183,7 @@
 	}
 	for weights := range run.weightsSetMs {
 		if newer[weights] == 0 {
-			run.addViolation("no request ran on weights %d or newer, although they were set", weights)
+			run.addViolation("no worker ran a request on version %d or newer of the model weights, although an operator had set that version", weights)
 		}
 	}
 }
@@ -211,15 +211,16 @@
 		}
 	}
 	run.report.ExtraRuns = len(extra)
-	allowance := float64(max(bounds.RetryAllowance, len(run.fleet.Site.Edges))) // the allowance is split between the edge machines, each of which may make at least one retry
+	allowance := float64(max(bounds.RetryAllowance, len(run.fleet.Site.Edges))) // number of retries allowed beyond the percentage: it is split between the edge machines, each of which may make at least one
 	if extraRuns, firstRuns := worstWindow(extra, first, int64(bounds.RetryWindowMs), float64(bounds.RetryPercent)/100); float64(extraRuns) > float64(bounds.RetryPercent)/100*float64(firstRuns)+allowance {
-		run.addViolation("retry budget exceeded: %d extra runs on %d requests in a retry window of %d ms, want at most %d %% of the requests plus %.0f", extraRuns, firstRuns, bounds.RetryWindowMs, bounds.RetryPercent, allowance)
+		run.addViolation("retry budget exceeded: %d extra runs on workers, after the first run of a request, with %d requests in a retry window of %d ms, want at most %d %% of the requests plus %.0f", extraRuns, firstRuns, bounds.RetryWindowMs, bounds.RetryPercent, allowance)
 	}
 }
 
-// worstWindow returns the counts of the time window, of span milliseconds and at any start, in which the extra runs
-// exceed the share of the requests by the most. Requests up to a tenth of the window before its start count too,
-// because a retry may start that much later than the request that added to the budget.
+// worstWindow returns the numbers of extra runs (runs on workers after the first one of a request: retries) and of
+// client requests in the time window, of span milliseconds and at any start, in which the extra runs exceed the given
+// share of the requests by the most. Requests up to a tenth of the window before its start count too, because an edge
+// node may retry that much later than it received the request that raised its retry budget.
 func worstWindow(extra, first []int64, span int64, share float64) (extraRuns, firstRuns int) {
 	slices.Sort(extra)
 	slices.Sort(first)
--- a/internal/sim/testbed/main.go
+++ b/internal/sim/testbed/main.go
@@ -135,7 +135,7 @@
 	sub.UInt64(&options.Seed, "e", "seed", "seed of the random traffic and faults")
 	sub.Float64(&options.Rate, "r", "rate", "client requests per second (default: the site's rate)")
 	sub.String(&options.Part, "p", "part", "with capacity: part to measure, one of nodes, workers, plans, kept, placement, calls, follow, group and traffic (default: all); page: regenerate the capacity page")
-	sub.String(&options.Out, "f", "out", "with capacity: output file for the measured series; with --part page: path of the folder docs")
+	sub.String(&options.Out, "f", "out", "with capacity: file to which the measured series are written; with --part page, which regenerates the capacity page of the documentation: path of the folder docs")
 	sub.Bool(&options.Quick, "q", "quick", "with capacity: measure only fleets too small for meaningful figures, as a test")
 	return sub
 }
--- a/internal/sim/testbed/report.go
+++ b/internal/sim/testbed/report.go
@@ -9,8 +9,8 @@
 	Seed                uint64          `json:"seed"`
 	Sum                 loadgen.Summary `json:"sum"`                        // outcomes of the client requests
 	Steps               []string        `json:"steps"`                      // steps that were executed, with their times and results
-	SealedAfterRecovery float64         `json:"sealed_share_after_healing"` // share of complete responses to requests sent after the time to recover
-	SealedDuring        float64         `json:"sealed_share_during"`        // share of complete responses to requests sent before that
+	SealedAfterRecovery float64         `json:"sealed_share_after_healing"` // share of complete responses to requests sent after the time to recover from the last fault was over
+	SealedDuring        float64         `json:"sealed_share_during"`        // share of complete responses to requests sent before the time to recover from the last fault was over
 	ExtraRuns           int             `json:"extra_runs"`                 // runs on workers beyond the first one of each request
 	// Shares of prompt tokens that were found in a worker's prompt cache, by when the request was sent: before the
 	// first step, from then until the recovery time after the last step was over, and later.
--- a/internal/sim/testbed/retire_test.go
+++ b/internal/sim/testbed/retire_test.go
@@ -122,7 +122,7 @@
 			r.Fatalf("pebblectl retire status: got exit code %d, want at most %d; standard error: %s", code, exitProblems, stderr.String())
 		}
 		if err := json.Unmarshal(stdout.Bytes(), &list); err != nil || ctx.Err() != nil {
-			r.Fatalf("wait until the retirement is done: got decoding error %v and time limit %v; last status: %s", err, ctx.Err(), stdout.String())
+			r.Fatalf("wait at most 2 minutes until the retirement of the base model is done: got decoding error %v and context error %v, want neither; last status: %s", err, ctx.Err(), stdout.String())
 		}
 	}
 }
--- a/internal/sim/testbed/runbook_test.go
+++ b/internal/sim/testbed/runbook_test.go
@@ -55,7 +55,7 @@
 	return func() {
 		for _, name := range names {
 			if err := do(name); err != nil {
-				r.Errorf("change the state of process %s: %v", name, err)
+				r.Errorf("signal, start or move process %s: got error %v, want none", name, err)
 			}
 		}
 	}
--- a/internal/sim/testbed/steps.go
+++ b/internal/sim/testbed/steps.go
@@ -141,8 +141,10 @@
 	return nil
 }
 
-// setLinks cuts, slows or restores the links between the machines in step.Targets, separated by spaces, and others; "*"
-// is any machine. The action "cut" affects only the direction from the targets.
+// setLinks cuts, slows or restores the links between the machines in step.Targets and their peers, both separated by
+// spaces, "*" being any machine. The peers are step.Argument; for the actions "slow" and "off", and for "mend" without
+// an argument, they are all machines. With "slow", step.Argument is the bandwidth in bytes per second. The action "cut"
+// affects only the direction from the targets to the peers.
 func (run *scenarioRun) setLinks(step Step) error {
 	var batch errs.Batch
 	for _, from := range strings.Fields(step.Targets) {
--- a/internal/sim/testbed/tally.go
+++ b/internal/sim/testbed/tally.go
@@ -27,7 +27,7 @@
 type tallyRow struct{ sealed, during, after, extra, faults float64 }
 
 // Tally reads lines that Line formatted and prints a table with one row for each scenario and site: the number of runs
-// and of violations, the median and worst shares of complete responses, and the largest number of extra runs. All
+// and of violations, the median and worst shares of complete responses, and the largest number of retries. All
 // scenarios of randomly drawn faults of a site share a row. It fails with errs.BadInput if the input contains no such
 // line.
 //
@@ -61,7 +61,7 @@
 		return errs.Wrap(err, "read the lines of runs")
 	}
 	if len(rows) == 0 {
-		return errs.New(errs.BadInput, "the input contains no result line of a run: give the output of `testbed play` or of the simulated cluster")
+		return errs.New(errs.BadInput, "the input contains no result line of a run: give the output of `testbed play` or of `go test ./internal/sim/clustersim -run TestScenarios -v`")
 	}
 	fmt.Fprintln(out, "| scenario | site | runs | faults | sealed | during | after | extra runs |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, key := range maputil.SortedKeys(rows) {
--- a/internal/sim/testbed/testbed_test.go
+++ b/internal/sim/testbed/testbed_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// worstWindow must consider windows at any start: it must find a burst of extra runs while requests arrive, and one
+// worstWindow must consider windows at any start: it must find a burst of retries while requests arrive, and one
 // after the last request.
 func TestWorstWindowOfExtraRuns(t *testing.T) {
 	var first []int64
@@ -111,7 +111,7 @@
 		wantExtra, minRequests, maxRequests int
 	}{{[]int64{5000, 5001, 5002}, 3, 40, 100}, {[]int64{18000, 18001, 18002, 18003}, 4, 0, 30}, {nil, 0, 0, 0}} {
 		if extra, requests := worstWindow(test.extra, first, 10000, 0.2); extra != test.wantExtra || requests < test.minRequests || requests > test.maxRequests {
-			t.Errorf("worst window of 10 s with extra runs at %v ms: got %d extra runs and %d requests, want %d and from %d to %d", test.extra, extra, requests, test.wantExtra, test.minRequests, test.maxRequests)
+			t.Errorf("window of 10 s with the most retries relative to the requests, with retries at %v ms: got %d retries and %d requests, want %d retries and from %d to %d requests", test.extra, extra, requests, test.wantExtra, test.minRequests, test.maxRequests)
 		}
 	}
 }
