--- a/internal/sim/loadgen/check_test.go
+++ b/internal/sim/loadgen/check_test.go
@@ -58,15 +58,15 @@
 	other := testRequest
 	other.ID = "r2"
 	for name, corrupt := range map[string]func([][]byte) [][]byte{
-		"a chunk is missing":                      func(l [][]byte) [][]byte { return append(l[:2:2], l[3:]...) },
-		"a chunk is repeated":                     func(l [][]byte) [][]byte { return append(l[:3:3], l[2:]...) },
-		"the last line is that of another response":          func(l [][]byte) [][]byte { return append(l[:2:2], lines(other, "shared", 3)[2:]...) },
-		"two chunks are swapped":                  func(l [][]byte) [][]byte { l[1], l[2] = l[2], l[1]; return l },
-		"the last line with the checksum is missing":  func(l [][]byte) [][]byte { return l[:5] },
-		"a chunk's text is changed":               func(l [][]byte) [][]byte { l[2] = bytes.Replace(l[2], []byte(`"t":"`), []byte(`"t":"x`), 1); return l },
-		"a line follows the last line":            func(l [][]byte) [][]byte { return append(l, l[5]) },
-		"the response is of another cache domain": func([][]byte) [][]byte { return lines(testRequest, "t:walled", 3) },
-		"a shorter response whose checksum matches": func([][]byte) [][]byte { q := testRequest; q.Chunks = 3; return lines(q, "shared", 3) },
+		"a chunk is missing":                         func(l [][]byte) [][]byte { return append(l[:2:2], l[3:]...) },
+		"a chunk is repeated":                        func(l [][]byte) [][]byte { return append(l[:3:3], l[2:]...) },
+		"the last line is that of another response":  func(l [][]byte) [][]byte { return append(l[:2:2], lines(other, "shared", 3)[2:]...) },
+		"two chunks are swapped":                     func(l [][]byte) [][]byte { l[1], l[2] = l[2], l[1]; return l },
+		"the last line with the checksum is missing": func(l [][]byte) [][]byte { return l[:5] },
+		"a chunk's text is changed":                  func(l [][]byte) [][]byte { l[2] = bytes.Replace(l[2], []byte(`"t":"`), []byte(`"t":"x`), 1); return l },
+		"a line follows the last line":               func(l [][]byte) [][]byte { return append(l, l[5]) },
+		"the response is of another cache domain":    func([][]byte) [][]byte { return lines(testRequest, "t:walled", 3) },
+		"a shorter response whose checksum matches":  func([][]byte) [][]byte { q := testRequest; q.Chunks = 3; return lines(q, "shared", 3) },
 	} {
 		if outcome := ReadStream(testRequest, "worker-1", bytes.NewReader(bytes.Join(corrupt(correctLines()), nil))); len(outcome.Faults) == 0 {
 			t.Errorf("corrupted response (%s): outcome is %+v, want a fault", name, outcome)
--- a/internal/sim/loadgen/summary.go
+++ b/internal/sim/loadgen/summary.go
@@ -79,7 +79,7 @@
 // summarizer computes a Summary from single outcomes.
 type summarizer struct {
 	summary  Summary
-	timesRun map[string]int // number of executions by request ID, from the workers' journals
+	timesRun map[string]int // number of times that workers ran each request, by request ID, from their journals
 	complete bool           // the journals of all workers are known
 
 	// Latencies of complete responses in milliseconds.
--- a/internal/sim/testbed/links.go
+++ b/internal/sim/testbed/links.go
@@ -18,7 +18,7 @@
 // both directions, delayed, or limited in bandwidth.
 type Links struct {
 	mu        sync.Mutex             // protects rules, wake and names
-	rules     map[[2]string]LinkRule // by sending and receiving machine; "*" is any machine
+	rules     map[[2]string]LinkRule // fault rules of the links by sending and receiving machine; "*" is any machine
 	wake      chan struct{}          // channel that is closed and replaced when rules change
 	names     map[netip.Addr]string  // name of the machine by its IP address
 	listeners []net.Listener
--- a/internal/sim/testbed/operator.go
+++ b/internal/sim/testbed/operator.go
@@ -49,7 +49,7 @@
 			run.mu.Unlock()
 			return response.Version, nil
 		}
-		last = fmt.Sprintf("status %d, body %s", code, body)
+		last = fmt.Sprintf("response with status %d and body %s", code, body)
 		if code == errs.BadInput.HTTPStatus {
 			break
 		}
@@ -59,7 +59,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return 0, errs.New(kind, "request to %s failed; last response: %s", path, last)
+	return 0, errs.New(kind, "operator API request to %s failed; last response: %s", path, last)
 }
 
 // executeOperatorStep executes a scenario step in which operators change the configuration.
--- a/internal/sim/testbed/scenario.go
+++ b/internal/sim/testbed/scenario.go
@@ -33,7 +33,7 @@
 	At       int    `json:"at_ms"` // time in milliseconds after the start of the steps
 	Action   string `json:"do"`    // name of the action, one of those in scenarioRun.execute and executeOn
 	Targets  string `json:"who"`   // names or patterns of processes, separated by spaces; "pattern:2" draws two matches at random; see also leaderTarget
-	Argument string `json:"to"`    // depends on the action: the machines at the other end of a link, or a value
+	Argument string `json:"to"`    // argument of the action: for links, the machines at the other end; otherwise a value whose meaning depends on the action
 	// The step runs in the background: later steps do not wait for its end, and an error of kind errs.OutcomeUnknown is
 	// no violation.
 	Background bool   `json:"aside"`
--- a/internal/sim/testbed/testbed_test.go
+++ b/internal/sim/testbed/testbed_test.go
@@ -90,7 +90,7 @@
 			t.Fatalf("run scenario %s: %v", scenario.Name, err)
 		}
 		for _, f := range report.Faults {
-			t.Errorf("scenario %s: violation: %s", scenario.Name, f)
+			t.Errorf("scenario %s: violation of an invariant: %s", scenario.Name, f)
 		}
 		if report.Judged < 60 {
 			t.Errorf("scenario %s: %d operations on the configuration were checked for linearizability, want at least 60", scenario.Name, report.Judged)
--- a/internal/sim/testbed/usage.go
+++ b/internal/sim/testbed/usage.go
@@ -20,7 +20,7 @@
 type ResourceUsage struct {
 	Processes int     `json:"processes"`
 	PeakMB    float64 `json:"peak_mb"`     // peak resident memory in units of 1024 * 1024 bytes
-	CPUShare  float64 `json:"cpu_percent"` // average since the start of the process, in percent of one core
+	CPUShare  float64 `json:"cpu_percent"` // average CPU use since the start of the process, in percent of one core
 }
 
 // Usage returns the resource use of the running processes, by program. It is empty if the environment isn't this
