--- a/internal/sim/clustersim/machine.go
+++ b/internal/sim/clustersim/machine.go
@@ -12,7 +12,7 @@
 type machine struct {
 	name          string
 	begin         time.Time
-	bootOffset    time.Duration // boot clock reading at the time begin
+	bootOffset    time.Duration // boot clock reading when the simulation of the machine began, at the time in the field begin
 	drift         float64       // relative error of the boot clock's rate; 0.0001 is 0.1 ms per second fast
 	mu            sync.Mutex
 	wallClockJump time.Duration // offset of the wall clock from virtual time
--- a/internal/sim/clustersim/planted_test.go
+++ b/internal/sim/clustersim/planted_test.go
@@ -60,7 +60,7 @@
 		{"chunks are lost", "chunk number 2, want 1", nil, 1000, nil, replaceBytes(`"n":1,`, `"n":2,`)},
 		{"a seal is missing", "seal", nil, 1000, nil, replaceBytes(`"seal"`, `"seel"`)},
 		{"a revoked key is accepted", "was accepted", partition, 2000, useStaleConfig, nil},
-		{"a drained worker receives requests", "after it was drained", partition, 2000, useStaleConfig, nil},
+		{"a drained worker receives requests", "after the worker was drained", partition, 2000, useStaleConfig, nil},
 		{"a request runs on older weights than configured", "on weights 1", []testbed.Step{step(1000, "weights", "", "2")}, 26000, func(site *testbed.Site) {
 			injectWorkerFault(site, "deaf", 2)
 			relaxBounds(site, programs.Proxy, func(b *settings.Bounds) { b.WeightsMs = 600000 })
--- a/internal/sim/history/check.go
+++ b/internal/sim/history/check.go
@@ -13,7 +13,7 @@
 
 // Result is the result of a linearizability check of a History.
 type Result struct {
-	Operations    int      // number of attempts and reads that were checked
+	Operations    int      // number of attempts at a change and of reads that were checked
 	Indeterminate int      // number of attempts at a change with outcome Unknown
 	Violations    []string // a message for each document whose history isn't linearizable or wasn't checked within the limit
 }
--- a/internal/sim/loadgen/traffic.go
+++ b/internal/sim/loadgen/traffic.go
@@ -15,7 +15,7 @@
 	Name     string
 	Key      string
 	Isolated bool    // the tenant has its own prefix cache domain
-	Weight   float64 // relative share of the traffic
+	Weight   float64 // share of the client traffic, relative to the other tenants' weights
 }
 
 // Kind describes a kind of request that the clients of a site send.
@@ -40,7 +40,7 @@
 	App            string // model name of requests to the application service
 	Tenants        []Tenant
 	Kinds          []Kind
-	Rate           float64 // requests per second
+	Rate           float64 // client requests per second
 	WaitMs         int
 	OnceShare      float64 // share of requests that may be executed at most once
 	DuplicateShare float64 // share of at-most-once requests that are sent to two edge nodes
--- a/internal/sim/testbed/checks.go
+++ b/internal/sim/testbed/checks.go
@@ -162,7 +162,7 @@
 }
 
 // checkWeightsAndDraining checks that no worker starts a request on superseded weights later than Bounds.WeightsMs after
-// newer ones were acknowledged, or later than Bounds.LeaveMs after it was drained.
+// newer ones were acknowledged, or later than Bounds.LeaveMs after the worker was drained.
 func (run *scenarioRun) checkWeightsAndDraining(journals map[string][]workersim.Run) {
 	bounds := run.fleet.Site.Processes[0].Settings.Bounds
 	newer := map[uint64]int{}
@@ -170,14 +170,14 @@
 		for _, workerRun := range runs {
 			for weights, atMs := range run.weightsSetMs {
 				if workerRun.Weights < weights && workerRun.AtMs > atMs+int64(bounds.WeightsMs) {
-					run.addViolation("worker %s started request %s on weights %d, %d ms after version %d of the weights was acknowledged", name, workerRun.RequestID, workerRun.Weights, workerRun.AtMs-atMs, weights)
+					run.addViolation("worker %s started request %s on weights %d, %d ms after version %d of the weights was acknowledged to an operator", name, workerRun.RequestID, workerRun.Weights, workerRun.AtMs-atMs, weights)
 				}
 				if workerRun.Weights >= weights {
 					newer[weights]++
 				}
 			}
 			if atMs, ok := run.drainedMs[name]; ok && workerRun.AtMs > atMs+int64(bounds.LeaveMs) {
-				run.addViolation("worker %s started request %s, although the time was %d ms after it was drained", name, workerRun.RequestID, workerRun.AtMs-atMs)
+				run.addViolation("worker %s started request %s %d ms after the worker was drained", name, workerRun.RequestID, workerRun.AtMs-atMs)
 			}
 		}
 	}
--- a/internal/sim/testbed/report.go
+++ b/internal/sim/testbed/report.go
@@ -9,8 +9,8 @@
 	Seed                uint64          `json:"seed"`
 	Sum                 loadgen.Summary `json:"sum"`                        // outcomes of the client requests
 	Steps               []string        `json:"steps"`                      // steps that were executed, with their times and results
-	SealedAfterRecovery float64         `json:"sealed_share_after_healing"` // share of complete responses to requests sent after the time to recover after the last step was over
-	SealedDuring        float64         `json:"sealed_share_during"`        // share of complete responses to requests sent until the time to recover after the last step was over
+	SealedAfterRecovery float64         `json:"sealed_share_after_healing"` // share of complete responses among the requests sent once the last step and the time to recover after it were over
+	SealedDuring        float64         `json:"sealed_share_during"`        // share of complete responses among the requests sent before the last step and the time to recover after it were over
 	ExtraRuns           int             `json:"extra_runs"`                 // runs on workers beyond the first one of each request
 	// Shares of prompt tokens that were found in a worker's prompt cache, by when the request was sent: before the
 	// first step, from then until the recovery time after the last step was over, and later.
--- a/internal/sim/testbed/retire.go
+++ b/internal/sim/testbed/retire.go
@@ -113,7 +113,7 @@
 		}
 		if json.Unmarshal([]byte(last), &list) == nil {
 			for _, retirement := range list.Retirements {
-				last = fmt.Sprintf("retirement in state %s, %s, reason: %s, blocked by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers)
+				last = fmt.Sprintf("retirement in state %s, progress %s, reason: %s, blocked by %v", retirement.State, retirement.Progress(), retirement.Reason, retirement.Blockers)
 				if retirement.Name == name && (string(retirement.State) == state || string(retirement.Phase) == state) {
 					return run.checkFleetAfterRetirement(ctx, retirement)
 				}
--- a/internal/sim/testbed/site.go
+++ b/internal/sim/testbed/site.go
@@ -30,7 +30,7 @@
 	Name       string
 	Processes  []Process
 	WorkerList []contract.ListedWorker // workers and stores that the platform simulator lists
-	Config     serviceconfig.Config    // first configuration
+	Config     serviceconfig.Config    // configuration that the site starts with
 	Traffic    loadgen.Traffic
 	Edges      []string          // addresses of the proxies, for clients
 	Operators  []string          // addresses of the operator API
--- a/internal/sim/workersim/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -14,7 +14,7 @@
 // is in Worker.model and Worker.weights, further ones are in bases. Worker.mu protects all fields.
 type memory struct {
 	totalMB         int                          // size of the weight memory; 0: unlimited
-	bases           map[string]uint64            // weights version by base model, without the first one
+	bases           map[string]uint64            // weights version of each loaded base model but the first, by model name
 	adapters        map[string]map[string]uint64 // build number by base model and adapter
 	sizesMB         map[string]int               // memory use in MB by model name, "base" or "base/adapter"
 	busy            map[string]int               // number of running and queued requests by base model
