--- a/internal/sim/workersim/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -22,7 +22,7 @@
 	latestSteps     map[string]uint64            // highest step of an accepted order, by plan
 	baseLoadTime    time.Duration
 	adapterLoadTime time.Duration
-	defaultBaseMB   int // memory use of the base model that is loaded at the start
+	defaultBaseMB   int // memory use, in MB, of the base model that is loaded at the start of the worker
 }
 
 // loadInitialModels sets the models in memory at the start of the worker. With the option "empty=yes" there are none;
--- a/internal/sim/workersim/worker.go
+++ b/internal/sim/workersim/worker.go
@@ -19,8 +19,8 @@
 // Speed holds the simulated durations of prefills and decoding, and the speed at which prefixes are fetched.
 type Speed struct {
 	FixedUs                  float64 // part of a prefill's duration that doesn't depend on its length, in microseconds
-	TokenUs                  float64 // added to a prefill per token, in microseconds
-	SquareUs                 float64 // added to a prefill per square of its number of tokens, in microseconds
+	TokenUs                  float64 // time that each token adds to a prefill, in microseconds
+	SquareUs                 float64 // time that a prefill takes in addition per square of its number of tokens, in microseconds
 	ChunkUs                  float64 // duration of decoding one chunk, in microseconds
 	LinkTokensPerSecond      float64 // transfer speed of prefixes from a worker or the prompt store in the same zone
 	CrossZoneTokensPerSecond float64 // transfer speed of prefixes from another zone
@@ -87,9 +87,9 @@
 	dropReportRatio  float64
 	withholdsReports bool
 	reportDelay      time.Duration // time after which a closed cache report can be read
-	injectedFault    string        // one of the injected faults in plantedfaults.go; empty: none
+	injectedFault    string        // fault that tests inject into the worker, one of those in plantedfaults.go; empty: none
 	client           *http.Client
-	journalFile      io.Writer // nil: the worker keeps no journal
+	journalFile      io.Writer // journal of the started requests and accepted orders; nil: the worker keeps none
 }
 
 // numberOption returns the number in a process's option, or the default if the option is missing or not a number.
--- a/internal/sim/workersim/worker_test.go
+++ b/internal/sim/workersim/worker_test.go
@@ -165,7 +165,7 @@
 	cache.Store("b", 40)
 	cache.Lookup("a")
 	cache.CloseReport(false, 1)
-	cache.Store("c", 40) // evicts b: a was looked up after b was stored
+	cache.Store("c", 40) // evicts prefix b, the least recently used: prefix a was looked up after b was stored
 	cache.CloseReport(true, 1)
 	cache.Store("d", 20)
 	cache.CloseReport(false, 1)
