--- a/internal/sim/loadgen/traffic.go
+++ b/internal/sim/loadgen/traffic.go
@@ -15,7 +15,7 @@
 	Name     string
 	Key      string
 	Isolated bool    // the tenant has its own prefix cache domain
-	Weight   float64 // relative share of the traffic
+	Weight   float64 // share of the client traffic, relative to the other tenants' weights
 }
 
 // Kind describes a kind of request that the clients of a site send.
@@ -40,15 +40,15 @@
 	App            string // model name of requests to the application service
 	Tenants        []Tenant
 	Kinds          []Kind
-	Rate           float64 // requests per second
+	Rate           float64 // client requests per second
 	WaitMs         int
 	OnceShare      float64 // share of requests that may be executed at most once
 	DuplicateShare float64 // share of at-most-once requests that are sent to two edge nodes
 	AppShare       float64 // share of requests for the application service
 }
 
-// Source generates random requests. Two sources with the same traffic and seed give the same prompts, except for the
-// questions of runs with different names.
+// Source generates random requests. Two sources with the same traffic and seed give the same prompts, except for
+// the question at the end of each prompt, whose text differs between runs with different names (see NewSource).
 type Source struct {
 	traffic   Traffic
 	random    *rand.Rand
@@ -58,7 +58,8 @@
 	run       string
 }
 
-// NewSource returns a source of random requests. run is part of the request IDs, which must be unique within a site.
+// NewSource returns a source of random requests. run is the name of the run of the
+// load generator: it is part of the request IDs, which must be unique within a site.
 //
 // Example: source := loadgen.NewSource(traffic, 7, "a")
 func NewSource(traffic Traffic, seed uint64, run string) *Source {
--- a/internal/sim/workersim/memory.go
+++ b/internal/sim/workersim/memory.go
@@ -14,15 +14,15 @@
 // is in Worker.model and Worker.weights, further ones are in bases. Worker.mu protects all fields.
 type memory struct {
 	totalMB         int                          // size of the weight memory; 0: unlimited
-	bases           map[string]uint64            // weights version by base model, without the first one
+	bases           map[string]uint64            // weights version of each loaded base model but the first, by model name
 	adapters        map[string]map[string]uint64 // build number by base model and adapter
-	sizesMB         map[string]int               // memory use by "base" or "base/adapter"
+	sizesMB         map[string]int               // memory use in MB by model name, "base" or "base/adapter"
 	busy            map[string]int               // number of running and queued requests by base model
 	loading         string                       // key in sizesMB of the load in progress; empty: none
 	latestSteps     map[string]uint64            // highest step of an accepted order, by plan
 	baseLoadTime    time.Duration
 	adapterLoadTime time.Duration
-	defaultBaseMB   int // memory use of the base model that is loaded at the start
+	defaultBaseMB   int // memory use, in MB, of the base model that is loaded at the start of the worker
 }
 
 // loadInitialModels sets the models in memory at the start of the worker. With the option "empty=yes" there are none;
