--- a/internal/sim/clustersim/retire_test.go
+++ b/internal/sim/clustersim/retire_test.go
@@ -115,7 +115,7 @@
 		tamper            func([]byte) []byte
 	}{
 		{"a worker reports adapters that it hasn't loaded", "its proof failed", "done", 18, nil},
-		{"a response is generated with another adapter", "isn't what", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
+		{"a response is generated with another adapter", "want the model that the requested name appraise maps to", "move", 0, replaceBytes(`"adapter":"appraise"`, `"adapter":"appraisf"`)},
 	} {
 		scenario := testbed.Scenario{Name: "planted", Retire: true, Rate: 10, RecoveryMs: 1000, AfterRecoveryMs: 2000,
 			Steps: []testbed.Step{step(1000, "retire", "spring", `{"shares":[100],"at_once":6}`), step(2000, "retired", "spring", test.state)}}
