--- a/internal/tools/ciresult/results.go
+++ b/internal/tools/ciresult/results.go
@@ -6,10 +6,11 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"maps"
 	"os"
 	"slices"
 	"strings"
+
+	"pebbleloom/internal/maputil"
 )
 
 const (
@@ -195,12 +196,9 @@
 	}
 }
 
-// sortedKeys returns the keys of a map in ascending order.
-func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
-
 // printTimes prints the time of each package, added up over its runs, the slowest package first.
 func (r *results) printTimes(out io.Writer) {
-	folders := sortedKeys(r.packages)
+	folders := maputil.SortedKeys(r.packages)
 	slices.SortStableFunc(folders, func(a, b string) int { return cmp.Compare(r.packages[b].seconds, r.packages[a].seconds) })
 	for _, folder := range folders {
 		if seconds := r.packages[folder].seconds; seconds > 0 {
@@ -254,7 +252,7 @@
 // failed or did not finish, excused or not.
 func (r *results) evaluateTests(excused map[string]bool) (faults []string, explained map[string]bool) {
 	explained = map[string]bool{}
-	for _, key := range sortedKeys(r.tests) {
+	for _, key := range maputil.SortedKeys(r.tests) {
 		state := r.tests[key]
 		if state.failed == 0 && !state.unfinished() {
 			continue
@@ -274,7 +272,7 @@
 // evaluatePackages returns the failures of packages that no failed test explains: a failed build, a failure outside the
 // tests, or output without a final event of the package.
 func (r *results) evaluatePackages(explained map[string]bool) (faults []string) {
-	for _, folder := range sortedKeys(r.packages) {
+	for _, folder := range maputil.SortedKeys(r.packages) {
 		p := r.packages[folder]
 		failedAlone := p.failed && !explained[folder]
 		incomplete := !p.ended && len(p.output) > 0
