--- a/api/gen.go
+++ b/api/gen.go
@@ -1,5 +1,5 @@
-// Package api holds the two descriptions that the HTTP servers and clients are generated
-// from: caller.yaml and operator.yaml.
+// Package api contains the OpenAPI documents caller.yaml (inference requests) and operator.yaml
+// (administration), from which the HTTP servers and clients are generated.
 package api
 
 //go:generate sh -c "PATH=$(go env GOPATH)/bin:$PATH ogen --clean --package caller --target caller --config ogen.yml caller.yaml"
--- a/internal/control/mutation/mutation_test.go
+++ b/internal/control/mutation/mutation_test.go
@@ -49,7 +49,7 @@
 // seedReport matches a simulation's report: the first seed that failed, and the violation that it found.
 var seedReport = regexp.MustCompile(`seed \d+: .{0,160}`)
 
-// howFound returns the part of a failed test's output that tells how many states or seeds it searched.
+// howFound returns the part of a failed test's output that reports how many states or seeds it searched.
 func howFound(output []byte) []byte {
 	if report := searchReport.Find(output); report != nil {
 		return report
